--- a/crates/admit/src/cell_allocator.rs
+++ b/crates/admit/src/cell_allocator.rs
@@ -19,7 +19,7 @@
     },
     bon::bon,
     kernel::{Incarnation, InstanceId, WorkId},
-    route::{PrefixTable, ReplicaChoice},
+    route::{EngineSelector, PrefixTable},
     std::{
         collections::{BTreeMap, BTreeSet},
         sync::Arc,
@@ -40,7 +40,7 @@
 /// the earlier one.
 #[derive(Clone, Debug)]
 pub struct CellAllocator {
-    pub(crate) choice: ReplicaChoice,
+    pub(crate) choice: EngineSelector,
     pub(crate) ended: EndedKeys,
     /// Announced requests whose row no table had yet.
     pub(crate) early: BTreeMap<RequestKey, (HoldPhase, AdmitRequest)>,
@@ -101,7 +101,7 @@
             prefix_queue,
         };
         Self {
-            choice: ReplicaChoice::new(seed),
+            choice: EngineSelector::new(seed),
             early: BTreeMap::new(),
             ended: EndedKeys::default(),
             link: LinkTurns::default(),
--- a/crates/bench/src/customers_command.rs
+++ b/crates/bench/src/customers_command.rs
@@ -4,7 +4,7 @@
     crate::bench_error::BenchError,
     clap::Args,
     policy::{
-        CallerKey, CustomerLimit, KeyHasher, KeySalt, QuotaRule, QuotaTable, QuotaUnit, UseTotals,
+        CallerKey, CustomerLimit, KeyHasher, KeySalt, QuotaRule, QuotaTable, QuotaUnit, UsageTotals,
     },
     relay::{CustomerBook, CustomerInfo, CustomerRow},
     std::{
@@ -40,14 +40,14 @@
         let book = book(salt, &keys);
         let mut table = QuotaTable::new(QuotaRule::default(), false, Instant::now());
         let now = Instant::now() + Duration::from_secs(10);
-        table.note_heard(now);
-        let others: UseTotals = book.customers().map(|info| (info.id.clone(), 0)).collect();
+        table.note_synced(now);
+        let others: UsageTotals = book.customers().map(|info| (info.id.clone(), 0)).collect();
         table.set_limits(
             book.customers()
                 .filter_map(|info| Some((&info.id, info.limit?))),
             now,
         );
-        table.note_others(&others, &UseTotals::new(), now);
+        table.note_others(&others, &UsageTotals::new(), now);
         let began = Instant::now();
         for number in 0..self.requests {
             let key = &keys[number as usize % keys.len()];
--- a/crates/door/src/admission_gate.rs
+++ b/crates/door/src/admission_gate.rs
@@ -1,7 +1,7 @@
 //! Counts the open requests, and lets none in once the instance closes.
 
 use {
-    kernel::{CloseSignal, ResultCode},
+    kernel::{ResultCode, ShutdownSignal},
     std::sync::{
         Arc,
         atomic::{AtomicUsize, Ordering},
@@ -15,7 +15,7 @@
     emptied: Notify,
     limit: usize,
     open: AtomicUsize,
-    shut: CloseSignal,
+    shut: ShutdownSignal,
 }
 
 /// The right of one request to be worked on; given back when dropped.
@@ -59,7 +59,7 @@
             emptied: Notify::new(),
             limit,
             open: AtomicUsize::new(0),
-            shut: CloseSignal::new(),
+            shut: ShutdownSignal::new(),
         }
     }
 
--- a/crates/door/src/door_server.rs
+++ b/crates/door/src/door_server.rs
@@ -13,7 +13,7 @@
         server::graceful::GracefulShutdown,
         service::TowerToHyperService,
     },
-    kernel::{CloseSignal, ResultCode},
+    kernel::{ResultCode, ShutdownSignal},
     std::{sync::Arc, time::Duration},
     tokio::{net::TcpListener, time},
 };
@@ -52,7 +52,7 @@
 
     /// Serves until the signal; then takes no connection, and waits up to `limit` for those under way. `false` when the
     /// limit ended some.
-    pub async fn run(self, signal: CloseSignal, limit: Duration) -> bool {
+    pub async fn run(self, signal: ShutdownSignal, limit: Duration) -> bool {
         let graceful = GracefulShutdown::new();
         loop {
             let accepted = tokio::select! {
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -13,7 +13,7 @@
 //! Refusals before anything ran are 429 or 503 with [`EngineError`], whose `ran` is `false`.
 
 use {
-    kernel::{BlockHash, FenceNumber, ModelId},
+    kernel::{BlockHash, FencingToken, ModelId},
     route_role::EngineRole,
     serde::{Deserialize, Serialize},
     std::sync::Arc,
@@ -238,7 +238,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineOrder {
     /// The fencing number.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// What it asks for.
     #[serde(flatten)]
     pub kind: OrderKind,
@@ -248,5 +248,5 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderRefusal {
     /// The greatest fencing number seen.
-    pub seen: FenceNumber,
+    pub seen: FencingToken,
 }
--- a/crates/fake/src/model/engine_core.rs
+++ b/crates/fake/src/model/engine_core.rs
@@ -13,7 +13,7 @@
     },
     crate::share_table::ShareTable,
     engine::wire::{CacheEvents, EngineLoad, StreamRecord, route_role::EngineRole},
-    kernel::{FenceNumber, ModelId},
+    kernel::{FencingToken, ModelId},
     std::{
         collections::{BTreeMap, BTreeSet},
         sync::Arc,
@@ -28,7 +28,7 @@
     pub(super) counters: EngineCounters,
     pub(super) exports: BTreeMap<KvHandle, RunId>,
     pub(super) faults: EngineFaults,
-    pub(super) fence_seen: FenceNumber,
+    pub(super) fence_seen: FencingToken,
     pub(super) history: LoadHistory,
     pub(super) ids: BTreeMap<Arc<str>, RunId>,
     pub(super) loading: BTreeSet<ModelId>,
--- a/crates/fake/src/model/engine_counters.rs
+++ b/crates/fake/src/model/engine_counters.rs
@@ -2,7 +2,7 @@
 
 use {
     engine::wire::OrderKind,
-    kernel::FenceNumber,
+    kernel::FencingToken,
     serde::{Deserialize, Serialize},
     serde_with::{DurationMilliSeconds, serde_as},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -15,7 +15,7 @@
     /// Whether it was carried out.
     pub accepted: bool,
     /// Its fencing number.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// What it asked for.
     pub kind: OrderKind,
     /// When it came, since the engine started.
--- a/crates/fake/src/net/stand_in_server.rs
+++ b/crates/fake/src/net/stand_in_server.rs
@@ -13,7 +13,7 @@
         rt::{TokioIo, TokioTimer},
         service::TowerToHyperService,
     },
-    kernel::CloseSignal,
+    kernel::ShutdownSignal,
     snafu::ResultExt,
     std::{
         net::SocketAddr,
@@ -31,7 +31,7 @@
 pub(crate) struct StandInServer {
     address: SocketAddr,
     connections: Arc<Mutex<CancellationToken>>,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     tracker: TaskTracker,
 }
 
@@ -63,7 +63,7 @@
         let server = Self {
             address: listener.local_addr().context(BindSnafu { address })?,
             connections: Arc::default(),
-            signal: CloseSignal::new(),
+            signal: ShutdownSignal::new(),
             tracker: TaskTracker::new(),
         };
         Ok((server, listener))
--- a/crates/flow/src/cell_driver.rs
+++ b/crates/flow/src/cell_driver.rs
@@ -3,7 +3,7 @@
 use {
     crate::{cell_frame::CellFrame, cell_notice::CellGrant, open_keys::OpenKeys},
     admit::{AdmitAction, AdmitEvent, AdmitPolicy, RequestKey},
-    kernel::{CloseSignal, LockRank, ModelId, RankedLock},
+    kernel::{LockRank, ModelId, RankedLock, ShutdownSignal},
     std::{sync::Arc, time::Instant},
     table::WorkTable,
     tokio::{sync::Notify, time},
@@ -130,7 +130,7 @@
     }
 
     /// Wakes the allocator when it asked for it, until the signal.
-    pub async fn run_timer(&self, signal: CloseSignal) {
+    pub async fn run_timer(&self, signal: ShutdownSignal) {
         loop {
             let wake_at = self.state.lock().wake_at;
             tokio::select! {
--- a/crates/flow/src/cell_table.rs
+++ b/crates/flow/src/cell_table.rs
@@ -7,7 +7,7 @@
         table_board::TableBoard,
     },
     admit::{AdmitEvent, AdmitPolicy},
-    kernel::{CloseSignal, Incarnation, InstanceId, LockRank, ModelId, RankedLock, WorkerPool},
+    kernel::{Incarnation, InstanceId, LockRank, ModelId, RankedLock, ShutdownSignal, WorkerPool},
     std::{
         collections::BTreeMap,
         sync::Arc,
@@ -41,7 +41,7 @@
 /// A cell with the signal that ends its timer.
 struct CellSeat<M: PolicyMaker, S> {
     driver: CellHandle<M, S>,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
 }
 
 /// The cells whose allocator this instance is, by model.
@@ -65,7 +65,7 @@
             self.maker.make(model),
             self.sink.clone(),
         ));
-        let signal = CloseSignal::new();
+        let signal = ShutdownSignal::new();
         let timer = (driver.clone(), signal.clone());
         self.pool
             .spawn(async move { timer.0.run_timer(timer.1).await });
--- a/crates/flow/src/plain_caller.rs
+++ b/crates/flow/src/plain_caller.rs
@@ -11,7 +11,7 @@
     hyper::body::Body,
     kernel::{LockRank, RankedLock, ResultCode, ServiceId, UpstreamId, ZoneId},
     plat::InstanceKind,
-    route::{PlainChoice, RetryBudget},
+    route::{ReplicaSelector, RetryBudget},
     std::{
         collections::{BTreeMap, BTreeSet},
         error::Error,
@@ -34,7 +34,7 @@
 
 /// The replicas of one service as this instance sees them.
 struct ServiceState {
-    choice: PlainChoice,
+    choice: ReplicaSelector,
     known: BTreeSet<UpstreamId>,
 }
 
@@ -148,7 +148,7 @@
         let state = services
             .entry(service.clone())
             .or_insert_with(|| ServiceState {
-                choice: PlainChoice::builder()
+                choice: ReplicaSelector::builder()
                     .back_off(BACK_OFF)
                     .seed(self.seed)
                     .build(),
@@ -249,7 +249,7 @@
         self.with_choice(service, |choice| choice.failed(Instant::now(), upstream));
     }
 
-    fn with_choice(&self, service: &ServiceId, edit: impl FnOnce(&mut PlainChoice)) {
+    fn with_choice(&self, service: &ServiceId, edit: impl FnOnce(&mut ReplicaSelector)) {
         let mut services = self.services.lock();
         let Some(state) = services.get_mut(service) else {
             return;
@@ -265,10 +265,10 @@
             return;
         }
         for upstream in live.difference(&self.known) {
-            self.choice.up(upstream.clone());
+            self.choice.add(upstream.clone());
         }
         for upstream in self.known.difference(live) {
-            self.choice.leaving(upstream);
+            self.choice.mark_leaving(upstream);
         }
         self.known = live.clone();
     }
--- a/crates/flow/src/request_driver.rs
+++ b/crates/flow/src/request_driver.rs
@@ -13,7 +13,7 @@
         CallCause, CallError, ModelEngine, TokenEvent, TokenSource,
         wire::{CompletionCall, KvTransferParams, TokenUsage},
     },
-    kernel::{CloseSignal, ResultCode, UpstreamId},
+    kernel::{ResultCode, ShutdownSignal, UpstreamId},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -32,7 +32,7 @@
     /// Cancels streams.
     pub canceller: StreamCanceller<E>,
     /// Raised when the close limit ends what still runs.
-    pub cut: CloseSignal,
+    pub cut: ShutdownSignal,
     /// The engines' client.
     pub engine: E,
     /// The way to the allocators.
--- a/crates/flow/tests/cell_driver.rs
+++ b/crates/flow/tests/cell_driver.rs
@@ -3,7 +3,7 @@
 use {
     admit::{AdmitAction, AdmitEvent, AdmitPolicy, RequestKey},
     flow::{CellDriver, GrantSink, cell_notice::CellGrant},
-    kernel::{CloseSignal, ModelId},
+    kernel::{ModelId, ShutdownSignal},
     std::{
         sync::{Arc, Mutex, OnceLock},
         time::{Duration, Instant},
@@ -105,7 +105,7 @@
             _ => None,
         }
     });
-    let signal = CloseSignal::new();
+    let signal = ShutdownSignal::new();
     let timer = driver.clone();
     let closing = signal.clone();
     let running = tokio::spawn(async move { timer.run_timer(closing).await });
--- a/crates/kernel/src/ids.rs
+++ b/crates/kernel/src/ids.rs
@@ -25,6 +25,6 @@
 /// The hash of a table's whole content.
 pub type TableDigest = u64;
 /// The fencing number of a lease; a later lease has a greater number.
-pub type FenceNumber = u64;
+pub type FencingToken = u64;
 /// The hash of one block of a prompt's prefix, chained over all blocks before it.
 pub type BlockHash = u64;
--- a/crates/kernel/src/close_signal.rs
+++ b/crates/kernel/src/shutdown_signal.rs
@@ -4,11 +4,11 @@
 
 /// Tells every part that the process is closing. Clones share one signal.
 #[derive(Clone, Debug, Default)]
-pub struct CloseSignal {
+pub struct ShutdownSignal {
     token: CancellationToken,
 }
 
-impl CloseSignal {
+impl ShutdownSignal {
     /// Whether the signal was raised.
     pub fn is_raised(&self) -> bool {
         self.token.is_cancelled()
--- a/crates/kernel/src/worker_pool.rs
+++ b/crates/kernel/src/worker_pool.rs
@@ -1,7 +1,7 @@
 //! The pool of workers that carries a process's background work, closed as one.
 
 use {
-    crate::close_signal::CloseSignal,
+    crate::shutdown_signal::ShutdownSignal,
     std::{future::Future, time::Duration},
     tokio_util::task::TaskTracker,
 };
@@ -9,7 +9,7 @@
 /// Runs background tasks until the close signal; closing waits for them.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerPool {
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     tracker: TaskTracker,
 }
 
@@ -29,7 +29,7 @@
     }
 
     /// The signal that the workers watch.
-    pub fn signal(&self) -> CloseSignal {
+    pub fn signal(&self) -> ShutdownSignal {
         self.signal.clone()
     }
 
--- a/crates/lease/src/lease_core.rs
+++ b/crates/lease/src/lease_core.rs
@@ -2,13 +2,13 @@
 
 use {
     crate::{lease_hold::LeaseHold, lease_record::LeaseRecord, lease_settings::LeaseSettings},
-    kernel::FenceNumber,
+    kernel::FencingToken,
     plat::{RowCondition, RowWrite, StoredRow, Transaction, TransactionReply},
     std::{sync::Arc, time::Instant},
 };
 
 /// Below the first fencing number of a lease.
-const NO_FENCE: FenceNumber = 0;
+const NO_FENCE: FencingToken = 0;
 /// Writes without an answer that are remembered, the youngest ones.
 const PENDING_LIMIT: usize = 8;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
     /// An upstream refused an order: it has seen this greater fencing number.
-    FenceRefused(FenceNumber),
+    FenceRefused(FencingToken),
     /// The platform gave no answer; a write may have taken effect, or may still.
     NoAnswer,
     /// The row was read.
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
-    fence: FenceNumber,
+    fence: FencingToken,
     sent: Instant,
     unchecked_from: Instant,
     version: u64,
@@ -75,7 +75,7 @@
 /// wait for its whole life, and a little more, from when they first saw the row as it is. No wall clock has a say.
 #[derive(Debug)]
 pub struct LeaseCore {
-    fence_floor: FenceNumber,
+    fence_floor: FencingToken,
     pending: Vec<PendingWrite>,
     phase: LeasePhase,
     settings: LeaseSettings,
@@ -138,7 +138,7 @@
         &mut self,
         now: Instant,
         version: u64,
-        fence: FenceNumber,
+        fence: FencingToken,
         unchecked_from: Instant,
     ) -> LeaseAction {
         let next = fence.max(self.fence_floor) + 1;
@@ -149,7 +149,7 @@
         &mut self,
         now: Instant,
         version: u64,
-        fence: FenceNumber,
+        fence: FencingToken,
         unchecked_from: Instant,
     ) -> LeaseAction {
         let write = self.next_write();
@@ -166,7 +166,7 @@
     fn commit(
         &self,
         version: u64,
-        fence: FenceNumber,
+        fence: FencingToken,
         holder: Option<Arc<str>>,
         write: u64,
     ) -> LeaseAction {
--- a/crates/lease/src/lease_error.rs
+++ b/crates/lease/src/lease_error.rs
@@ -1,6 +1,6 @@
 //! Why an order was not carried out.
 
-use {kernel::FenceNumber, kernel::UpstreamId, snafu::Snafu, std::time::Duration};
+use {kernel::FencingToken, kernel::UpstreamId, snafu::Snafu, std::time::Duration};
 
 /// An error of this crate.
 #[derive(Debug, PartialEq, Snafu)]
@@ -12,9 +12,9 @@
     ))]
     FenceRefused {
         /// The number of the order.
-        fence: FenceNumber,
+        fence: FencingToken,
         /// The greatest number that the upstream has seen.
-        seen: FenceNumber,
+        seen: FencingToken,
         /// The upstream.
         upstream: UpstreamId,
     },
--- a/crates/lease/src/lease_keeper.rs
+++ b/crates/lease/src/lease_keeper.rs
@@ -12,7 +12,7 @@
         order_sender::{OrderReply, OrderSender},
     },
     engine::wire::{EngineOrder, OrderKind},
-    kernel::{FenceNumber, LockRank, RankedLock, UpstreamId, steady_clock},
+    kernel::{FencingToken, LockRank, RankedLock, UpstreamId, steady_clock},
     plat::RowStore,
     std::sync::Arc,
 };
@@ -128,7 +128,7 @@
         &self,
         upstream: &UpstreamId,
         checks_fence: bool,
-    ) -> Result<FenceNumber, LeaseError> {
+    ) -> Result<FencingToken, LeaseError> {
         let mut state = self.state.lock();
         let now = steady_clock::now();
         let hold = state.core.hold(now);
--- a/crates/lease/src/lease_record.rs
+++ b/crates/lease/src/lease_record.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::clock_drift::stretched,
-    kernel::FenceNumber,
+    kernel::FencingToken,
     serde::{Deserialize, Serialize},
     serde_with::{DurationMilliSeconds, serde_as},
     std::{sync::Arc, time::Duration},
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRecord {
     /// The fencing number: it grows with each holder, and is never reset.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// Who holds it; none after a release.
     pub holder: Option<Arc<str>>,
     /// How long it lasts from its last write.
--- a/crates/lease/src/order_gate.rs
+++ b/crates/lease/src/order_gate.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{clock_drift::stretched, lease_hold::LeaseHold},
-    kernel::{FenceNumber, UpstreamId},
+    kernel::{FencingToken, UpstreamId},
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
@@ -15,7 +15,7 @@
     /// The lease is not held: [`LeaseLost`](kernel::ResultCode::LeaseLost).
     Lost,
     /// Send it now, with this number, and tell the gate what became of it.
-    Send(FenceNumber),
+    Send(FencingToken),
     /// An earlier order may be at work until then.
     Wait(Instant),
 }
--- a/crates/lease/src/order_sender.rs
+++ b/crates/lease/src/order_sender.rs
@@ -2,7 +2,7 @@
 
 use {
     engine::wire::EngineOrder,
-    kernel::{FenceNumber, UpstreamId},
+    kernel::{FencingToken, UpstreamId},
     std::future::Future,
 };
 
@@ -12,7 +12,7 @@
     /// It is carried out, all its effects included.
     Done,
     /// It was refused: the upstream has seen this greater fencing number.
-    Fenced(FenceNumber),
+    Fenced(FencingToken),
     /// It was refused for another reason, and has no effect.
     Refused,
     /// No answer: it may take effect yet, for as long as the longest order.
--- a/crates/peer/src/driver_task.rs
+++ b/crates/peer/src/driver_task.rs
@@ -19,7 +19,7 @@
     },
     arc_swap::ArcSwap,
     bytes::Bytes,
-    kernel::{CloseSignal, Incarnation, InstanceId, TableVersion, unix_time},
+    kernel::{Incarnation, InstanceId, ShutdownSignal, TableVersion, unix_time},
     std::{
         sync::Arc,
         time::{Instant, SystemTime},
@@ -35,7 +35,7 @@
     pub(crate) metrics: MemberMetrics,
     pub(crate) news: broadcast::Sender<MemberNews>,
     pub(crate) own_commands: mpsc::UnboundedSender<MemberEvent>,
-    pub(crate) signal: CloseSignal,
+    pub(crate) signal: ShutdownSignal,
     pub(crate) source: Arc<S>,
     pub(crate) table: MemberTable,
     pub(crate) view: Arc<ArcSwap<MemberView>>,
--- a/crates/policy/src/part_table.rs
+++ b/crates/policy/src/cache_index.rs
@@ -20,7 +20,7 @@
 
 /// The parts that engines listed.
 #[derive(Clone, Debug, Default)]
-pub struct PartTable {
+pub struct CacheIndex {
     lists: BTreeMap<UpstreamId, PartList>,
 }
 
@@ -30,7 +30,7 @@
     parts: BTreeSet<Arc<str>>,
 }
 
-impl PartTable {
+impl CacheIndex {
     /// The engines that listed a part.
     pub fn holders(&self, part: &str, now: Instant) -> Vec<UpstreamId> {
         let fresh = self.lists.iter().filter(|(_, list)| list.is_fresh(now));
@@ -39,7 +39,7 @@
     }
 
     /// Whether the list of an engine has to be asked for.
-    pub fn is_due(&self, engine: &UpstreamId, now: Instant) -> bool {
+    pub fn needs_refresh(&self, engine: &UpstreamId, now: Instant) -> bool {
         !self
             .lists
             .get(engine)
--- a/crates/policy/src/crash_table.rs
+++ b/crates/policy/src/crash_table.rs
@@ -38,7 +38,7 @@
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// How long it stays.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The upstreams that ended under it.
     pub upstreams: Vec<UpstreamId>,
 }
@@ -76,9 +76,13 @@
     }
 
     /// How long a request stays in quarantine; none when it may run.
-    pub fn held(&self, fingerprint: &RequestFingerprint, now: Instant) -> Option<Duration> {
+    pub fn quarantine_left(
+        &self,
+        fingerprint: &RequestFingerprint,
+        now: Instant,
+    ) -> Option<Duration> {
         let entry = self.requests.get(fingerprint)?;
-        entry.held(self.life, now)
+        entry.quarantine_left(self.life, now)
     }
 
     /// Whether nothing is known against any request.
@@ -98,12 +102,12 @@
     pub fn rows(&self, now: Instant) -> Vec<QuarantineRow> {
         let mut rows = Vec::new();
         for (fingerprint, entry) in &self.requests {
-            let Some(left) = entry.held(self.life, now) else {
+            let Some(left) = entry.quarantine_left(self.life, now) else {
                 continue;
             };
             rows.push(QuarantineRow {
                 fingerprint: *fingerprint,
-                left,
+                remaining: left,
                 upstreams: entry.ends.keys().cloned().collect(),
             });
         }
@@ -111,7 +115,7 @@
     }
 
     /// Takes a report in that was made at `since`; whether it tells anything new.
-    pub fn take(&mut self, report: &CrashReport, since: Instant, now: Instant) -> bool {
+    pub fn merge(&mut self, report: &CrashReport, since: Instant, now: Instant) -> bool {
         if now.saturating_duration_since(since) >= self.life {
             return false;
         }
@@ -158,7 +162,7 @@
 
 impl CrashEntry {
     /// How long the ends that are not too old yet are enough.
-    fn held(&self, life: Duration, now: Instant) -> Option<Duration> {
+    fn quarantine_left(&self, life: Duration, now: Instant) -> Option<Duration> {
         let mut ends: Vec<UpstreamEnd> = self.ends.values().copied().collect();
         // The latest first: the quarantine lasts as long as the one that completes it counts.
         ends.sort_by_key(|end| std::cmp::Reverse(end.since));
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,59 +4,59 @@
 //! No I/O, no clock and no task: times are passed in, and the same inputs give the same decision. `relay` moves the bytes
 //! and asks this crate.
 
+pub mod cache_index;
 pub mod caller_key;
-pub mod closed_spell;
 pub mod crash_report;
 pub mod crash_table;
 pub mod customer_limit;
 pub mod loss_table;
-pub mod part_table;
-pub mod place_pace;
+pub mod prefill_estimate;
 pub mod quota_bucket;
 pub mod quota_rule;
 pub mod quota_table;
-pub mod read_pace;
+pub mod refusal_cooldown;
+mod remote_usage;
 pub mod repeat_rule;
 pub mod request_fingerprint;
 pub mod retry_window;
-pub mod stage_plan;
+pub mod slot_hold_time;
+pub mod stage_planner;
 pub mod stage_pressure;
-pub mod store_moment;
-pub mod stream_tries;
+pub mod store_clock;
+pub mod stream_attempts;
 pub mod table_age;
 pub mod upstream_entry;
 pub mod upstream_record;
 pub mod upstream_table;
-pub mod use_ledger;
-pub mod use_rate;
-mod use_source;
+pub mod usage_ledger;
+pub mod usage_rate;
 pub mod zone_refusals;
 
 pub use {
+    cache_index::CacheIndex,
     caller_key::{CallerKey, KeyDigest, KeyHasher, KeySalt},
-    closed_spell::ClosedSpell,
     crash_report::{AgedReport, CrashMark, CrashReport},
     crash_table::{CrashTable, QuarantineRow},
     customer_limit::{CustomerLimit, QuotaUnit},
-    loss_table::{LossStep, LossTable, LostRun, UpstreamReach},
-    part_table::PartTable,
-    place_pace::PlacePace,
-    quota_bucket::{QuotaBucket, QuotaNews, QuotaView},
+    loss_table::{LossAction, LossTable, LostRun, ProbeOutcome},
+    prefill_estimate::PrefillEstimate,
+    quota_bucket::{QuotaBucket, QuotaSync, QuotaView},
     quota_rule::QuotaRule,
     quota_table::{QuotaRefusal, QuotaRow, QuotaTable},
-    read_pace::ReadPace,
+    refusal_cooldown::RefusalCooldown,
     repeat_rule::RepeatRule,
     request_fingerprint::{FingerprintParts, RequestFingerprint},
     retry_window::{RetryBounds, RetryWindow},
-    stage_plan::{StageGoal, StageMove, StagePlan},
+    slot_hold_time::SlotHoldTime,
+    stage_planner::{StageChange, StageGoal, StagePlanner},
     stage_pressure::StagePressure,
-    store_moment::StoreMoment,
-    stream_tries::{StreamTries, TryEnd},
+    store_clock::StoreClock,
+    stream_attempts::{AttemptEnd, StreamAttempts},
     table_age::TableAge,
     upstream_entry::{CallVerdict, UpstreamEntry},
     upstream_record::{UpstreamRecord, UpstreamStage},
-    upstream_table::{ChoiceQuery, ReaderChoice, UpstreamTable},
-    use_ledger::{UseLedger, UseRow, UseTeller, UseTotals},
-    use_rate::UseRate,
+    upstream_table::{ChoiceQuery, PrefillChoice, UpstreamTable},
+    usage_ledger::{UsageLedger, UsageReporter, UsageRow, UsageTotals},
+    usage_rate::UsageRate,
     zone_refusals::ZoneRefusals,
 };
--- a/crates/policy/src/loss_table.rs
+++ b/crates/policy/src/loss_table.rs
@@ -31,24 +31,24 @@
 
 /// What to do about a loss.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum LossStep {
+pub enum LossAction {
     /// The upstream is known to have ended.
-    Ended(CrashReport),
+    Report(CrashReport),
     /// Find out whether the upstream ended.
-    Examine,
+    Probe,
     /// It is being found out.
-    Wait,
+    AwaitProbe,
 }
 
 /// What an upstream does with a new connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UpstreamReach {
+pub enum ProbeOutcome {
     /// It takes it.
-    Answers,
+    Accepted,
     /// Nobody listens there any more.
-    Refuses,
+    Refused,
     /// Nothing came back: it may be out of reach.
-    Silent,
+    NoAnswer,
 }
 
 /// The losses by upstream.
@@ -66,8 +66,8 @@
 
 impl LossTable {
     /// An upstream was examined; gives a report of each run that it lost if it has ended.
-    pub fn examined(&mut self, upstream: &UpstreamId, reach: UpstreamReach) -> Vec<CrashReport> {
-        if reach != UpstreamReach::Refuses {
+    pub fn note_probe(&mut self, upstream: &UpstreamId, reach: ProbeOutcome) -> Vec<CrashReport> {
+        if reach != ProbeOutcome::Refused {
             self.losses.remove(upstream);
             return Vec::new();
         }
@@ -80,7 +80,7 @@
     }
 
     /// A run was lost.
-    pub fn note(&mut self, upstream: &UpstreamId, run: LostRun, now: Instant) -> LossStep {
+    pub fn note(&mut self, upstream: &UpstreamId, run: LostRun, now: Instant) -> LossAction {
         self.losses
             .retain(|_, losses| now.saturating_duration_since(losses.since) < MEMORY);
         let Some(losses) = self.losses.get_mut(upstream) else {
@@ -90,23 +90,23 @@
                 since: now,
             };
             self.losses.insert(upstream.clone(), losses);
-            return LossStep::Examine;
+            return LossAction::Probe;
         };
         if losses.has_ended {
-            return LossStep::Ended(report(upstream, &run));
+            return LossAction::Report(report(upstream, &run));
         }
         losses.runs.push(run);
-        LossStep::Wait
+        LossAction::AwaitProbe
     }
 }
 
-impl UpstreamReach {
+impl ProbeOutcome {
     /// The word for it in metrics and logs.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Answers => "answers",
-            Self::Refuses => "ended",
-            Self::Silent => "silent",
+            Self::Accepted => "answers",
+            Self::Refused => "ended",
+            Self::NoAnswer => "silent",
         }
     }
 }
--- a/crates/policy/src/read_pace.rs
+++ b/crates/policy/src/prefill_estimate.rs
@@ -13,7 +13,7 @@
 
 /// The pace of one engine.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadPace {
+pub struct PrefillEstimate {
     /// Seconds for a token.
     pace: f64,
     /// Seconds that the last reading waited for the work of other instances.
@@ -21,15 +21,15 @@
     wait_at: Instant,
 }
 
-impl ReadPace {
+impl PrefillEstimate {
     /// How long the engine takes for so many tokens when nothing else waits there.
-    pub fn alone(&self, tokens: u64) -> Duration {
+    pub fn unqueued(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(self.pace * tokens as f64)
     }
 
     /// How long a reading is expected to take, given the tokens of this instance that are to be read there, its own
     /// included.
-    pub fn expect(&self, tokens: u64, now: Instant) -> Duration {
+    pub fn expected(&self, tokens: u64, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.wait_at);
         let left = 0.5_f64.powf(age.as_secs_f64() / WAIT_HALF_LIFE.as_secs_f64());
         Duration::from_secs_f64(self.pace * tokens as f64 + self.wait * left)
--- a/crates/policy/src/quota_rule.rs
+++ b/crates/policy/src/quota_rule.rs
@@ -21,18 +21,19 @@
 impl QuotaRule {
     /// The most that the bucket of a customer holds, units: its burst, and what may be used beyond the limit but for what
     /// instances use blindly. Small customers gain most: a few large requests at a moment are more than their bursts.
-    pub fn depth(&self, limit: &CustomerLimit) -> f64 {
-        let beyond = self.most(limit) - self.usual(limit) - limit.rate * BLIND_SPAN;
+    pub fn capacity(&self, limit: &CustomerLimit) -> f64 {
+        let beyond =
+            self.window_limit(limit) - self.base_allowance(limit) - limit.rate * BLIND_SPAN;
         limit.burst + beyond.max(0.0)
     }
 
     /// The most that may be used in one window, units.
-    pub fn most(&self, limit: &CustomerLimit) -> f64 {
-        self.usual(limit) * (1.0 + self.overage) + self.slack
+    pub fn window_limit(&self, limit: &CustomerLimit) -> f64 {
+        self.base_allowance(limit) * (1.0 + self.overage) + self.slack
     }
 
     /// What rate and burst give in one window, units.
-    fn usual(&self, limit: &CustomerLimit) -> f64 {
+    fn base_allowance(&self, limit: &CustomerLimit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 }
--- a/crates/policy/src/quota_table.rs
+++ b/crates/policy/src/quota_table.rs
@@ -1,14 +1,14 @@
 //! Whether a request fits into its customer's quota, as one instance decides it. No I/O and no clock.
 //!
 //! Answers a customer that sends several times its rate through many instances at once, each of which sees a small part. All
-//! instances tell what they use ([`UseLedger`](crate::UseLedger)), once a second while there is room and more often
+//! instances tell what they use ([`UsageLedger`](crate::UsageLedger)), once a second while there is room and more often
 //! while there is little; in between each takes others to go on as they did. A bucket that was overdrawn in between is
 //! refilled before it gives again. So what all use in a window stays within what operators allow beyond rate and burst, but
 //! for one in some 4,000 random runs; and what fits is given: on days with cuts and restarts of all 92 in 100 at 90
 //! instances, where equal parts give 11.
 
 use {
-    crate::{CustomerLimit, QuotaBucket, QuotaNews, QuotaRule, QuotaView, UseTotals},
+    crate::{CustomerLimit, QuotaBucket, QuotaRule, QuotaSync, QuotaView, UsageTotals},
     kernel::CustomerId,
     std::{
         collections::BTreeMap,
@@ -31,7 +31,7 @@
     /// What the request takes, units.
     pub cost: u64,
     /// What is in the bucket, units.
-    pub room: f64,
+    pub balance: f64,
     /// When there is expected to be room for it.
     pub wait: Duration,
 }
@@ -44,9 +44,9 @@
     /// The limit.
     pub limit: CustomerLimit,
     /// What this life of the instance has used, units.
-    pub own: i64,
+    pub own_usage: i64,
     /// What is in the bucket, units.
-    pub room: f64,
+    pub balance: f64,
 }
 
 /// The buckets of all customers with a limit.
@@ -63,7 +63,7 @@
     /// What a request took is given back: it did not run.
     pub fn give_back(&mut self, customer: &CustomerId, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
-            bucket.own -= signed(cost);
+            bucket.own_usage -= signed(cost);
         }
     }
 
@@ -80,24 +80,24 @@
             buckets: BTreeMap::new(),
             unsettled: born,
             view: QuotaView {
-                news: match is_alone {
-                    true => QuotaNews::Alone,
-                    false => QuotaNews::Never,
+                sync: match is_alone {
+                    true => QuotaSync::Standalone,
+                    false => QuotaSync::Unsynced,
                 },
-                reach: 1.0,
+                coverage: 1.0,
                 rule,
             },
         }
     }
 
     /// The instance has heard what all others have used.
-    pub fn note_heard(&mut self, now: Instant) {
-        self.view.news = QuotaNews::Heard(now);
+    pub fn note_synced(&mut self, now: Instant) {
+        self.view.sync = QuotaSync::Synced(now);
     }
 
     /// What others have used since this life began to hear of it, by customer, and what they are taken to have used beyond
     /// that; customers that are not named stay as they are.
-    pub fn note_others(&mut self, totals: &UseTotals, assumed: &UseTotals, now: Instant) {
+    pub fn note_others(&mut self, totals: &UsageTotals, assumed: &UsageTotals, now: Instant) {
         let view = self.view;
         for (customer, total) in totals {
             if let Some(bucket) = self.buckets.get_mut(customer) {
@@ -109,13 +109,18 @@
 
     /// What was in the buckets of another instance, by what was told, after it knew what this one had used, `own`. All go by
     /// one instance: errors of one's own view would stay for as long as a bucket is not full.
-    pub fn follow_rooms(&mut self, rooms: &UseTotals, own: &UseTotals, now: Instant) {
-        for (customer, room) in rooms {
+    pub fn follow_balances(
+        &mut self,
+        balances: &UsageTotals,
+        own_usage: &UsageTotals,
+        now: Instant,
+    ) {
+        for (customer, balance) in balances {
             let Some(bucket) = self.buckets.get_mut(customer) else {
                 continue;
             };
-            let before = own.get(customer).copied().unwrap_or_default();
-            bucket.follow((room - (bucket.own - before)) as f64, now);
+            let before = own_usage.get(customer).copied().unwrap_or_default();
+            bucket.follow_balance((balance - (bucket.own_usage - before)) as f64, now);
         }
     }
 
@@ -125,33 +130,33 @@
     }
 
     /// From now on the instance adds up for others: what it was told until now may be a second old.
-    pub fn note_first(&mut self, now: Instant) {
+    pub fn start_aggregating(&mut self, now: Instant) {
         self.unsettled = now;
     }
 
     /// What is in the buckets by the view of another instance. A young one goes by those that are overdrawn: it does not
     /// know of that, and would give what others are still refilling.
-    pub fn note_rooms(&mut self, rooms: &UseTotals, now: Instant) {
+    pub fn cap_balances(&mut self, balances: &UsageTotals, now: Instant) {
         if self.is_settled(now) {
             return;
         }
         let view = self.view;
-        let overdrawn = rooms.iter().filter(|(_, room)| **room < 0);
-        for (customer, room) in overdrawn {
+        let overdrawn = balances.iter().filter(|(_, balance)| **balance < 0);
+        for (customer, balance) in overdrawn {
             if let Some(bucket) = self.buckets.get_mut(customer) {
-                bucket.limit_room(*room as f64, &view, now);
+                bucket.cap_balance(*balance as f64, &view, now);
             }
         }
     }
 
     /// What this life of the instance has used, by customer.
-    pub fn own(&self) -> impl Iterator<Item = (&CustomerId, i64)> {
+    pub fn own_usage(&self) -> impl Iterator<Item = (&CustomerId, i64)> {
         let buckets = self.buckets.iter();
-        buckets.map(|(customer, bucket)| (customer, bucket.own))
+        buckets.map(|(customer, bucket)| (customer, bucket.own_usage))
     }
 
     /// The customers whose requests come in while their buckets are well below full.
-    pub fn pressed(&self, now: Instant) -> Vec<CustomerId> {
+    pub fn scarce_customers(&self, now: Instant) -> Vec<CustomerId> {
         let used = self
             .buckets
             .iter()
@@ -161,32 +166,32 @@
     }
 
     /// What is in the buckets that are well below full, units.
-    pub fn low_rooms(&self, now: Instant) -> UseTotals {
+    pub fn low_balances(&self, now: Instant) -> UsageTotals {
         let low = self
             .buckets
             .iter()
             .filter(|(_, bucket)| self.is_low(bucket, now));
-        let rooms = low.map(|(customer, bucket)| {
-            let room = bucket.room(&self.view, now);
-            (customer.clone(), room as i64)
+        let balances = low.map(|(customer, bucket)| {
+            let balance = bucket.balance(&self.view, now);
+            (customer.clone(), balance as i64)
         });
-        rooms.collect()
+        balances.collect()
     }
 
     /// The part of the zones that is heard of.
-    pub fn reach(&self) -> f64 {
-        self.view.reach
+    pub fn coverage(&self) -> f64 {
+        self.view.coverage
     }
 
     /// What is in the bucket of a customer by what was told, units.
-    pub fn told_room(&self, customer: &str, now: Instant) -> Option<f64> {
-        Some(self.buckets.get(customer)?.told_room(now))
+    pub fn reported_balance(&self, customer: &str, now: Instant) -> Option<f64> {
+        Some(self.buckets.get(customer)?.reported_balance(now))
     }
 
     /// What is in the bucket of a customer, units.
-    pub fn room(&self, customer: &str, now: Instant) -> Option<f64> {
+    pub fn balance(&self, customer: &str, now: Instant) -> Option<f64> {
         let bucket = self.buckets.get(customer)?;
-        Some(bucket.room(&self.view, now))
+        Some(bucket.balance(&self.view, now))
     }
 
     /// All buckets.
@@ -195,8 +200,8 @@
         let rows = buckets.map(|(customer, bucket)| QuotaRow {
             customer: customer.clone(),
             limit: bucket.limit,
-            own: bucket.own,
-            room: bucket.room(&self.view, now),
+            own_usage: bucket.own_usage,
+            balance: bucket.balance(&self.view, now),
         });
         rows.collect()
     }
@@ -219,8 +224,8 @@
     }
 
     /// This part of the zones is heard of.
-    pub fn set_reach(&mut self, reach: f64) {
-        self.view.reach = reach;
+    pub fn set_coverage(&mut self, coverage: f64) {
+        self.view.coverage = coverage;
     }
 
     /// The operators allow this beyond limits.
@@ -245,24 +250,24 @@
         let bucket = bucket.or_insert_with(|| QuotaBucket::new(*limit, self.born));
         bucket.note_use(now);
         bucket.settle(&self.view, now);
-        let need = (cost as f64).min(bucket.depth(&self.view, now));
-        let room = bucket.room(&self.view, now);
-        if room >= need {
-            bucket.own += signed(cost);
+        let need = (cost as f64).min(bucket.capacity(&self.view, now));
+        let balance = bucket.balance(&self.view, now);
+        if balance >= need {
+            bucket.own_usage += signed(cost);
             return Ok(cost);
         }
-        let wait = bucket.wait(need - room, &self.view, now);
+        let wait = bucket.wait(need - balance, &self.view, now);
         Err(QuotaRefusal {
             cost,
-            room,
+            balance,
             wait: wait.max(LEAST_WAIT),
         })
     }
 
     fn is_low(&self, bucket: &QuotaBucket, now: Instant) -> bool {
-        let depth = bucket.depth(&self.view, now);
-        bucket.untold() as f64 > depth * UNTOLD_PART
-            || bucket.room(&self.view, now) < depth * PRESSED_PART
+        let capacity = bucket.capacity(&self.view, now);
+        bucket.unreported() as f64 > capacity * UNTOLD_PART
+            || bucket.balance(&self.view, now) < capacity * PRESSED_PART
     }
 }
 
--- a/crates/policy/src/closed_spell.rs
+++ b/crates/policy/src/refusal_cooldown.rs
@@ -18,15 +18,15 @@
 
 /// What one engine has done with requests for which it had reserved a place.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ClosedSpell {
+pub struct RefusalCooldown {
     doubt: u32,
     span: Duration,
     until: Option<Instant>,
 }
 
-impl ClosedSpell {
+impl RefusalCooldown {
     /// Whether the engine is to be left alone.
-    pub fn holds(&self, now: Instant) -> bool {
+    pub fn is_active(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
@@ -37,12 +37,12 @@
 
     /// The engine turned a request away from a place that it had reserved; `has_kv` when the request counted on a KV
     /// cache that may have lapsed.
-    pub fn note_turned_away(&mut self, has_kv: bool, now: Instant) {
+    pub fn note_refusal(&mut self, has_kv: bool, now: Instant) {
         self.doubt += match has_kv {
             true => 1,
             false => ENOUGH_DOUBT,
         };
-        if self.doubt < ENOUGH_DOUBT || self.holds(now) {
+        if self.doubt < ENOUGH_DOUBT || self.is_active(now) {
             return;
         }
         self.span = (self.span * 2).clamp(FIRST_SPELL, LONGEST_SPELL);
--- a/crates/policy/src/use_source.rs
+++ b/crates/policy/src/remote_usage.rs
@@ -1,7 +1,7 @@
 //! Those that tell an instance what others have used, and what is assumed while they are silent.
 
 use {
-    crate::{UseRate, UseTotals},
+    crate::{UsageRate, UsageTotals},
     kernel::CustomerId,
     std::{
         collections::BTreeMap,
@@ -18,26 +18,26 @@
 
 /// One that tells what others have used.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UseSource {
+pub(crate) struct RemoteUsage {
     pub(crate) heard: Option<Instant>,
-    pub(crate) rates: BTreeMap<CustomerId, UseRate>,
+    pub(crate) rates: BTreeMap<CustomerId, UsageRate>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ZoneRow {
+pub(crate) struct ZoneUsage {
     /// What it is taken to have used since it was last heard, beyond what was counted.
     pub(crate) assumed: BTreeMap<CustomerId, f64>,
     pub(crate) assumed_until: Option<Instant>,
     /// What was counted for it while it was cut off.
-    pub(crate) counted: UseTotals,
+    pub(crate) counted: UsageTotals,
     /// Whether its first instance gave no answer when it was asked last.
     pub(crate) is_silent: bool,
     /// What part of the use of all it had when it was heard last.
     pub(crate) parts: BTreeMap<CustomerId, f64>,
-    pub(crate) source: UseSource,
+    pub(crate) source: RemoteUsage,
 }
 
-impl UseSource {
+impl RemoteUsage {
     /// What is used of a customer's quota a second, usually.
     pub(crate) fn rate(&self, customer: &CustomerId) -> f64 {
         let rate = self.rates.get(customer);
@@ -45,7 +45,7 @@
     }
 
     /// What was used since it was heard last. While nobody can tell, since another instance is asked now, what is usual.
-    pub(crate) fn take(&mut self, news: Option<UseTotals>, now: Instant) -> UseTotals {
+    pub(crate) fn take(&mut self, news: Option<UsageTotals>, now: Instant) -> UsageTotals {
         let heard = self.heard.replace(now);
         let span = heard.map(|heard| now.saturating_duration_since(heard));
         let Some(news) = news else {
@@ -67,7 +67,7 @@
     }
 }
 
-impl ZoneRow {
+impl ZoneUsage {
     /// Whether nothing was heard of the zone for long.
     pub(crate) fn is_cut(&self, now: Instant) -> bool {
         let heard = self.source.heard;
--- a/crates/policy/src/place_pace.rs
+++ b/crates/policy/src/slot_hold_time.rs
@@ -13,13 +13,13 @@
 
 /// The mean time from the reservation of a place to the end of its stream.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacePace {
+pub struct SlotHoldTime {
     mean: Duration,
 }
 
-impl PlacePace {
+impl SlotHoldTime {
     /// When a caller that found no place may come back: by then the requests that have the places now have ended.
-    pub fn come_back(&self, request: &str) -> Duration {
+    pub fn retry_after(&self, request: &str) -> Duration {
         let draw = seeded_rng::mix(SPREAD_SEED, request.as_bytes()) as f64 / u64::MAX as f64;
         self.mean.mul_f64(1.0 + COME_BACK_SPREAD * (draw - 0.5))
     }
@@ -37,7 +37,7 @@
     }
 }
 
-impl Default for PlacePace {
+impl Default for SlotHoldTime {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/policy/src/stage_plan.rs
+++ b/crates/policy/src/stage_planner.rs
@@ -27,7 +27,7 @@
 /// Decode engines have room when at most this share of requests finds no place at once.
 const PLACES_ROOMY: f64 = 0.1;
 
-/// The settings of a [`StagePlan`].
+/// The settings of a [`StagePlanner`].
 #[derive(Clone, Debug, PartialEq, bon::Builder)]
 pub struct StageGoal {
     /// How long a stage has to have too few engines before one changes, the same for all instances.
@@ -45,7 +45,7 @@
 
 /// Engines that should change their stage.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StageMove {
+pub struct StageChange {
     /// The engines.
     pub engines: Vec<Arc<UpstreamRecord>>,
     /// The service.
@@ -67,7 +67,7 @@
 
 /// Watches how the engines of one service are shared between the stages.
 #[derive(Debug)]
-pub struct StagePlan {
+pub struct StagePlanner {
     goal: StageGoal,
     /// Whether requests have told of the pressure: from then on an instance that few requests reach knows nothing, and
     /// leaves a surplus to those that do.
@@ -78,7 +78,7 @@
     stagger: Duration,
 }
 
-impl StagePlan {
+impl StagePlanner {
     /// A plan that has seen nothing.
     pub fn new(goal: StageGoal, stagger: Duration) -> Self {
         Self {
@@ -91,7 +91,7 @@
     }
 
     /// A change was ordered, or another instance was seen to order: look again later.
-    pub fn rest(&mut self, now: Instant) {
+    pub fn start_cooldown(&mut self, now: Instant) {
         self.short_since = None;
         self.quiet_until = Some(now + self.goal.pause);
     }
@@ -103,7 +103,7 @@
         engines: &[Arc<UpstreamRecord>],
         pressure: &StagePressure,
         now: Instant,
-    ) -> Option<StageMove> {
+    ) -> Option<StageChange> {
         if self.quiet_until.is_some_and(|until| now < until) {
             return None;
         }
@@ -112,8 +112,8 @@
         let seen = SeenStages {
             decoders: decoders.len(),
             readers: readers.len(),
-            refused: pressure.places(now),
-            waiting: pressure.readings(now),
+            refused: pressure.slot_miss_share(now),
+            waiting: pressure.prefill_wait_share(now),
         };
         self.has_seen |= seen.waiting.is_some();
         let off_goal = self.off_goal(&seen);
@@ -137,7 +137,7 @@
             UpstreamStage::Decode => readers,
             _ => decoders,
         };
-        Some(StageMove {
+        Some(StageChange {
             engines: from_fullest_zones(donors, count),
             service: service.clone(),
             stage,
--- a/crates/policy/src/stage_pressure.rs
+++ b/crates/policy/src/stage_pressure.rs
@@ -36,22 +36,22 @@
 
     /// A request looked for a place, and found one at once or found the engines full. However often it asks after that, it
     /// counts once: a burst would stay in the share for long otherwise.
-    pub fn note_search(&mut self, is_full: bool, now: Instant) {
+    pub fn note_slot_search(&mut self, is_full: bool, now: Instant) {
         self.places.note(is_full, now);
     }
 
     /// A prompt was read in `took`, which its engine would do in `alone`.
-    pub fn note_reading(&mut self, alone: Duration, took: Duration, now: Instant) {
+    pub fn note_prefill(&mut self, alone: Duration, took: Duration, now: Instant) {
         self.readings.note(took > alone.mul_f64(WAITED), now);
     }
 
     /// The share of requests that found no place at once; none while too few were seen.
-    pub fn places(&self, now: Instant) -> Option<f64> {
+    pub fn slot_miss_share(&self, now: Instant) -> Option<f64> {
         self.places.share(now)
     }
 
     /// The share of readings that waited; none while too few were seen.
-    pub fn readings(&self, now: Instant) -> Option<f64> {
+    pub fn prefill_wait_share(&self, now: Instant) -> Option<f64> {
         self.readings.share(now)
     }
 }
--- a/crates/policy/src/store_moment.rs
+++ b/crates/policy/src/store_clock.rs
@@ -17,14 +17,14 @@
 
 /// Translates moments of the store's clock.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreMoment {
+pub struct StoreClock {
     anchor: Option<ClockAnchor>,
 }
 
-impl StoreMoment {
+impl StoreClock {
     /// A moment that was not after the one at which the store gave an answer: to a question of `asked`, received at
     /// `received`, with this reading of its clock. It is never before `asked`.
-    pub fn given(&self, store: Duration, asked: Instant, received: Instant) -> Instant {
+    pub fn answer_time(&self, store: Duration, asked: Instant, received: Instant) -> Instant {
         let Some(anchor) = self.anchor else {
             return asked;
         };
--- a/crates/policy/src/stream_tries.rs
+++ b/crates/policy/src/stream_attempts.rs
@@ -7,13 +7,13 @@
 
 /// How a call of a request ended, as far as further calls depend on it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TryEnd {
+pub enum AttemptEnd {
     /// The request is in quarantine: nothing was sent, and nothing will be.
-    Held,
+    Blocked,
     /// An engine accepted the reading of the prompt.
-    Read,
+    Prefilled,
     /// An engine had the reading and did not do it.
-    ReadRefused,
+    PrefillRefused,
     /// An engine had the request and did not run it.
     Refused,
     /// An engine ran it, or may have run it.
@@ -27,7 +27,7 @@
 /// The service's retry budget pays for each call after the first that reached an engine. The first reading that an engine
 /// accepts is free.
 #[derive(Clone, Copy, Debug)]
-pub struct StreamTries {
+pub struct StreamAttempts {
     /// Calls that count against the retry budget, the first included.
     arrivals: u32,
     has_read: bool,
@@ -41,14 +41,14 @@
     tries: u32,
 }
 
-impl StreamTries {
+impl StreamAttempts {
     /// Whether the request may have run.
     pub fn has_run(&self) -> bool {
         self.runs > 0
     }
 
     /// Whether another engine may be asked, if there is time left.
-    pub fn may_go_on(&self) -> bool {
+    pub fn can_continue(&self) -> bool {
         let may_run =
             self.runs < self.tries && (self.runs == 0 || self.repeat == RepeatRule::Resumable);
         !self.is_spent && may_run && self.refused <= REFUSED_TRIES
@@ -69,30 +69,30 @@
     }
 
     /// A call ended.
-    pub fn note(&mut self, end: TryEnd) {
+    pub fn note(&mut self, end: AttemptEnd) {
         match end {
-            TryEnd::Held => self.is_spent = true,
-            TryEnd::Read => self.has_read = true,
-            TryEnd::ReadRefused => {
+            AttemptEnd::Blocked => self.is_spent = true,
+            AttemptEnd::Prefilled => self.has_read = true,
+            AttemptEnd::PrefillRefused => {
                 self.has_read = true;
                 self.arrivals += 1;
             }
-            TryEnd::Refused => {
+            AttemptEnd::Refused => {
                 self.arrivals += 1;
                 self.refused += 1;
             }
-            TryEnd::Ran => {
+            AttemptEnd::Ran => {
                 self.arrivals += 1;
                 self.runs += 1;
             }
-            TryEnd::Unsent => {}
+            AttemptEnd::Unsent => {}
         }
     }
 
     /// Takes the retry for the next call out of the budget ahead, so that a stream is not left for a call that may not go
     /// out; `false` when there is none.
-    pub fn pay_ahead(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
-        self.is_paid = self.take_call(take_retry);
+    pub fn reserve_retry(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
+        self.is_paid = self.allow_call(take_retry);
         self.is_paid
     }
 
@@ -101,7 +101,7 @@
     /// The first reading is free if it is accepted. A stream that broke may have its prompt read again: a prefill engine
     /// takes half of the time that the decode engine takes, which the caller sees as a pause, and does not slow the streams
     /// that run there. That is a repeated call, and goes out only if the run after it is paid for already.
-    pub fn take_reading(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
+    pub fn allow_prefill(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
         match self.has_read {
             true => self.has_run() && self.is_paid && take_retry(),
             false => true,
@@ -109,7 +109,7 @@
     }
 
     /// Whether a further call may go out: the first may, each later one takes a retry out of the budget.
-    pub fn take_call(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
+    pub fn allow_call(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
         let is_paid = std::mem::take(&mut self.is_paid);
         let may = is_paid || self.arrivals == 0 || take_retry();
         self.is_spent |= !may;
--- a/crates/policy/src/upstream_entry.rs
+++ b/crates/policy/src/upstream_entry.rs
@@ -1,7 +1,7 @@
 //! What an instance knows of one upstream beyond its record.
 
 use {
-    crate::{ClosedSpell, ReadPace, UpstreamRecord, UpstreamStage},
+    crate::{PrefillEstimate, RefusalCooldown, UpstreamRecord, UpstreamStage},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -79,18 +79,18 @@
 #[derive(Clone, Debug)]
 pub struct UpstreamEntry {
     /// Whether it turns requests away from places that it reserved.
-    pub closed: ClosedSpell,
+    pub cooldown: RefusalCooldown,
     failure: f64,
     failure_at: Instant,
     full_until: Option<Instant>,
     /// Since when the list lacks it, while it may still come back.
     pub missing_since: Option<Instant>,
     /// The calls of this instance that are under way.
-    pub open: u32,
+    pub in_flight: u32,
     /// The tokens of the calls of this instance that are under way.
-    pub open_tokens: u64,
+    pub in_flight_tokens: u64,
     /// How fast it reads prompts, as far as this instance has seen.
-    pub pace: ReadPace,
+    pub prefill: PrefillEstimate,
     /// What the list says.
     pub record: Arc<UpstreamRecord>,
 }
@@ -110,14 +110,14 @@
     /// An upstream that nothing is known of yet.
     pub fn new(record: Arc<UpstreamRecord>, now: Instant) -> Self {
         Self {
-            closed: ClosedSpell::default(),
+            cooldown: RefusalCooldown::default(),
             failure: 0.0,
             failure_at: now,
             full_until: None,
             missing_since: None,
-            open: 0,
-            open_tokens: 0,
-            pace: ReadPace::new(now),
+            in_flight: 0,
+            in_flight_tokens: 0,
+            prefill: PrefillEstimate::new(now),
             record,
         }
     }
--- a/crates/policy/src/upstream_table.rs
+++ b/crates/policy/src/upstream_table.rs
@@ -1,7 +1,9 @@
 //! The upstreams that this instance may use, and the choice among them. No I/O and no clock.
 
 use {
-    crate::{CallVerdict, ReadPace, UpstreamEntry, UpstreamRecord, UpstreamStage, ZoneRefusals},
+    crate::{
+        CallVerdict, PrefillEstimate, UpstreamEntry, UpstreamRecord, UpstreamStage, ZoneRefusals,
+    },
     kernel::{ServiceId, UpstreamId, ZoneId, seeded_rng},
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -54,7 +56,7 @@
     /// Engines that hold the KV cache of the prompt: they go first while they are not full, since they need not read it.
     pub holders: &'a [UpstreamId],
     /// Upstreams that a kept connection goes to.
-    pub linked: &'a BTreeSet<UpstreamId>,
+    pub connected: &'a BTreeSet<UpstreamId>,
     /// Breaks ties, so that instances spread their calls.
     pub request: &'a str,
     /// The service.
@@ -67,15 +69,15 @@
 
 /// A prefill engine for a prompt.
 #[derive(Clone, Debug)]
-pub struct ReaderChoice {
+pub struct PrefillChoice {
     /// The tokens of this instance that are to be read there, the prompt's own included.
-    pub ahead: u64,
+    pub queued_tokens: u64,
     /// The time that the choice went by: what is expected, and more for engines that fail or are far.
     pub cost: Duration,
     /// How long the reading is expected to take if nothing of the prompt is held.
     pub expected: Duration,
     /// Whether the engine holds the prompt already, so that the time tells nothing of its pace.
-    pub is_held: bool,
+    pub is_cached: bool,
     /// The engine.
     pub upstream: Arc<UpstreamRecord>,
 }
@@ -87,7 +89,7 @@
     grace_until: Option<Instant>,
     read_at: Option<Instant>,
     /// Whether the list was read at least once.
-    pub known: bool,
+    pub is_loaded: bool,
 }
 
 impl UpstreamTable {
@@ -96,8 +98,8 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
-        entry.open += 1;
-        entry.open_tokens += tokens;
+        entry.in_flight += 1;
+        entry.in_flight_tokens += tokens;
     }
 
     /// The best upstream for a call; none when there is no upstream to try.
@@ -108,7 +110,7 @@
             if !self.may_take(entry, query) {
                 continue;
             }
-            let is_closed = entry.closed.holds(now);
+            let is_closed = entry.cooldown.is_active(now);
             let cost = call_cost(entry, query, now) + refusals.cost(&entry.record.zone);
             let tie = tie_break(query.request, &entry.record.id);
             let better = match &best {
@@ -131,18 +133,18 @@
 
     /// The prefill engine that is expected to be done first with a prompt, and when: one is drawn in each availability zone,
     /// and the best of these is taken.
-    pub fn choose_reader(
+    pub fn choose_prefill(
         &self,
         query: &ChoiceQuery<'_>,
         tokens: u64,
         now: Instant,
-    ) -> Option<ReaderChoice> {
-        let mut drawn: BTreeMap<&ZoneId, (Duration, ReaderChoice)> = BTreeMap::new();
+    ) -> Option<PrefillChoice> {
+        let mut drawn: BTreeMap<&ZoneId, (Duration, PrefillChoice)> = BTreeMap::new();
         for entry in self.entries.values() {
             if !self.may_take(entry, query) {
                 continue;
             }
-            let choice = reader_choice(entry, query, tokens, now);
+            let choice = prefill_choice(entry, query, tokens, now);
             let cost = spread(choice.cost, query.request, &entry.record.id);
             match drawn.get(&entry.record.zone) {
                 Some((least, _)) if *least <= cost => continue,
@@ -164,14 +166,14 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
-        entry.open = entry.open.saturating_sub(1);
-        entry.open_tokens = entry.open_tokens.saturating_sub(tokens);
+        entry.in_flight = entry.in_flight.saturating_sub(1);
+        entry.in_flight_tokens = entry.in_flight_tokens.saturating_sub(tokens);
         entry.note(verdict, now);
         true
     }
 
     /// The list that was taken in last was read at this moment.
-    pub fn date_list(&mut self, read: Instant) {
+    pub fn set_list_time(&mut self, read: Instant) {
         self.read_at = Some(read);
     }
 
@@ -182,36 +184,36 @@
     }
 
     /// A reading ended. Gives the pace of the engine by now, if the list still has it.
-    pub fn note_read(
+    pub fn note_prefill(
         &mut self,
         id: &UpstreamId,
         tokens: u64,
         took: Duration,
         now: Instant,
-    ) -> Option<ReadPace> {
+    ) -> Option<PrefillEstimate> {
         let entry = self.entries.get_mut(id)?;
-        entry.pace.note(tokens, took, now);
-        Some(entry.pace)
+        entry.prefill.note(tokens, took, now);
+        Some(entry.prefill)
     }
 
     /// An engine runs a request for which it had reserved a place.
     pub fn note_run(&mut self, id: &UpstreamId) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.closed.note_run();
+            entry.cooldown.note_run();
         }
     }
 
     /// An engine turned a request away from a place that it had reserved; `has_kv` when the request counted on a KV cache
     /// that may have lapsed.
-    pub fn note_turned_away(&mut self, id: &UpstreamId, has_kv: bool, now: Instant) {
+    pub fn note_refusal(&mut self, id: &UpstreamId, has_kv: bool, now: Instant) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.closed.note_turned_away(has_kv, now);
+            entry.cooldown.note_refusal(has_kv, now);
         }
     }
 
     /// Whether an upstream fails clearly more often than the others of its service. A failure of one that does not is the
     /// request's own: any other upstream would give the same.
-    pub fn stands_out(&self, id: &UpstreamId, now: Instant) -> bool {
+    pub fn is_outlier(&self, id: &UpstreamId, now: Instant) -> bool {
         let Some(entry) = self.entries.get(id) else {
             return false;
         };
@@ -229,7 +231,7 @@
     }
 
     /// Whether new work may go to an upstream now.
-    pub fn takes_work(&self, id: &UpstreamId) -> bool {
+    pub fn accepts_work(&self, id: &UpstreamId) -> bool {
         self.entries
             .get(id)
             .is_some_and(|entry| !entry.record.leaving)
@@ -284,7 +286,7 @@
             entry.missing_since.get_or_insert(now);
             self.entries.insert(id, entry);
         }
-        self.known = true;
+        self.is_loaded = true;
         self.read_at = Some(now);
         gone
     }
@@ -296,7 +298,7 @@
             ..*query
         };
         let mut fit = self.entries.values();
-        fit.any(|entry| self.may_take(entry, &whole) && !entry.closed.holds(now))
+        fit.any(|entry| self.may_take(entry, &whole) && !entry.cooldown.is_active(now))
     }
 
     fn address_taken(&self, missing: &UpstreamEntry) -> bool {
@@ -330,7 +332,7 @@
 }
 
 fn call_cost(entry: &UpstreamEntry, query: &ChoiceQuery<'_>, now: Instant) -> f64 {
-    let mut cost = f64::from(entry.open).max(entry.open_tokens as f64 / TOKENS_A_CALL);
+    let mut cost = f64::from(entry.in_flight).max(entry.in_flight_tokens as f64 / TOKENS_A_CALL);
     if entry.record.zone != *query.zone {
         cost += match query.stage {
             UpstreamStage::Decode => OTHER_ZONE_STREAM_COST,
@@ -343,7 +345,7 @@
     if query.holders.contains(&entry.record.id) {
         cost -= HOLDER_GAIN;
     }
-    if query.linked.contains(&entry.record.id) {
+    if query.connected.contains(&entry.record.id) {
         cost -= LINK_GAIN;
     }
     // Small shares don't reorder upstreams that are alike.
@@ -354,17 +356,17 @@
     cost
 }
 
-fn reader_choice(
+fn prefill_choice(
     entry: &UpstreamEntry,
     query: &ChoiceQuery<'_>,
     tokens: u64,
     now: Instant,
-) -> ReaderChoice {
-    let ahead = entry.open_tokens + tokens;
-    let expected = entry.pace.expect(ahead, now);
-    let is_held = query.holders.contains(&entry.record.id);
-    let needed = match is_held {
-        true => entry.pace.expect(entry.open_tokens, now),
+) -> PrefillChoice {
+    let queued_tokens = entry.in_flight_tokens + tokens;
+    let expected = entry.prefill.expected(queued_tokens, now);
+    let is_cached = query.holders.contains(&entry.record.id);
+    let needed = match is_cached {
+        true => entry.prefill.expected(entry.in_flight_tokens, now),
         false => expected,
     };
     let mut cost = needed + FAILURE_READ.mul_f64(entry.failure_share(now));
@@ -374,11 +376,11 @@
     if entry.record.zone != *query.zone {
         cost += OTHER_ZONE_READ;
     }
-    ReaderChoice {
-        ahead,
+    PrefillChoice {
+        queued_tokens,
         cost,
         expected,
-        is_held,
+        is_cached,
         upstream: entry.record.clone(),
     }
 }
--- a/crates/policy/src/use_ledger.rs
+++ b/crates/policy/src/usage_ledger.rs
@@ -7,8 +7,8 @@
 
 use {
     crate::{
-        UseRate,
-        use_source::{UseSource, ZoneRow},
+        UsageRate,
+        remote_usage::{RemoteUsage, ZoneUsage},
     },
     kernel::{CustomerId, Incarnation, InstanceId, ZoneId},
     serde::{Deserialize, Serialize},
@@ -25,11 +25,11 @@
 const LEAST_RATE: f64 = 1.0;
 
 /// Amounts by customer, units.
-pub type UseTotals = BTreeMap<CustomerId, i64>;
+pub type UsageTotals = BTreeMap<CustomerId, i64>;
 
 /// What one instance tells of one customer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct UseRow {
+pub struct UsageRow {
     /// The customer.
     pub customer: CustomerId,
     /// Of the total, what nobody has confirmed yet, units.
@@ -40,7 +40,7 @@
 
 /// Whose amounts they are.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct UseTeller {
+pub struct UsageReporter {
     /// The instance.
     pub instance: InstanceId,
     /// Its life.
@@ -50,34 +50,34 @@
 #[derive(Clone, Debug, Default)]
 struct TellerRow {
     /// What was counted for it, in all its lives.
-    counted: UseTotals,
+    counted: UsageTotals,
     heard: Option<Instant>,
     life: Incarnation,
     /// What its life told last.
-    told: UseTotals,
+    told: UsageTotals,
 }
 
 /// The sums of one instance.
 #[derive(Clone, Debug, Default)]
-pub struct UseLedger {
+pub struct UsageLedger {
     /// What was counted beyond those that tell this instance.
-    beyond: UseTotals,
+    beyond: UsageTotals,
     /// Of the own totals, what somebody has confirmed.
-    confirmed: UseTotals,
+    confirmed: UsageTotals,
     /// The instance that is asked, whichever it is.
-    first: UseSource,
+    first: RemoteUsage,
     /// What the instance and those that tell it had used at a moment.
-    own_before: Option<(Instant, UseTotals)>,
-    own_rates: BTreeMap<CustomerId, UseRate>,
+    own_before: Option<(Instant, UsageTotals)>,
+    own_rates: BTreeMap<CustomerId, UsageRate>,
     /// What others last told of what is beyond, by instance and life.
-    streams: BTreeMap<InstanceId, (Incarnation, UseTotals)>,
+    streams: BTreeMap<InstanceId, (Incarnation, UsageTotals)>,
     tellers: BTreeMap<InstanceId, TellerRow>,
     /// What those that tell this instance have used.
-    within: UseTotals,
-    zones: BTreeMap<ZoneId, ZoneRow>,
+    within: UsageTotals,
+    zones: BTreeMap<ZoneId, ZoneUsage>,
 }
 
-impl UseLedger {
+impl UsageLedger {
     /// Takes other zones to have used until now what is usual there. Those that are cut off are taken to use their parts of
     /// the limits' rates (units a second), which they go by themselves then. What a zone tells later takes the place of it.
     pub fn assume(&mut self, limits: &BTreeMap<CustomerId, f64>, now: Instant) {
@@ -106,7 +106,7 @@
     }
 
     /// What the instance itself has used by now: from it and what it is told follows the rate of its zone.
-    pub fn note_own(&mut self, own: &UseTotals, now: Instant) {
+    pub fn note_own(&mut self, own: &UsageTotals, now: Instant) {
         let mut totals = self.within.clone();
         for (customer, amount) in own {
             add(&mut totals, customer, *amount);
@@ -136,13 +136,13 @@
         for zone in missing {
             let rates = self.first.rates.iter();
             let rates = rates.map(|(customer, rate)| (customer.clone(), rate.scaled(1.0 / parts)));
-            let source = UseSource {
+            let source = RemoteUsage {
                 heard: Some(self.first.heard.unwrap_or(now)),
                 rates: rates.collect(),
             };
-            let row = ZoneRow {
+            let row = ZoneUsage {
                 source,
-                ..ZoneRow::default()
+                ..ZoneUsage::default()
             };
             self.zones.insert(zone, row);
         }
@@ -157,13 +157,13 @@
 
     /// The part of the zones that this instance hears of, its own among them. Zones that are cut off from each other may not
     /// each use a whole bucket.
-    pub fn reach(&self, now: Instant) -> f64 {
+    pub fn coverage(&self, now: Instant) -> f64 {
         let heard = self.zones.values().filter(|row| !row.is_cut(now)).count();
         (1 + heard) as f64 / (1 + self.zones.len()) as f64
     }
 
     /// What all others have used, for the instance itself.
-    pub fn others(&self) -> UseTotals {
+    pub fn others(&self) -> UsageTotals {
         let mut others = self.beyond.clone();
         for (customer, amount) in &self.within {
             add(&mut others, customer, *amount);
@@ -172,8 +172,8 @@
     }
 
     /// What all others have used of some customers' quotas, for the instance itself.
-    pub fn others_of<'a>(&self, customers: impl Iterator<Item = &'a CustomerId>) -> UseTotals {
-        let of = |totals: &UseTotals, customer| totals.get(customer).copied().unwrap_or_default();
+    pub fn others_of<'a>(&self, customers: impl Iterator<Item = &'a CustomerId>) -> UsageTotals {
+        let of = |totals: &UsageTotals, customer| totals.get(customer).copied().unwrap_or_default();
         let others = customers.map(|customer| {
             let others = of(&self.beyond, customer) + of(&self.within, customer);
             (customer.clone(), others)
@@ -182,7 +182,7 @@
     }
 
     /// What other zones are taken to have used of some customers' quotas beyond what they have told.
-    pub fn assumed_of<'a>(&self, customers: impl Iterator<Item = &'a CustomerId>) -> UseTotals {
+    pub fn assumed_of<'a>(&self, customers: impl Iterator<Item = &'a CustomerId>) -> UsageTotals {
         let assumed = customers.map(|customer| {
             let rows = self.zones.values();
             let amounts = rows.filter_map(|row| row.assumed.get(customer));
@@ -192,7 +192,7 @@
     }
 
     /// What all others have used, for one that tells this instance. `own` is what the instance itself has used.
-    pub fn others_for(&self, teller: &InstanceId, own: &UseTotals) -> UseTotals {
+    pub fn others_for(&self, teller: &InstanceId, own: &UsageTotals) -> UsageTotals {
         let mut others = self.others();
         for (customer, amount) in own {
             add(&mut others, customer, *amount);
@@ -206,7 +206,7 @@
     }
 
     /// What this instance and those that tell it have used, less what `to` told.
-    pub fn telling(&self, to: Option<&InstanceId>, own: &UseTotals) -> Vec<UseRow> {
+    pub fn report(&self, to: Option<&InstanceId>, own: &UsageTotals) -> Vec<UsageRow> {
         let mut totals = self.within.clone();
         for (customer, amount) in own {
             add(&mut totals, customer, *amount);
@@ -218,7 +218,7 @@
         let mut rows = Vec::new();
         for (customer, total) in totals {
             let confirmed = self.confirmed.get(&customer).copied().unwrap_or_default();
-            rows.push(UseRow {
+            rows.push(UsageRow {
                 fresh: total - confirmed,
                 customer,
                 total,
@@ -228,14 +228,14 @@
     }
 
     /// What was told is confirmed.
-    pub fn confirm(&mut self, rows: &[UseRow]) {
+    pub fn confirm(&mut self, rows: &[UsageRow]) {
         for row in rows {
             self.confirmed.insert(row.customer.clone(), row.total);
         }
     }
 
     /// An instance tells what it has used.
-    pub fn note_teller(&mut self, teller: &UseTeller, rows: &[UseRow], now: Instant) {
+    pub fn note_report(&mut self, teller: &UsageReporter, rows: &[UsageRow], now: Instant) {
         let known = self.tellers.entry(teller.instance.clone()).or_default();
         let is_new = known.heard.is_none() || known.life != teller.life;
         if is_new {
@@ -257,7 +257,7 @@
     }
 
     /// The instance that was asked tells what all others have used.
-    pub fn note_beyond(&mut self, from: &UseTeller, totals: &UseTotals, now: Instant) {
+    pub fn note_remote(&mut self, from: &UsageReporter, totals: &UsageTotals, now: Instant) {
         let news = self.differences(from, totals);
         let amounts = self.first.take(news, now);
         add_all(&mut self.beyond, &amounts);
@@ -268,7 +268,13 @@
     }
 
     /// The first instance of another zone tells what its zone has used.
-    pub fn note_zone(&mut self, zone: &ZoneId, from: &UseTeller, totals: &UseTotals, now: Instant) {
+    pub fn note_zone(
+        &mut self,
+        zone: &ZoneId,
+        from: &UsageReporter,
+        totals: &UsageTotals,
+        now: Instant,
+    ) {
         let news = self.differences(from, totals);
         let row = self.zones.entry(zone.clone()).or_default();
         let assumed = std::mem::take(&mut row.assumed);
@@ -308,14 +314,14 @@
     }
 
     /// What came in since the same life told last; none when it tells for the first time.
-    fn differences(&mut self, from: &UseTeller, totals: &UseTotals) -> Option<UseTotals> {
+    fn differences(&mut self, from: &UsageReporter, totals: &UsageTotals) -> Option<UsageTotals> {
         let known = self.streams.get_mut(&from.instance);
         let Some((_, before)) = known.filter(|(life, _)| *life == from.life) else {
             let stream = (from.life, totals.clone());
             self.streams.insert(from.instance.clone(), stream);
             return None;
         };
-        let mut differences = UseTotals::new();
+        let mut differences = UsageTotals::new();
         for (customer, total) in totals {
             // One that it names for the first time begins here.
             let before = before.insert(customer.clone(), *total).unwrap_or(*total);
@@ -325,23 +331,23 @@
     }
 }
 
-fn add(totals: &mut UseTotals, customer: &CustomerId, amount: i64) {
+fn add(totals: &mut UsageTotals, customer: &CustomerId, amount: i64) {
     *totals.entry(customer.clone()).or_default() += amount;
 }
 
-fn add_all(totals: &mut UseTotals, amounts: &UseTotals) {
+fn add_all(totals: &mut UsageTotals, amounts: &UsageTotals) {
     for (customer, amount) in amounts {
         add(totals, customer, *amount);
     }
 }
 
-fn take_all(totals: &mut UseTotals, amounts: &UseTotals) {
+fn take_all(totals: &mut UsageTotals, amounts: &UsageTotals) {
     for (customer, amount) in amounts {
         add(totals, customer, -amount);
     }
 }
 
-fn whole(amounts: &BTreeMap<CustomerId, f64>) -> UseTotals {
+fn whole(amounts: &BTreeMap<CustomerId, f64>) -> UsageTotals {
     let amounts = amounts.iter();
     let whole = amounts.map(|(customer, amount)| (customer.clone(), *amount as i64));
     whole.collect()
--- a/crates/policy/src/use_rate.rs
+++ b/crates/policy/src/usage_rate.rs
@@ -7,9 +7,9 @@
 
 /// An exponential average over irregular intervals.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UseRate(f64);
+pub struct UsageRate(f64);
 
-impl UseRate {
+impl UsageRate {
     /// Units a second.
     pub fn get(self) -> f64 {
         self.0.max(0.0)
--- a/crates/policy/tests/closed_spell.rs
+++ b/crates/policy/tests/closed_spell.rs
@@ -1,7 +1,7 @@
 //! How long an engine that turns requests away from the places that it reserved is left alone.
 
 use {
-    policy::ClosedSpell,
+    policy::RefusalCooldown,
     std::time::{Duration, Instant},
 };
 
@@ -10,43 +10,43 @@
 #[test]
 fn one_that_turns_a_request_away_is_left_alone_at_once() {
     let now = Instant::now();
-    let mut spell = ClosedSpell::default();
-    assert!(!spell.holds(now));
-    spell.note_turned_away(false, now);
-    assert!(spell.holds(now + SECOND));
-    assert!(!spell.holds(now + 2 * SECOND));
+    let mut cooldown = RefusalCooldown::default();
+    assert!(!cooldown.is_active(now));
+    cooldown.note_refusal(false, now);
+    assert!(cooldown.is_active(now + SECOND));
+    assert!(!cooldown.is_active(now + 2 * SECOND));
 }
 
 #[test]
 fn a_cache_that_may_have_lapsed_is_half_a_sign() {
     let now = Instant::now();
-    let mut spell = ClosedSpell::default();
-    spell.note_turned_away(true, now);
-    assert!(!spell.holds(now));
-    spell.note_turned_away(true, now);
-    assert!(spell.holds(now));
+    let mut cooldown = RefusalCooldown::default();
+    cooldown.note_refusal(true, now);
+    assert!(!cooldown.is_active(now));
+    cooldown.note_refusal(true, now);
+    assert!(cooldown.is_active(now));
 }
 
 #[test]
 fn a_run_clears_it() {
     let now = Instant::now();
-    let mut spell = ClosedSpell::default();
-    spell.note_turned_away(true, now);
-    spell.note_run();
-    spell.note_turned_away(true, now);
-    assert!(!spell.holds(now));
+    let mut cooldown = RefusalCooldown::default();
+    cooldown.note_refusal(true, now);
+    cooldown.note_run();
+    cooldown.note_refusal(true, now);
+    assert!(!cooldown.is_active(now));
 }
 
 #[test]
 fn an_engine_that_changes_its_stage_for_ten_seconds_is_tried_three_times() {
     let start = Instant::now();
-    let mut spell = ClosedSpell::default();
+    let mut cooldown = RefusalCooldown::default();
     let mut tried = 0;
     for step in 0..200 {
         let now = start + step * SECOND / 20;
-        if !spell.holds(now) {
+        if !cooldown.is_active(now) {
             tried += 1;
-            spell.note_turned_away(false, now);
+            cooldown.note_refusal(false, now);
         }
     }
     assert_eq!(tried, 3);
@@ -55,9 +55,9 @@
 #[test]
 fn signs_that_come_while_it_is_left_alone_make_it_no_longer() {
     let now = Instant::now();
-    let mut spell = ClosedSpell::default();
+    let mut cooldown = RefusalCooldown::default();
     for _ in 0..10 {
-        spell.note_turned_away(false, now);
+        cooldown.note_refusal(false, now);
     }
-    assert!(!spell.holds(now + 2 * SECOND));
+    assert!(!cooldown.is_active(now + 2 * SECOND));
 }
--- a/crates/policy/tests/crash_table.rs
+++ b/crates/policy/tests/crash_table.rs
@@ -29,7 +29,7 @@
 fn table_of(marks: &[CrashMark], now: Instant) -> CrashTable {
     let mut table = CrashTable::new(LIFE);
     for (upstream, mark) in (0..).zip(marks) {
-        table.take(&report("/1", upstream, *mark), now, now);
+        table.merge(&report("/1", upstream, *mark), now, now);
     }
     table
 }
@@ -37,7 +37,7 @@
 #[test]
 fn three_early_ends_or_five_late_ones_put_a_request_into_quarantine() {
     let now = Instant::now();
-    let held = |marks: &[CrashMark]| table_of(marks, now).held(&fingerprint("/1"), now);
+    let held = |marks: &[CrashMark]| table_of(marks, now).quarantine_left(&fingerprint("/1"), now);
     let (early, late) = (CrashMark::Early, CrashMark::Late);
     assert_eq!(held(&[early, early]), None);
     assert_eq!(held(&[early, early, early]), Some(LIFE));
@@ -46,7 +46,7 @@
     assert_eq!(held(&[early, late, late, late]), Some(LIFE));
     assert_eq!(held(&[late; 4]), None);
     assert_eq!(held(&[late; 5]), Some(LIFE));
-    let other = table_of(&[early; 3], now).held(&fingerprint("/2"), now);
+    let other = table_of(&[early; 3], now).quarantine_left(&fingerprint("/2"), now);
     assert_eq!(other, None);
 }
 
@@ -55,9 +55,9 @@
     let now = Instant::now();
     let mut table = CrashTable::new(LIFE);
     for _ in 0..9 {
-        table.take(&report("/1", 0, CrashMark::Early), now, now);
+        table.merge(&report("/1", 0, CrashMark::Early), now, now);
     }
-    assert_eq!(table.held(&fingerprint("/1"), now), None);
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), now), None);
 }
 
 #[test]
@@ -67,17 +67,17 @@
     let told = table.clear(fingerprint("/1"));
     assert_eq!(told.len(), 3);
     assert!(told.iter().all(|report| report.mark == CrashMark::Cleared));
-    assert_eq!(table.held(&fingerprint("/1"), now), None);
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), now), None);
     assert_eq!(table.clear(fingerprint("/1")), []);
     // An instance that has not heard of it yet tells the old ends again.
     for upstream in 0..3 {
-        table.take(&report("/1", upstream, CrashMark::Early), now, now);
+        table.merge(&report("/1", upstream, CrashMark::Early), now, now);
     }
-    assert_eq!(table.held(&fingerprint("/1"), now), None);
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), now), None);
     for upstream in 3..6 {
-        table.take(&report("/1", upstream, CrashMark::Early), now, now);
+        table.merge(&report("/1", upstream, CrashMark::Early), now, now);
     }
-    assert_eq!(table.held(&fingerprint("/1"), now), Some(LIFE));
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), now), Some(LIFE));
 }
 
 #[test]
@@ -87,13 +87,16 @@
     let mut table = CrashTable::new(LIFE);
     for upstream in 0..3 {
         let at = now + second * upstream;
-        table.take(&report("/1", upstream, CrashMark::Early), at, at);
+        table.merge(&report("/1", upstream, CrashMark::Early), at, at);
     }
     let end = now + LIFE;
-    assert_eq!(table.held(&fingerprint("/1"), end - second), Some(second));
-    assert_eq!(table.held(&fingerprint("/1"), end), None);
-    table.take(&report("/1", 3, CrashMark::Early), end, end);
-    assert!(table.held(&fingerprint("/1"), end).is_some());
+    assert_eq!(
+        table.quarantine_left(&fingerprint("/1"), end - second),
+        Some(second)
+    );
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), end), None);
+    table.merge(&report("/1", 3, CrashMark::Early), end, end);
+    assert!(table.quarantine_left(&fingerprint("/1"), end).is_some());
     table.sweep(end + LIFE);
     assert!(table.is_empty());
 }
@@ -103,9 +106,9 @@
     let now = Instant::now();
     let mut table = table_of(&[CrashMark::Early; 2], now);
     let old = report("/1", 2, CrashMark::Early);
-    assert!(!table.take(&old, now, now + LIFE));
-    assert!(table.take(&old, now, now + LIFE / 2));
-    let held = table.held(&fingerprint("/1"), now + LIFE / 2);
+    assert!(!table.merge(&old, now, now + LIFE));
+    assert!(table.merge(&old, now, now + LIFE / 2));
+    let held = table.quarantine_left(&fingerprint("/1"), now + LIFE / 2);
     assert_eq!(held, Some(LIFE / 2));
 }
 
@@ -116,9 +119,9 @@
     let later = now + Duration::from_secs(1);
     for number in 0..5_000 {
         let report = report(&format!("/beside/{number}"), 9, CrashMark::Late);
-        table.take(&report, later, later);
+        table.merge(&report, later, later);
     }
-    assert_eq!(table.held(&fingerprint("/1"), later), None);
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), later), None);
     assert_eq!(table.rows(later), []);
 }
 
@@ -154,7 +157,7 @@
         let fill = |reports: &[(CrashReport, Instant)]| {
             let mut table = CrashTable::new(LIFE);
             for (report, since) in reports {
-                table.take(report, *since, end);
+                table.merge(report, *since, end);
             }
             table
         };
--- a/crates/policy/tests/loss_table.rs
+++ b/crates/policy/tests/loss_table.rs
@@ -2,8 +2,8 @@
 
 use {
     policy::{
-        CrashMark, CrashReport, FingerprintParts, LossStep, LossTable, LostRun, RequestFingerprint,
-        UpstreamReach,
+        CrashMark, CrashReport, FingerprintParts, LossAction, LossTable, LostRun, ProbeOutcome,
+        RequestFingerprint,
     },
     std::{
         sync::Arc,
@@ -43,17 +43,20 @@
     let mut table = LossTable::default();
     assert_eq!(
         table.note(&upstream, run("/1", 100), now),
-        LossStep::Examine
+        LossAction::Probe
     );
-    assert_eq!(table.note(&upstream, run("/2", 2_000), now), LossStep::Wait);
-    let reports = table.examined(&upstream, UpstreamReach::Refuses);
+    assert_eq!(
+        table.note(&upstream, run("/2", 2_000), now),
+        LossAction::AwaitProbe
+    );
+    let reports = table.note_probe(&upstream, ProbeOutcome::Refused);
     let expected = [
         report("/1", CrashMark::Early),
         report("/2", CrashMark::Late),
     ];
     assert_eq!(reports, expected);
     let later = table.note(&upstream, run("/3", 5), now);
-    assert_eq!(later, LossStep::Ended(report("/3", CrashMark::Early)));
+    assert_eq!(later, LossAction::Report(report("/3", CrashMark::Early)));
 }
 
 #[test]
@@ -65,19 +68,19 @@
         ..run("/1", 5_000)
     };
     table.note(&upstream, waiting, Instant::now());
-    let reports = table.examined(&upstream, UpstreamReach::Refuses);
+    let reports = table.note_probe(&upstream, ProbeOutcome::Refused);
     assert_eq!(reports, [report("/1", CrashMark::Early)]);
 }
 
 #[test]
 fn an_upstream_that_answers_or_is_out_of_reach_tells_nothing() {
     let (now, upstream) = (Instant::now(), Arc::from("i-1"));
-    for reach in [UpstreamReach::Answers, UpstreamReach::Silent] {
+    for reach in [ProbeOutcome::Accepted, ProbeOutcome::NoAnswer] {
         let mut table = LossTable::default();
         table.note(&upstream, run("/1", 100), now);
-        assert_eq!(table.examined(&upstream, reach), []);
+        assert_eq!(table.note_probe(&upstream, reach), []);
         let next = table.note(&upstream, run("/2", 100), now);
-        assert_eq!(next, LossStep::Examine);
+        assert_eq!(next, LossAction::Probe);
     }
 }
 
@@ -86,10 +89,10 @@
     let (now, upstream) = (Instant::now(), Arc::from("i-1"));
     let mut table = LossTable::default();
     table.note(&upstream, run("/1", 100), now);
-    table.examined(&upstream, UpstreamReach::Refuses);
+    table.note_probe(&upstream, ProbeOutcome::Refused);
     let later = now + Duration::from_secs(10);
     let next = table.note(&upstream, run("/2", 100), later);
-    assert_eq!(next, LossStep::Examine);
+    assert_eq!(next, LossAction::Probe);
 }
 
 #[test]
--- a/crates/policy/tests/part_table.rs
+++ b/crates/policy/tests/part_table.rs
@@ -2,7 +2,7 @@
 
 use {
     kernel::UpstreamId,
-    policy::PartTable,
+    policy::CacheIndex,
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -18,7 +18,7 @@
 #[test]
 fn engines_that_listed_a_part_hold_it_for_a_second() {
     let now = Instant::now();
-    let mut table = PartTable::default();
+    let mut table = CacheIndex::default();
     table.note("a".into(), parts(&["shared", "one"]), now);
     table.note("b".into(), parts(&["shared", "two"]), now);
     assert_eq!(table.holders("one", now), [UpstreamId::from("a")]);
@@ -32,17 +32,17 @@
 fn an_engine_whose_list_is_there_is_not_asked_again_for_a_second() {
     let now = Instant::now();
     let engine = UpstreamId::from("a");
-    let mut table = PartTable::default();
-    assert!(table.is_due(&engine, now));
+    let mut table = CacheIndex::default();
+    assert!(table.needs_refresh(&engine, now));
     table.note(engine.clone(), parts(&["one"]), now);
-    assert!(!table.is_due(&engine, now + SECOND / 2));
-    assert!(table.is_due(&engine, now + SECOND));
+    assert!(!table.needs_refresh(&engine, now + SECOND / 2));
+    assert!(table.needs_refresh(&engine, now + SECOND));
 }
 
 #[test]
 fn a_newer_list_takes_the_place_of_an_older_one() {
     let now = Instant::now();
-    let mut table = PartTable::default();
+    let mut table = CacheIndex::default();
     table.note("a".into(), parts(&["one"]), now);
     table.note("a".into(), parts(&["two"]), now + SECOND / 2);
     assert!(table.holders("one", now + SECOND / 2).is_empty());
--- a/crates/policy/tests/place_pace.rs
+++ b/crates/policy/tests/place_pace.rs
@@ -1,29 +1,29 @@
 //! When callers that found no place come back.
 
-use {policy::PlacePace, std::time::Duration};
+use {policy::SlotHoldTime, std::time::Duration};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
 fn callers_come_back_after_the_time_that_places_are_held() {
-    let mut pace = PlacePace::new();
+    let mut pace = SlotHoldTime::new();
     for _ in 0..200 {
         pace.note(4 * SECOND);
     }
-    let after = pace.come_back("r");
+    let after = pace.retry_after("r");
     assert!(after > 2 * SECOND && after < 6 * SECOND, "{after:?}");
     for _ in 0..200 {
         pace.note(SECOND / 2);
     }
-    assert!(pace.come_back("r") < SECOND);
+    assert!(pace.retry_after("r") < SECOND);
 }
 
 #[test]
 fn callers_that_are_refused_together_do_not_come_back_together() {
     const CALLERS: u32 = 400;
-    let pace = PlacePace::new();
+    let pace = SlotHoldTime::new();
     let mut times: Vec<Duration> = (0..CALLERS)
-        .map(|caller| pace.come_back(&format!("r-{caller}")))
+        .map(|caller| pace.retry_after(&format!("r-{caller}")))
         .collect();
     times.sort();
     let mean = times.iter().sum::<Duration>() / CALLERS;
@@ -38,9 +38,9 @@
 
 #[test]
 fn one_long_stream_moves_the_time_by_little() {
-    let mut pace = PlacePace::new();
-    let before = pace.come_back("r");
+    let mut pace = SlotHoldTime::new();
+    let before = pace.retry_after("r");
     pace.note(10 * SECOND);
-    let after = pace.come_back("r");
+    let after = pace.retry_after("r");
     assert!(after > before && after < before + SECOND);
 }
--- a/crates/policy/tests/quarantine_errors.rs
+++ b/crates/policy/tests/quarantine_errors.rs
@@ -91,7 +91,9 @@
         let (come, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(when, _)| *when <= now);
         due = later;
         for (_, request) in come {
-            let is_held = table.held(&fingerprint(request), at(now)).is_some();
+            let is_held = table
+                .quarantine_left(&fingerprint(request), at(now))
+                .is_some();
             let open: Vec<usize> = (0..ENGINES).filter(|engine| back[*engine] <= now).collect();
             if is_held || open.is_empty() {
                 match request < DEADLY {
@@ -136,7 +138,7 @@
                     },
                     upstream: format!("i-{}-{}", cause.engine, lives[cause.engine]).into(),
                 };
-                table.take(&report, at(now), at(now));
+                table.merge(&report, at(now), at(now));
                 if run.request < DEADLY {
                     due.push((now + COMES_BACK, run.request));
                     continue;
--- a/crates/policy/tests/quota_model/mod.rs
+++ b/crates/policy/tests/quota_model/mod.rs
@@ -10,7 +10,8 @@
 use {
     kernel::{CustomerId, InstanceId, ZoneId},
     policy::{
-        CustomerLimit, QuotaRule, QuotaTable, QuotaUnit, UseLedger, UseRow, UseTeller, UseTotals,
+        CustomerLimit, QuotaRule, QuotaTable, QuotaUnit, UsageLedger, UsageReporter, UsageRow,
+        UsageTotals,
     },
     rand_pcg::Pcg64Mcg,
     std::{
@@ -68,13 +69,13 @@
     frozen_until: Instant,
     /// What is held of each lease, and when it was asked for last.
     leases: BTreeMap<CustomerId, (f64, Instant)>,
-    ledger: UseLedger,
+    ledger: UsageLedger,
     life: u64,
     next_call: Instant,
     rests: BTreeMap<usize, Instant>,
     starts: Option<Instant>,
     table: QuotaTable,
-    told: BTreeMap<(usize, u64), UseTotals>,
+    told: BTreeMap<(usize, u64), UsageTotals>,
     last_call: Instant,
     is_pressed: bool,
     is_first: bool,
@@ -311,8 +312,8 @@
         self.exchange(index);
     }
 
-    fn own(&self, index: usize) -> UseTotals {
-        let own = self.nodes[index].table.own();
+    fn own(&self, index: usize) -> UsageTotals {
+        let own = self.nodes[index].table.own_usage();
         own.map(|(id, own)| (id.clone(), own)).collect()
     }
 
@@ -340,7 +341,7 @@
             return self.tell_first(index, other, &own);
         }
         if !std::mem::replace(&mut self.nodes[index].is_first, true) {
-            self.nodes[index].table.note_first(now);
+            self.nodes[index].table.start_aggregating(now);
         }
         self.tell_zones(index, &own);
     }
@@ -350,11 +351,11 @@
         index: usize,
         to: usize,
         of: Option<&InstanceId>,
-        own: &UseTotals,
-    ) -> Vec<UseRow> {
+        own: &UsageTotals,
+    ) -> Vec<UsageRow> {
         let key = (to, self.nodes[to].life);
         let node = &mut self.nodes[index];
-        let mut rows = node.ledger.telling(of, own);
+        let mut rows = node.ledger.report(of, own);
         let told = node.told.entry(key).or_default();
         rows.retain(|row| told.get(&row.customer) != Some(&row.total));
         for row in &rows {
@@ -366,41 +367,41 @@
         rows
     }
 
-    fn tell_first(&mut self, index: usize, first: usize, own: &UseTotals) {
+    fn tell_first(&mut self, index: usize, first: usize, own: &UsageTotals) {
         let now = self.now;
         let (me, them) = (instance(index), instance(first));
         let rows = self.rows(index, first, Some(&them), own);
         let own_there = self.own(first);
         let life = self.nodes[index].life;
-        let low = self.nodes[index].table.low_rooms(now);
+        let low = self.nodes[index].table.low_balances(now);
         let there = &mut self.nodes[first];
-        there.table.note_rooms(&low, now);
-        let teller = UseTeller {
+        there.table.cap_balances(&low, now);
+        let teller = UsageReporter {
             instance: me.clone(),
             life,
         };
-        there.ledger.note_teller(&teller, &rows, now);
+        there.ledger.note_report(&teller, &rows, now);
         let totals = there.ledger.others_for(&me, &own_there);
         there.go_by(&rows, now);
         let assumed = there.ledger.assumed_of(totals.keys());
         let rooms = there.rooms(&totals, now);
         let is_settled = there.table.is_settled(now);
-        let teller = UseTeller {
+        let teller = UsageReporter {
             instance: them,
             life: there.life,
         };
         self.bytes += 60 + 18 * totals.len() as u64;
-        let reach = there.table.reach();
+        let reach = there.table.coverage();
         let here = &mut self.nodes[index];
-        here.table.set_reach(reach);
-        here.ledger.note_beyond(&teller, &totals, now);
+        here.table.set_coverage(reach);
+        here.ledger.note_remote(&teller, &totals, now);
         let others = here.ledger.others_of(totals.keys());
-        here.table.note_heard(now);
+        here.table.note_synced(now);
         here.table.note_others(&others, &assumed, now);
         here.take_rooms(is_settled, &rooms, own, now);
     }
 
-    fn tell_zones(&mut self, index: usize, own: &UseTotals) {
+    fn tell_zones(&mut self, index: usize, own: &UsageTotals) {
         let now = self.now;
         let zone = index / self.each;
         let zones: Vec<usize> = (0..self.cut_until.len())
@@ -408,7 +409,7 @@
             .collect();
         let names: Vec<ZoneId> = zones.iter().map(|zone| zone_name(*zone)).collect();
         self.nodes[index].ledger.expect_zones(&names, now);
-        let mut followed: Option<(bool, UseTotals)> = None;
+        let mut followed: Option<(bool, UsageTotals)> = None;
         for other in zones {
             let Some(first) = self
                 .first(other)
@@ -422,23 +423,23 @@
                 .iter()
                 .map(|row| (row.customer.clone(), row.total))
                 .collect();
-            let teller = UseTeller {
+            let teller = UsageReporter {
                 instance: instance(index),
                 life: self.nodes[index].life,
             };
             let own_there = self.own(first);
-            let low = self.nodes[index].table.low_rooms(now);
+            let low = self.nodes[index].table.low_balances(now);
             let there = &mut self.nodes[first];
-            there.table.note_rooms(&low, now);
+            there.table.cap_balances(&low, now);
             there
                 .ledger
                 .note_zone(&zone_name(zone), &teller, &told, now);
-            let totals = there.ledger.telling(None, &own_there).into_iter();
-            let totals: UseTotals = totals.map(|row| (row.customer, row.total)).collect();
+            let totals = there.ledger.report(None, &own_there).into_iter();
+            let totals: UsageTotals = totals.map(|row| (row.customer, row.total)).collect();
             there.go_by(&rows, now);
             let rooms = there.rooms(&totals, now);
             let is_settled = there.table.is_settled(now);
-            let teller = UseTeller {
+            let teller = UsageReporter {
                 instance: instance(first),
                 life: there.life,
             };
@@ -466,8 +467,8 @@
         let here = &mut self.nodes[index];
         here.ledger.assume(&limits, now);
         let others = here.ledger.others_of(limits.keys());
-        here.table.set_reach(here.ledger.reach(now));
-        here.table.note_heard(now);
+        here.table.set_coverage(here.ledger.coverage(now));
+        here.table.note_synced(now);
         let assumed = here.ledger.assumed_of(limits.keys());
         here.table.note_others(&others, &assumed, now);
     }
@@ -557,8 +558,9 @@
         let node = &mut self.nodes[index];
         let born = node.last_call;
         let (room, at) = node.leases.entry(id.clone()).or_insert((0.0, born));
-        let depth = usual_rule().depth(&limit) * part;
-        *room = (*room + limit.rate * part * (now - *at).as_secs_f64()).min(depth.max(cost as f64));
+        let capacity = usual_rule().capacity(&limit) * part;
+        *room =
+            (*room + limit.rate * part * (now - *at).as_secs_f64()).min(capacity.max(cost as f64));
         *at = now;
         let taken = *room >= cost as f64;
         if taken {
@@ -603,7 +605,7 @@
     fn refill(&mut self, span: Duration) {
         let gain = self.limit.rate * span.as_secs_f64();
         self.ideal = (self.ideal + gain).min(self.limit.burst);
-        self.holder = (self.holder + gain).min(usual_rule().depth(&self.limit));
+        self.holder = (self.holder + gain).min(usual_rule().capacity(&self.limit));
     }
 
     fn note(&mut self, is_taken: bool, cost: u64, rule: &QuotaRule, now: Instant) {
@@ -632,22 +634,22 @@
         if self.bound_from.is_some_and(|from| now < from) {
             return;
         }
-        let peak = self.ran_in_window as f64 / rule.most(&self.limit);
+        let peak = self.ran_in_window as f64 / rule.window_limit(&self.limit);
         self.outcome.peak = self.outcome.peak.max(peak);
     }
 }
 
 impl Node {
-    fn rooms(&self, totals: &UseTotals, now: Instant) -> UseTotals {
+    fn rooms(&self, totals: &UsageTotals, now: Instant) -> UsageTotals {
         let rooms = totals
             .keys()
-            .filter_map(|id| Some((id.clone(), self.table.told_room(id, now)? as i64)));
+            .filter_map(|id| Some((id.clone(), self.table.reported_balance(id, now)? as i64)));
         rooms.collect()
     }
 
     /// Goes by what others of the told customers used.
-    fn go_by(&mut self, rows: &[UseRow], now: Instant) {
-        let is_scarce = |row: &UseRow| self.table.is_scarce(&row.customer, now);
+    fn go_by(&mut self, rows: &[UsageRow], now: Instant) {
+        let is_scarce = |row: &UsageRow| self.table.is_scarce(&row.customer, now);
         self.is_pressed |= rows.iter().any(is_scarce);
         let told = rows.iter().map(|row| &row.customer);
         let others = self.ledger.others_of(told.clone());
@@ -655,10 +657,16 @@
         self.table.note_others(&others, &assumed, now);
     }
 
-    fn take_rooms(&mut self, is_settled: bool, rooms: &UseTotals, own: &UseTotals, now: Instant) {
+    fn take_rooms(
+        &mut self,
+        is_settled: bool,
+        rooms: &UsageTotals,
+        own: &UsageTotals,
+        now: Instant,
+    ) {
         match is_settled {
-            true => self.table.follow_rooms(rooms, own, now),
-            false => self.table.note_rooms(rooms, now),
+            true => self.table.follow_balances(rooms, own, now),
+            false => self.table.cap_balances(rooms, now),
         }
     }
 
@@ -669,7 +677,7 @@
             is_pressed: false,
             last_call: born,
             leases: BTreeMap::new(),
-            ledger: UseLedger::default(),
+            ledger: UsageLedger::default(),
             life,
             next_call: first_call,
             recent: VecDeque::new(),
--- a/crates/policy/tests/quota_table.rs
+++ b/crates/policy/tests/quota_table.rs
@@ -2,7 +2,7 @@
 
 use {
     kernel::CustomerId,
-    policy::{CustomerLimit, QuotaRule, QuotaTable, QuotaUnit, UseTotals},
+    policy::{CustomerLimit, QuotaRule, QuotaTable, QuotaUnit, UsageTotals},
     std::time::{Duration, Instant},
 };
 
@@ -110,9 +110,9 @@
     for _ in 0..10 {
         now += Duration::from_millis(100);
         others += 90;
-        let totals = UseTotals::from([(customer(), others)]);
-        table.note_heard(now);
-        table.note_others(&totals, &UseTotals::new(), now);
+        let totals = UsageTotals::from([(customer(), others)]);
+        table.note_synced(now);
+        table.note_others(&totals, &UsageTotals::new(), now);
     }
     // Of 1,000 in a second others used 900.
     assert_eq!(fitting(&mut table, &limit, 50, now), 2);
--- a/crates/policy/tests/stage_plan.rs
+++ b/crates/policy/tests/stage_plan.rs
@@ -2,7 +2,7 @@
 //! generate.
 
 use {
-    policy::{StageGoal, StageMove, StagePlan, StagePressure, UpstreamRecord, UpstreamStage},
+    policy::{StageChange, StageGoal, StagePlanner, StagePressure, UpstreamRecord, UpstreamStage},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -54,18 +54,18 @@
             true => 3 * ALONE,
             false => ALONE,
         };
-        pressure.note_reading(ALONE, took, now);
-        pressure.note_search(step * 10 < refused, now);
+        pressure.note_prefill(ALONE, took, now);
+        pressure.note_slot_search(step * 10 < refused, now);
     }
 }
 
 /// The moves of a plan that sees the same load for so many seconds, each with its second.
 fn moves(
-    plan: &mut StagePlan,
+    plan: &mut StagePlanner,
     list: &[Arc<UpstreamRecord>],
     (waited, refused): (u32, u32),
     (from, seconds): (Instant, u32),
-) -> Vec<(u32, StageMove)> {
+) -> Vec<(u32, StageChange)> {
     let mut pressure = StagePressure::new();
     let mut moves = Vec::new();
     for second in 0..seconds {
@@ -73,7 +73,7 @@
         note(&mut pressure, waited, refused, now);
         if let Some(planned) = plan.decide(&"s".into(), list, &pressure, now) {
             moves.push((second, planned));
-            plan.rest(now);
+            plan.start_cooldown(now);
         }
     }
     moves
@@ -81,7 +81,7 @@
 
 #[test]
 fn long_prompts_that_press_the_readers_for_long_bring_them_an_engine() {
-    let mut plan = StagePlan::new(goal(), Duration::from_millis(500));
+    let mut plan = StagePlanner::new(goal(), Duration::from_millis(500));
     let list = engines(6, 3);
     let planned = moves(&mut plan, &list, (90, 0), (Instant::now(), 20));
     assert_eq!(planned.len(), 1, "{planned:?}");
@@ -92,7 +92,7 @@
 
 #[test]
 fn long_answers_that_fill_the_decode_engines_bring_them_an_idle_reader() {
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let list = engines(9, 3);
     let planned = moves(&mut plan, &list, (40, 70), (Instant::now(), 20));
     assert_eq!(planned.len(), 1, "{planned:?}");
@@ -105,7 +105,7 @@
 fn a_surplus_has_to_last_before_an_engine_moves() {
     let start = Instant::now();
     let nothing = StagePressure::new();
-    let mut plan = StagePlan::new(goal(), Duration::from_millis(500));
+    let mut plan = StagePlanner::new(goal(), Duration::from_millis(500));
     let list = engines(8, 4);
     let mut decide = |seconds| plan.decide(&"s".into(), &list, &nothing, start + seconds * SECOND);
     assert_eq!(decide(0), None);
@@ -120,7 +120,7 @@
 fn a_surplus_that_passes_starts_the_wait_anew() {
     let start = Instant::now();
     let nothing = StagePressure::new();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let looks = [(8, 4), (9, 3), (8, 4), (8, 4)];
     for (second, (decode, prefill)) in (0..).zip(looks) {
         let list = engines(decode, prefill);
@@ -137,10 +137,10 @@
 #[test]
 fn a_surplus_that_requests_need_stays() {
     let list = engines(8, 4);
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let planned = moves(&mut plan, &list, (60, 0), (Instant::now(), 60));
     assert_eq!(planned, []);
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let planned = moves(&mut plan, &list, (30, 0), (Instant::now(), 20));
     assert_eq!(planned.len(), 1, "{planned:?}");
 }
@@ -149,7 +149,7 @@
 fn a_surplus_is_left_to_instances_that_requests_reach() {
     let start = Instant::now();
     let list = engines(8, 4);
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let busy = moves(&mut plan, &list, (60, 0), (start, 10));
     assert_eq!(busy, []);
     let nothing = StagePressure::new();
@@ -163,7 +163,7 @@
 fn no_engine_moves_while_both_stages_are_pressed_or_none_is() {
     let list = engines(6, 3);
     for load in [(90, 70), (40, 5), (70, 70), (60, 70)] {
-        let mut plan = StagePlan::new(goal(), Duration::ZERO);
+        let mut plan = StagePlanner::new(goal(), Duration::ZERO);
         let planned = moves(&mut plan, &list, load, (Instant::now(), 60));
         assert_eq!(planned, [], "{load:?}");
     }
@@ -172,7 +172,7 @@
 #[test]
 fn a_burst_of_a_few_seconds_moves_no_engine() {
     let start = Instant::now();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let list = engines(6, 3);
     let mut pressure = StagePressure::new();
     for second in 0..60 {
@@ -190,13 +190,13 @@
 #[test]
 fn an_instance_that_sees_few_requests_moves_no_engine() {
     let start = Instant::now();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let list = engines(6, 3);
     let mut pressure = StagePressure::new();
     for second in 0..60 {
         let now = start + second * 2 * SECOND;
-        pressure.note_reading(ALONE, 3 * ALONE, now);
-        pressure.note_search(false, now);
+        pressure.note_prefill(ALONE, 3 * ALONE, now);
+        pressure.note_slot_search(false, now);
         assert_eq!(plan.decide(&"s".into(), &list, &pressure, now), None);
     }
 }
@@ -204,8 +204,8 @@
 #[test]
 fn after_a_change_the_plan_rests() {
     let start = Instant::now();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
-    plan.rest(start);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
+    plan.start_cooldown(start);
     let list = engines(6, 3);
     let planned = moves(&mut plan, &list, (90, 0), (start, 40));
     assert_eq!(planned.len(), 1, "{planned:?}");
@@ -216,12 +216,12 @@
 fn the_last_engines_of_a_stage_are_replaced_and_never_taken() {
     let start = Instant::now();
     for (list, load) in [(engines(2, 3), (90, 0)), (engines(6, 2), (20, 90))] {
-        let mut plan = StagePlan::new(goal(), Duration::ZERO);
+        let mut plan = StagePlanner::new(goal(), Duration::ZERO);
         let planned = moves(&mut plan, &list, load, (start, 60));
         assert_eq!(planned, [], "{load:?}");
     }
     let nothing = StagePressure::new();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let list = engines(8, 1);
     assert_eq!(plan.decide(&"s".into(), &list, &nothing, start), None);
     let later = start + 2 * SECOND;
@@ -235,7 +235,7 @@
 #[test]
 fn a_pressure_that_passes_starts_the_wait_anew() {
     let start = Instant::now();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let list = engines(6, 3);
     let before = moves(&mut plan, &list, (90, 0), (start, 8));
     assert_eq!(before, []);
@@ -249,12 +249,12 @@
 #[test]
 fn of_the_few_engines_that_a_loss_leaves_one_reads() {
     let start = Instant::now();
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let planned = moves(&mut plan, &engines(2, 2), (20, 90), (start, 10));
     assert_eq!(planned.len(), 1, "{planned:?}");
     assert_eq!(planned[0].0, 2, "after the patience");
     assert_eq!(planned[0].1.stage, UpstreamStage::Decode);
-    let mut plan = StagePlan::new(goal(), Duration::ZERO);
+    let mut plan = StagePlanner::new(goal(), Duration::ZERO);
     let planned = moves(&mut plan, &engines(3, 1), (20, 90), (start, 60));
     assert_eq!(planned, [], "the last reader stays");
 }
--- a/crates/policy/tests/table_age.rs
+++ b/crates/policy/tests/table_age.rs
@@ -1,7 +1,7 @@
 //! As of when a declaration is known to be the newest: never later than it was.
 
 use {
-    policy::{StoreMoment, TableAge},
+    policy::{StoreClock, TableAge},
     std::time::{Duration, Instant},
 };
 
@@ -29,22 +29,22 @@
 #[test]
 fn an_answer_that_was_held_back_is_as_young_as_the_stores_clock_says() {
     let start = Instant::now();
-    let mut moments = StoreMoment::default();
+    let mut clock = StoreClock::default();
     let asked = start + millis(1_000);
     // Without an answer that came at once, as old as the question.
     assert_eq!(
-        moments.given(millis(70_000), asked, asked + millis(900)),
+        clock.answer_time(millis(70_000), asked, asked + millis(900)),
         asked
     );
-    moments.note_answer(millis(70_000), start);
+    clock.note_answer(millis(70_000), start);
     // 1.8 s later by the store's clock, less a step of it.
-    let given = moments.given(millis(71_800), asked, start + millis(1_900));
+    let given = clock.answer_time(millis(71_800), asked, start + millis(1_900));
     assert_eq!(given, start + millis(1_799));
     // The answer was long on its way: that makes it older.
-    let given = moments.given(millis(71_800), asked, start + millis(5_000));
+    let given = clock.answer_time(millis(71_800), asked, start + millis(5_000));
     assert_eq!(given, start + millis(1_799));
     // A clock that goes wrong makes it no younger than its arrival, nor older than the question.
     let received = start + millis(1_900);
-    assert_eq!(moments.given(millis(99_000), asked, received), received);
-    assert_eq!(moments.given(millis(3), asked, received), asked);
+    assert_eq!(clock.answer_time(millis(99_000), asked, received), received);
+    assert_eq!(clock.answer_time(millis(3), asked, received), asked);
 }
--- a/crates/policy/tests/upstream_table.rs
+++ b/crates/policy/tests/upstream_table.rs
@@ -31,7 +31,7 @@
     let query = ChoiceQuery {
         avoid: &[],
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage,
@@ -134,11 +134,11 @@
     let mut table = UpstreamTable::default();
     let mut one = record("a", "near", UpstreamStage::Plain);
     table.replace(std::slice::from_ref(&one), None, now);
-    assert!(table.takes_work(&one.id));
+    assert!(table.accepts_work(&one.id));
     one.leaving = true;
     table.replace(std::slice::from_ref(&one), None, now);
     assert_eq!(chosen(&table, UpstreamStage::Plain, now), None);
-    assert!(!table.takes_work(&one.id));
+    assert!(!table.accepts_work(&one.id));
     one.leaving = false;
     table.replace(std::slice::from_ref(&one), None, now);
     table.replace(&[], None, now);
@@ -170,7 +170,7 @@
     other.address = one.address;
     table.replace(std::slice::from_ref(&one), None, now);
     table.replace(&[other], Some(now), now);
-    assert!(!table.takes_work(&one.id));
+    assert!(!table.accepts_work(&one.id));
 }
 
 #[test]
@@ -185,20 +185,20 @@
     let query = ChoiceQuery {
         avoid: &[],
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage: UpstreamStage::Prefill,
         zone: &zone,
     };
     let id = |table: &UpstreamTable, now| {
-        let choice = table.choose_reader(&query, 3_000, now).unwrap();
+        let choice = table.choose_prefill(&query, 3_000, now).unwrap();
         choice.upstream.id.to_string()
     };
     assert_eq!(id(&table, now), "a");
     // A reading that took a second longer than its pace tells of a queue, which is gone a few seconds later.
-    table.note_read(&near.id, 3_000, Duration::from_millis(150), now);
-    table.note_read(&near.id, 3_000, Duration::from_millis(1_150), now);
+    table.note_prefill(&near.id, 3_000, Duration::from_millis(150), now);
+    table.note_prefill(&near.id, 3_000, Duration::from_millis(1_150), now);
     assert_eq!(id(&table, now), "b");
     assert_eq!(id(&table, now + 4 * SECOND), "a");
     table.begin(&near.id, 30_000);
@@ -217,15 +217,15 @@
     };
     fail(&mut table, 0);
     assert!(
-        !table.stands_out(&records[0].id, now),
+        !table.is_outlier(&records[0].id, now),
         "one failure is the request's own"
     );
     fail(&mut table, 0);
-    assert!(table.stands_out(&records[0].id, now));
+    assert!(table.is_outlier(&records[0].id, now));
     for index in [1, 1, 2, 2] {
         fail(&mut table, index);
     }
-    assert!(!table.stands_out(&records[0].id, now), "all fail alike");
+    assert!(!table.is_outlier(&records[0].id, now), "all fail alike");
 }
 
 /// Sixteen instances, each with a view of its own, have prompts read one after the other.
@@ -249,15 +249,15 @@
             let query = ChoiceQuery {
                 avoid: &[],
                 holders: &[],
-                linked: &BTreeSet::new(),
+                connected: &BTreeSet::new(),
                 request: &request,
                 service: &service,
                 stage: UpstreamStage::Prefill,
                 zone: &zone,
             };
-            let choice = table.choose_reader(&query, 3_000, at).unwrap();
+            let choice = table.choose_prefill(&query, 3_000, at).unwrap();
             let id = choice.upstream.id.clone();
-            table.note_read(&id, choice.ahead, Duration::from_millis(100), at);
+            table.note_prefill(&id, choice.queued_tokens, Duration::from_millis(100), at);
             *readings.entry(id).or_insert(0) += 1;
         }
     }
@@ -283,13 +283,13 @@
         let query = ChoiceQuery {
             avoid: &[],
             holders: &[],
-            linked: &BTreeSet::new(),
+            connected: &BTreeSet::new(),
             request: &request,
             service: &service,
             stage: UpstreamStage::Prefill,
             zone: &zone,
         };
-        let choice = table.choose_reader(&query, 3_000, at).unwrap();
+        let choice = table.choose_prefill(&query, 3_000, at).unwrap();
         assert_eq!(&*choice.upstream.id, "b", "after {:?}", at - now);
     }
 }
@@ -306,7 +306,7 @@
     }
     let asked = |table: &UpstreamTable, now| chosen(table, UpstreamStage::Decode, now);
     assert_eq!(asked(&table, now).as_deref(), Some("a"));
-    table.note_turned_away(&"a".into(), false, now);
+    table.note_refusal(&"a".into(), false, now);
     assert_eq!(asked(&table, now).as_deref(), Some("b"));
     table.note_run(&"a".into());
     assert_eq!(asked(&table, now).as_deref(), Some("a"));
@@ -317,7 +317,7 @@
     let now = Instant::now();
     let mut table = UpstreamTable::default();
     table.replace(&[record("a", "near", UpstreamStage::Decode)], None, now);
-    table.note_turned_away(&"a".into(), false, now);
+    table.note_refusal(&"a".into(), false, now);
     let asked = chosen(&table, UpstreamStage::Decode, now);
     assert_eq!(asked.as_deref(), Some("a"));
 }
@@ -330,11 +330,11 @@
     let mut table = UpstreamTable::default();
     let records = ["a", "b"].map(|id| record(id, "near", UpstreamStage::Decode));
     table.replace(&records, None, now);
-    table.note_turned_away(&"a".into(), false, now);
+    table.note_refusal(&"a".into(), false, now);
     let query = ChoiceQuery {
         avoid: &["b".into()],
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage: UpstreamStage::Decode,
@@ -358,7 +358,7 @@
     let query = ChoiceQuery {
         avoid: &[],
         holders: std::slice::from_ref(&holder.id),
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage: UpstreamStage::Decode,
@@ -385,18 +385,18 @@
         let query = ChoiceQuery {
             avoid: &[],
             holders: std::slice::from_ref(&holder.id),
-            linked: &BTreeSet::new(),
+            connected: &BTreeSet::new(),
             request: &request,
             service: &service,
             stage: UpstreamStage::Prefill,
             zone: &zone,
         };
-        let choice = table.choose_reader(&query, 3_000, now).unwrap();
-        assert!(choice.is_held, "request {number}");
+        let choice = table.choose_prefill(&query, 3_000, now).unwrap();
+        assert!(choice.is_cached, "request {number}");
         for _ in 0..10 {
             table.begin(&holder.id, 3_000);
         }
-        let choice = table.choose_reader(&query, 3_000, now).unwrap();
+        let choice = table.choose_prefill(&query, 3_000, now).unwrap();
         assert_eq!(&*choice.upstream.id, "a", "request {number}");
     }
 }
@@ -426,7 +426,7 @@
     let query = ChoiceQuery {
         avoid: &avoid,
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage,
@@ -459,13 +459,13 @@
 fn an_instance_of_many_goes_to_the_idle_engines_that_it_has_a_connection_to() {
     let now = Instant::now();
     let mut table = two_zones(UpstreamStage::Decode, now);
-    let linked = BTreeSet::from(["a-3".into(), "a-7".into()]);
+    let connected = BTreeSet::from(["a-3".into(), "a-7".into()]);
     let (service, zone): (ServiceId, _) = ("s".into(), "a".into());
     let choose = |table: &UpstreamTable, request: &str| {
         let query = ChoiceQuery {
             avoid: &[],
             holders: &[],
-            linked: &linked,
+            connected: &connected,
             request,
             service: &service,
             stage: UpstreamStage::Decode,
@@ -475,12 +475,12 @@
     };
     for request in 0..20 {
         let id = choose(&table, &request.to_string());
-        assert!(linked.contains(&id), "{id}");
+        assert!(connected.contains(&id), "{id}");
     }
-    for id in &linked {
+    for id in &connected {
         table.begin(id, 3_000);
     }
     // A call runs at each of them: another engine is as good for it, and idle.
     let id = choose(&table, "r");
-    assert!(!linked.contains(&id), "{id}");
+    assert!(!connected.contains(&id), "{id}");
 }
--- a/crates/relay/src/caller_server.rs
+++ b/crates/relay/src/caller_server.rs
@@ -8,7 +8,7 @@
     http::{HeaderValue, Request, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::{TokioIo, TokioTimer},
-    kernel::CloseSignal,
+    kernel::ShutdownSignal,
     std::{
         pin::{Pin, pin},
         sync::Arc,
@@ -38,9 +38,9 @@
     accepting: JoinHandle<()>,
     connections: TaskTracker,
     /// Raised when answers are to end their connections.
-    leaving: CloseSignal,
+    leaving: ShutdownSignal,
     /// Raised when idle connections are to end at once, and new requests to be refused.
-    stopping: CloseSignal,
+    stopping: ShutdownSignal,
 }
 
 impl CallerServer {
@@ -67,7 +67,7 @@
         core: Arc<RelayCore<D>>,
     ) -> Self {
         let connections = TaskTracker::new();
-        let leaving = CloseSignal::new();
+        let leaving = ShutdownSignal::new();
         let stopping = core.closing.clone();
         let caller = CallerSide {
             core: core.clone(),
@@ -89,8 +89,8 @@
 struct CallerSide<D> {
     core: Arc<RelayCore<D>>,
     desk: RequestDesk<D>,
-    leaving: CloseSignal,
-    stopping: CloseSignal,
+    leaving: ShutdownSignal,
+    stopping: ShutdownSignal,
 }
 
 impl<D> Clone for CallerSide<D> {
--- a/crates/relay/src/crash_plugin.rs
+++ b/crates/relay/src/crash_plugin.rs
@@ -21,7 +21,7 @@
     for row in watch.rows() {
         requests.push(json!({
             "fingerprint": row.fingerprint.to_string(),
-            "left_s": row.left.as_secs(),
+            "left_s": row.remaining.as_secs(),
             "upstreams": row.upstreams,
         }));
     }
--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -4,8 +4,8 @@
     crate::{CallerRequest, LinkPool, OpenCall, RelayCounts, UpstreamBoard},
     kernel::{LockRank, RankedLock, steady_clock},
     policy::{
-        AgedReport, CrashReport, CrashTable, LossStep, LossTable, LostRun, QuarantineRow,
-        UpstreamReach, UpstreamRecord,
+        AgedReport, CrashReport, CrashTable, LossAction, LossTable, LostRun, ProbeOutcome,
+        QuarantineRow, UpstreamRecord,
     },
     std::{
         sync::Arc,
@@ -82,7 +82,7 @@
         }
         state
             .table
-            .held(&request.fingerprint(), steady_clock::now())
+            .quarantine_left(&request.fingerprint(), steady_clock::now())
     }
 
     /// A watch that has seen nothing; a report counts for `life`.
@@ -116,7 +116,7 @@
     ) {
         let upstream = &call.upstream;
         // One that leaves ends in time, whatever runs there.
-        if !self.board.lock().takes_work(&upstream.id) {
+        if !self.board.lock().accepts_work(&upstream.id) {
             self.counts.note_loss("leaving");
             return;
         }
@@ -128,11 +128,11 @@
         request.story.lost(run.fingerprint);
         let mut state = self.state.lock();
         match state.losses.note(&upstream.id, run, steady_clock::now()) {
-            LossStep::Ended(report) => self.report(&mut state, vec![report]),
-            LossStep::Examine => {
+            LossAction::Report(report) => self.report(&mut state, vec![report]),
+            LossAction::Probe => {
                 tokio::spawn(self.clone().examine(upstream.clone()));
             }
-            LossStep::Wait => {}
+            LossAction::AwaitProbe => {}
         }
     }
 
@@ -180,17 +180,17 @@
     }
 
     async fn examine(self: Arc<Self>, upstream: Arc<UpstreamRecord>) {
-        let mut reach = UpstreamReach::Answers;
+        let mut reach = ProbeOutcome::Accepted;
         for pause in EXAMINE_PAUSES {
             time::sleep(pause).await;
             reach = self.pool.reach(&upstream.id, upstream.address).await;
-            if reach != UpstreamReach::Answers {
+            if reach != ProbeOutcome::Accepted {
                 break;
             }
         }
         self.counts.note_loss(reach.label());
         let mut state = self.state.lock();
-        let reports = state.losses.examined(&upstream.id, reach);
+        let reports = state.losses.note_probe(&upstream.id, reach);
         self.report(&mut state, reports);
     }
 
@@ -200,9 +200,12 @@
     }
 
     fn learn(state: &mut CrashState, report: &CrashReport, since: Instant, now: Instant) {
-        let was_held = state.table.held(&report.fingerprint, now).is_some();
-        state.table.take(report, since, now);
-        let held = state.table.held(&report.fingerprint, now);
+        let was_held = state
+            .table
+            .quarantine_left(&report.fingerprint, now)
+            .is_some();
+        state.table.merge(report, since, now);
+        let held = state.table.quarantine_left(&report.fingerprint, now);
         if held.is_some() != was_held {
             tracing::warn!(
                 fingerprint = %report.fingerprint,
--- a/crates/relay/src/customer_gate.rs
+++ b/crates/relay/src/customer_gate.rs
@@ -128,7 +128,7 @@
             own: OwnAnswer::later(ResultCode::QuotaSpent, refusal.wait),
             reason: GateReason::QuotaSpent {
                 cost: refusal.cost,
-                room: refusal.room,
+                room: refusal.balance,
             },
         })
     }
--- a/crates/relay/src/link_pool.rs
+++ b/crates/relay/src/link_pool.rs
@@ -13,7 +13,7 @@
     },
     hyper_util::rt::TokioIo,
     kernel::{LockRank, RankedLock, steady_clock},
-    policy::UpstreamReach,
+    policy::ProbeOutcome,
     snafu::Snafu,
     socket2::{SockRef, TcpKeepalive},
     std::{
@@ -133,25 +133,25 @@
 
     /// Finds out whether a peer still takes connections. A kept connection that is whole tells it without another one; one
     /// that is made is kept.
-    pub async fn reach(&self, key: &LinkKey, address: SocketAddr) -> UpstreamReach {
+    pub async fn reach(&self, key: &LinkKey, address: SocketAddr) -> ProbeOutcome {
         if self.has_idle(key, address) {
-            return UpstreamReach::Answers;
+            return ProbeOutcome::Accepted;
         }
         let stream = match self.dial(address).await {
             Ok(stream) => stream,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                return UpstreamReach::Refuses;
+                return ProbeOutcome::Refused;
             }
             Err(error) => {
                 tracing::debug!(%address, %error, "whether an upstream ended is not known");
-                return UpstreamReach::Silent;
+                return ProbeOutcome::NoAnswer;
             }
         };
         match self.shake_hands(stream, address).await {
             Ok(link) => self.keep(key, link, None),
             Err(error) => tracing::debug!(%address, %error, "a new connection is of no use"),
         }
-        UpstreamReach::Answers
+        ProbeOutcome::Accepted
     }
 
     /// Sends a call and waits for the head of its answer.
--- a/crates/relay/src/order_dialect.rs
+++ b/crates/relay/src/order_dialect.rs
@@ -4,7 +4,7 @@
     bytes::Bytes,
     http::{Request, StatusCode},
     http_body_util::Full,
-    kernel::FenceNumber,
+    kernel::FencingToken,
     lease::OrderReply,
     policy::{UpstreamRecord, UpstreamStage},
 };
@@ -24,7 +24,7 @@
     /// The count that the engine has to have.
     pub expected: u64,
     /// The fencing number.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// The life of the process that gives the order.
     pub holder: &'a str,
     /// The new stage.
--- a/crates/relay/src/place_finder.rs
+++ b/crates/relay/src/place_finder.rs
@@ -88,7 +88,7 @@
         self.core().choose(&ChoiceQuery {
             avoid,
             holders: &self.flow.holders,
-            linked: &self.core().pool.linked(),
+            connected: &self.core().pool.linked(),
             request: &self.flow.request.head.id,
             service: &self.flow.service,
             stage: UpstreamStage::Decode,
--- a/crates/relay/src/plain_flow.rs
+++ b/crates/relay/src/plain_flow.rs
@@ -111,7 +111,7 @@
         self.core.choose(&ChoiceQuery {
             avoid: &self.tried,
             holders: &[],
-            linked: &BTreeSet::new(),
+            connected: &BTreeSet::new(),
             request: &self.request.head.id,
             service: self.service,
             stage: UpstreamStage::Plain,
--- a/crates/relay/src/prompt_search.rs
+++ b/crates/relay/src/prompt_search.rs
@@ -49,7 +49,7 @@
     engines.truncate(ASK_LIMIT);
     let now = steady_clock::now();
     let parts = core.parts.lock();
-    engines.retain(|engine| parts.is_due(&engine.id, now));
+    engines.retain(|engine| parts.needs_refresh(&engine.id, now));
     engines
 }
 
--- a/crates/relay/src/quota_plugin.rs
+++ b/crates/relay/src/quota_plugin.rs
@@ -24,8 +24,8 @@
             "burst": row.limit.burst,
             "customer": row.customer,
             "rate": row.limit.rate,
-            "room": row.room.round(),
-            "used_here": row.own,
+            "room": row.balance.round(),
+            "used_here": row.own_usage,
         }));
     }
     let newest = freshness.newest();
--- a/crates/relay/src/relay_core.rs
+++ b/crates/relay/src/relay_core.rs
@@ -11,10 +11,12 @@
     bytes::Bytes,
     http::{Request, StatusCode},
     http_body_util::{BodyExt, Full, Limited},
-    kernel::{CloseSignal, LockRank, RankedLock, ResultCode, ServiceId, UpstreamId, steady_clock},
+    kernel::{
+        LockRank, RankedLock, ResultCode, ServiceId, ShutdownSignal, UpstreamId, steady_clock,
+    },
     policy::{
-        CallVerdict, ChoiceQuery, PartTable, PlacePace, RetryWindow, StagePressure, UpstreamRecord,
-        UpstreamTable,
+        CacheIndex, CallVerdict, ChoiceQuery, RetryWindow, SlotHoldTime, StagePressure,
+        UpstreamRecord, UpstreamTable,
     },
     std::{
         collections::HashMap,
@@ -45,7 +47,7 @@
     /// The routes in force; none before the first were read.
     pub book: ArcSwapOption<RouteBook>,
     /// Raised when no further request can be finished before the process ends.
-    pub closing: CloseSignal,
+    pub closing: ShutdownSignal,
     /// The counters.
     pub counts: RelayCounts,
     /// Which upstreams ended under requests.
@@ -55,8 +57,8 @@
     /// As of when the routes and customers are known to be the newest.
     pub freshness: BookFreshness,
     /// What engines listed a moment ago.
-    pub parts: RankedLock<PartTable>,
-    paces: RankedLock<HashMap<ServiceId, PlacePace>>,
+    pub parts: RankedLock<CacheIndex>,
+    paces: RankedLock<HashMap<ServiceId, SlotHoldTime>>,
     pressures: RankedLock<HashMap<ServiceId, StagePressure>>,
     /// The connections to upstreams.
     pub pool: Arc<LinkPool>,
@@ -230,7 +232,7 @@
     pub fn come_back(&self, service: &ServiceId, request: &str) -> Duration {
         let paces = self.paces.lock();
         let pace = paces.get(service).copied().unwrap_or_default();
-        pace.come_back(request)
+        pace.retry_after(request)
     }
 
     /// The shared state at the start of a process.
@@ -254,11 +256,11 @@
             )),
             board,
             book: ArcSwapOption::empty(),
-            closing: CloseSignal::new(),
+            closing: ShutdownSignal::new(),
             counts,
             dialect,
             freshness: BookFreshness::default(),
-            parts: RankedLock::new(LockRank::Services, PartTable::default()),
+            parts: RankedLock::new(LockRank::Services, CacheIndex::default()),
             paces: RankedLock::new(LockRank::Services, HashMap::new()),
             pressures: RankedLock::new(LockRank::Services, HashMap::new()),
             pool,
@@ -274,7 +276,7 @@
 
     /// Routes or upstreams were read.
     pub fn note_learned(&self) {
-        if self.book.load().is_some() && self.board.lock().known {
+        if self.book.load().is_some() && self.board.lock().is_loaded {
             self.start.open();
         }
     }
@@ -283,14 +285,14 @@
     pub fn note_search(&self, service: &ServiceId, is_full: bool) {
         let mut pressures = self.pressures.lock();
         let pressure = pressures.entry(service.clone()).or_default();
-        pressure.note_search(is_full, steady_clock::now());
+        pressure.note_slot_search(is_full, steady_clock::now());
     }
 
     /// A prompt was read for a service, in `took` where its tokens take `alone`.
     pub fn note_reading(&self, service: &ServiceId, alone: Duration, took: Duration) {
         let mut pressures = self.pressures.lock();
         let pressure = pressures.entry(service.clone()).or_default();
-        pressure.note_reading(alone, took, steady_clock::now());
+        pressure.note_prefill(alone, took, steady_clock::now());
     }
 
     /// How hard the engines of a service are pressed, by what requests here met.
@@ -316,7 +318,7 @@
 
     /// Whether an upstream fails clearly more often than the others of its service.
     pub fn stands_out(&self, upstream: &UpstreamId) -> bool {
-        self.board.lock().stands_out(upstream, steady_clock::now())
+        self.board.lock().is_outlier(upstream, steady_clock::now())
     }
 
     /// Takes one repeated call to a service out of the budget; `false` when it is spent.
--- a/crates/relay/src/request_desk.rs
+++ b/crates/relay/src/request_desk.rs
@@ -255,7 +255,7 @@
         let Some(service) = route.service_for(&head.id).cloned() else {
             return Err(OwnAnswer::later(ResultCode::UpstreamMissing, START_PAUSE).into());
         };
-        if !self.core.board.lock().known {
+        if !self.core.board.lock().is_loaded {
             return Err(OwnAnswer::later(ResultCode::NotReady, START_PAUSE).into());
         }
         Ok(RoutedHead {
--- a/crates/relay/src/source_watch.rs
+++ b/crates/relay/src/source_watch.rs
@@ -277,7 +277,7 @@
         self.core.counts.upstreams.set(count);
         let mut board = self.core.board.lock();
         let gone = board.replace(&reading.records, outage_ended, now);
-        board.date_list(reading.as_of.unwrap_or(now));
+        board.set_list_time(reading.as_of.unwrap_or(now));
         drop(board);
         for upstream in &gone {
             self.core.counts.forget_upstream(upstream);
--- a/crates/relay/src/stage_keeper.rs
+++ b/crates/relay/src/stage_keeper.rs
@@ -9,7 +9,7 @@
     kernel::{InstanceId, ServiceId, UpstreamId, seeded_rng, steady_clock},
     lease::{LeaseKeeper, LeaseSettings, OrderReply, OrderSender},
     plat::RowStore,
-    policy::{StageGoal, StageMove, StagePlan, UpstreamRecord, UpstreamStage},
+    policy::{StageChange, StageGoal, StagePlanner, UpstreamRecord, UpstreamStage},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
     tokio::time,
 };
@@ -51,7 +51,7 @@
 
 struct ServiceStages<S> {
     lease: LeaseKeeper<S>,
-    plan: StagePlan,
+    plan: StagePlanner,
 }
 
 /// Sends the orders of one move.
@@ -121,7 +121,7 @@
                 .build();
             ServiceStages {
                 lease: LeaseKeeper::new(self.store.clone(), lease),
-                plan: StagePlan::new(settings.goal.clone(), stagger(&settings.holder)),
+                plan: StagePlanner::new(settings.goal.clone(), stagger(&settings.holder)),
             }
         });
         let Some(plan) = stages.plan.decide(
@@ -133,7 +133,7 @@
             return;
         };
         // Whatever comes of it, the next look waits until the list of upstreams shows the outcome.
-        stages.plan.rest(steady_clock::now());
+        stages.plan.start_cooldown(steady_clock::now());
         carry_out(&self.core, &self.settings, &stages.lease, &plan).await;
     }
 }
@@ -142,7 +142,7 @@
     core: &RelayCore<D>,
     settings: &StageSettings,
     lease: &LeaseKeeper<S>,
-    plan: &StageMove,
+    plan: &StageChange,
 ) {
     let mut sender = StageSender {
         core,
--- a/crates/relay/src/stream_flow.rs
+++ b/crates/relay/src/stream_flow.rs
@@ -17,7 +17,7 @@
     http_body_util::{BodyExt, Limited},
     hyper::body::Incoming,
     kernel::{ResultCode, ServiceId, UpstreamId, steady_clock},
-    policy::{CallVerdict, StreamTries, TryEnd},
+    policy::{AttemptEnd, CallVerdict, StreamAttempts},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -50,7 +50,7 @@
     /// When the last place was reserved.
     pub placed_at: Instant,
     /// Its calls so far.
-    tries: StreamTries,
+    tries: StreamAttempts,
 }
 
 /// A stream whose first whole events have come.
@@ -103,7 +103,7 @@
         route: Arc<WorkRoute>,
         service: ServiceId,
     ) -> Self {
-        let tries = StreamTries::new(route.repeat, route.tries);
+        let tries = StreamAttempts::new(route.repeat, route.tries);
         Self {
             core,
             holders: Vec::new(),
@@ -171,7 +171,7 @@
 
     /// Whether another engine may be asked.
     pub fn may_go_on(&self) -> bool {
-        self.tries.may_go_on() && !self.request.left().is_zero()
+        self.tries.can_continue() && !self.request.left().is_zero()
     }
 
     /// Asks engines which of them hold the prompt already.
@@ -236,7 +236,7 @@
             false => None,
         };
         let (kv, kv_guard) = kv.unzip();
-        if !self.core.board.lock().takes_work(&upstream.id) {
+        if !self.core.board.lock().accepts_work(&upstream.id) {
             // It began to leave while the prompt was read; the place is given back.
             drop(call);
             discard(kv_guard, VainReading::PlaceLeft);
@@ -271,10 +271,10 @@
             self.note_place(&id, &end, kv_guard.is_some() || is_held);
         }
         self.tries.note(match end {
-            CallEnd::Answer(_) | CallEnd::Lost(_) => TryEnd::Ran,
-            CallEnd::Held(_) => TryEnd::Held,
-            CallEnd::NotRun => TryEnd::Refused,
-            CallEnd::Unsent => TryEnd::Unsent,
+            CallEnd::Answer(_) | CallEnd::Lost(_) => AttemptEnd::Ran,
+            CallEnd::Held(_) => AttemptEnd::Blocked,
+            CallEnd::NotRun => AttemptEnd::Refused,
+            CallEnd::Unsent => AttemptEnd::Unsent,
         });
         match end {
             CallEnd::Answer(_) => [guard, kv_guard]
@@ -306,7 +306,7 @@
             tries,
             ..
         } = self;
-        let may = tries.take_call(|| core.take_retry(service));
+        let may = tries.allow_call(|| core.take_retry(service));
         if !may {
             self.request.story.note(format_args!("retry budget spent"));
         }
@@ -320,7 +320,7 @@
         match end {
             CallEnd::Answer(_) => board.note_run(engine),
             CallEnd::Held(_) | CallEnd::Lost(_) | CallEnd::Unsent => {}
-            CallEnd::NotRun => board.note_turned_away(engine, has_kv, steady_clock::now()),
+            CallEnd::NotRun => board.note_refusal(engine, has_kv, steady_clock::now()),
         }
     }
 
@@ -336,7 +336,7 @@
             tries,
             ..
         } = self;
-        let is_paid = tries.pay_ahead(|| core.take_retry(service));
+        let is_paid = tries.reserve_retry(|| core.take_retry(service));
         if !is_paid {
             self.request.story.note(format_args!("retry budget spent"));
         }
--- a/crates/relay/src/stream_flow/prompt_read.rs
+++ b/crates/relay/src/stream_flow/prompt_read.rs
@@ -8,7 +8,7 @@
     },
     http_body_util::{BodyExt, Limited},
     kernel::{ResultCode, UpstreamId, ZoneId, steady_clock},
-    policy::{CallVerdict, ChoiceQuery, ReadPace, ReaderChoice, TryEnd, UpstreamStage},
+    policy::{AttemptEnd, CallVerdict, ChoiceQuery, PrefillChoice, PrefillEstimate, UpstreamStage},
     std::{
         collections::BTreeSet,
         time::{Duration, Instant},
@@ -43,7 +43,7 @@
             tries,
             ..
         } = self;
-        if !tries.take_reading(|| core.take_retry(service)) {
+        if !tries.allow_prefill(|| core.take_retry(service)) {
             return None;
         }
         let upstream = choice.upstream;
@@ -56,10 +56,10 @@
         let began = steady_clock::now();
         let end = self.core.call(plan, upstream.clone()).await;
         self.tries.note(match end {
-            CallEnd::Answer(_) => TryEnd::Read,
-            CallEnd::Held(_) => TryEnd::Held,
-            CallEnd::Lost(_) | CallEnd::NotRun => TryEnd::ReadRefused,
-            CallEnd::Unsent => TryEnd::Unsent,
+            CallEnd::Answer(_) => AttemptEnd::Prefilled,
+            CallEnd::Held(_) => AttemptEnd::Blocked,
+            CallEnd::Lost(_) | CallEnd::NotRun => AttemptEnd::PrefillRefused,
+            CallEnd::Unsent => AttemptEnd::Unsent,
         });
         let answer = match end {
             CallEnd::Answer(answer) => answer,
@@ -100,8 +100,8 @@
             return None;
         }
         let now = steady_clock::now();
-        if !choice.is_held {
-            self.note_pace(&upstream.id, choice.ahead, now - began, now);
+        if !choice.is_cached {
+            self.note_pace(&upstream.id, choice.queued_tokens, now - began, now);
         }
         let handle = self.core.dialect.read_reply(&upstream, &bytes)?;
         let guard = LeftoverGuard::for_kv(self.core.clone(), upstream, handle.clone(), tokens);
@@ -110,21 +110,25 @@
 
     /// A prompt was read in so long, with `ahead` tokens to read there.
     fn note_pace(&self, engine: &UpstreamId, ahead: u64, took: Duration, now: Instant) {
-        let noted = self.core.board.lock().note_read(engine, ahead, took, now);
+        let noted = self
+            .core
+            .board
+            .lock()
+            .note_prefill(engine, ahead, took, now);
         if let Some(pace) = noted {
-            let alone = pace.alone(self.request.prompt_tokens());
+            let alone = pace.unqueued(self.request.prompt_tokens());
             self.core.note_reading(&self.service, alone, took);
         }
     }
 
     /// The prefill engine to ask; none when the decode engine is expected to be done sooner.
-    fn choose_reader(&self, tokens: u64, zone: &ZoneId) -> Option<ReaderChoice> {
+    fn choose_reader(&self, tokens: u64, zone: &ZoneId) -> Option<PrefillChoice> {
         let now = steady_clock::now();
-        let choice = self.core.board.lock().choose_reader(
+        let choice = self.core.board.lock().choose_prefill(
             &ChoiceQuery {
                 avoid: &[],
                 holders: &self.holders,
-                linked: &BTreeSet::new(),
+                connected: &BTreeSet::new(),
                 request: &self.request.head.id,
                 service: &self.service,
                 stage: UpstreamStage::Prefill,
@@ -133,7 +137,7 @@
             tokens,
             now,
         )?;
-        let unhurried = ReadPace::new(now).expect(tokens, now);
+        let unhurried = PrefillEstimate::new(now).expected(tokens, now);
         let own = unhurried * OWN_READ_FACTOR + OWN_READ_PRICE;
         (choice.cost <= own).then_some(choice)
     }
--- a/crates/route/src/replica_choice.rs
+++ b/crates/route/src/engine_selector.rs
@@ -1,6 +1,8 @@
 //! The choice among engines.
 
-use crate::{decode_option::DecodeOption, pair_draws::PairDraws, prefill_option::PrefillOption};
+use crate::{
+    decode_option::DecodeOption, pair_sampler::PairSampler, prefill_option::PrefillOption,
+};
 
 /// Options whose cost is within this share of the best one's count as equal.
 const TIE_SHARE: f64 = 0.01;
@@ -9,11 +11,11 @@
 ///
 /// Prefix affinity needs no rule of its own: an engine that holds the prefix finishes earlier.
 #[derive(Clone, Debug)]
-pub struct ReplicaChoice {
-    draws: PairDraws,
+pub struct EngineSelector {
+    draws: PairSampler,
 }
 
-impl ReplicaChoice {
+impl EngineSelector {
     /// The decode engine with the least predicted between-token time among those with a free place.
     pub fn decode<'a>(&mut self, options: &[DecodeOption<'a>]) -> Option<DecodeOption<'a>> {
         let mut costs = Vec::with_capacity(options.len());
@@ -29,7 +31,7 @@
     /// A choice whose ties the seed settles.
     pub fn new(seed: u64) -> Self {
         Self {
-            draws: PairDraws::new(seed),
+            draws: PairSampler::new(seed),
         }
     }
 
--- a/crates/route/src/leaving_bound.rs
+++ b/crates/route/src/leaving_bound.rs
@@ -21,24 +21,24 @@
 
 impl LeavingBound {
     /// The worst case for an upstream that says itself that it leaves: a report to one instance, then heartbeats.
-    pub fn said(&self) -> Duration {
-        self.report + self.spread()
+    pub fn announced(&self) -> Duration {
+        self.report + self.propagation()
     }
 
     /// The worst case for an upstream that fails without a word: failed calls or the list, whichever is first.
-    pub fn silent(&self) -> Duration {
+    pub fn unannounced(&self) -> Duration {
         let listed = self.list_lag + self.list_poll;
         let failed = self.call_timeout;
-        failed.min(listed) + self.spread()
+        failed.min(listed) + self.propagation()
     }
 
     /// How long a mark needs from one instance to all others that are not cut off.
-    pub fn spread(&self) -> Duration {
+    pub fn propagation(&self) -> Duration {
         self.heartbeat * self.hops
     }
 
     /// The worst of all cases.
     pub fn worst(&self) -> Duration {
-        self.said().max(self.silent())
+        self.announced().max(self.unannounced())
     }
 }
--- a/crates/route/src/leaving_table.rs
+++ b/crates/route/src/leaving_table.rs
@@ -32,7 +32,7 @@
     }
 
     /// Why an upstream takes no new work; none when it takes work.
-    pub fn leaving(&self, now: SystemTime, upstream: &UpstreamId) -> Option<LeavingCause> {
+    pub fn leaving_cause(&self, now: SystemTime, upstream: &UpstreamId) -> Option<LeavingCause> {
         let causes = [
             LeavingCause::Failed,
             LeavingCause::Listed,
--- a/crates/route/src/pair_draws.rs
+++ b/crates/route/src/pair_sampler.rs
@@ -4,12 +4,12 @@
 
 /// A sequence of draws that a seed fixes.
 #[derive(Clone, Debug)]
-pub(crate) struct PairDraws {
+pub(crate) struct PairSampler {
     count: u64,
     seed: u64,
 }
 
-impl PairDraws {
+impl PairSampler {
     pub(crate) fn new(seed: u64) -> Self {
         Self { count: 0, seed }
     }
--- a/crates/route/src/prefill_option.rs
+++ b/crates/route/src/prefill_option.rs
@@ -18,11 +18,11 @@
 impl PrefillOption<'_> {
     /// Seconds until a prompt of this many tokens is read there.
     pub fn finish_seconds(&self, prompt_tokens: f64) -> f64 {
-        self.queue_seconds + self.read_seconds(prompt_tokens)
+        self.queue_seconds + self.prefill_seconds(prompt_tokens)
     }
 
     /// Seconds that the reading itself takes.
-    pub fn read_seconds(&self, prompt_tokens: f64) -> f64 {
+    pub fn prefill_seconds(&self, prompt_tokens: f64) -> f64 {
         (prompt_tokens - self.cached_tokens).max(0.0) / self.rate.max(f64::MIN_POSITIVE)
     }
 }
--- a/crates/route/src/prefix_table.rs
+++ b/crates/route/src/prefix_table.rs
@@ -89,7 +89,7 @@
         if !cache.by_hash.contains_key(first) {
             return 0;
         }
-        let positions: Vec<usize> = looked_at(prefix.len()).collect();
+        let positions: Vec<usize> = sampled_positions(prefix.len()).collect();
         let held = positions.partition_point(|index| cache.by_hash.contains_key(&prefix[*index]));
         held.checked_sub(1).map_or(0, |last| positions[last] + 1)
     }
@@ -106,7 +106,7 @@
     /// A prompt was sent there: the engine will hold its blocks.
     pub fn sent(&mut self, upstream: &UpstreamId, prefix: &[BlockHash]) {
         let mut blocks: Vec<BlockHash> = Vec::new();
-        for index in looked_at(prefix.len()) {
+        for index in sampled_positions(prefix.len()) {
             blocks.push(prefix[index]);
         }
         // The first blocks are shared most: they are the youngest, so that a prompt loses its tail first.
@@ -139,7 +139,7 @@
 }
 
 /// The positions of a prompt's blocks that are looked at, ascending; the last block is always among them.
-fn looked_at(length: usize) -> impl Iterator<Item = usize> {
+fn sampled_positions(length: usize) -> impl Iterator<Item = usize> {
     let mut next = 0;
     std::iter::from_fn(move || {
         if next >= length {
--- a/crates/route/src/plain_choice.rs
+++ b/crates/route/src/replica_selector.rs
@@ -1,7 +1,7 @@
 //! The choice among replicas of one plain service.
 
 use {
-    crate::{pair_draws::PairDraws, plain_state::PlainState},
+    crate::{pair_sampler::PairSampler, replica_state::ReplicaState},
     bon::bon,
     kernel::UpstreamId,
     std::{
@@ -15,15 +15,15 @@
 /// A replica whose calls fail in a row backs off, longer each time. When every replica backs off, the one whose
 /// back-off ends first is tried, since an answer late is better than none; leaving ones get nothing ever.
 #[derive(Clone, Debug)]
-pub struct PlainChoice {
+pub struct ReplicaSelector {
     back_off: Duration,
-    draws: PairDraws,
+    draws: PairSampler,
     failure_limit: u32,
-    replicas: BTreeMap<UpstreamId, PlainState>,
+    replicas: BTreeMap<UpstreamId, ReplicaState>,
 }
 
 #[bon]
-impl PlainChoice {
+impl ReplicaSelector {
     /// A choice that knows no replica yet.
     #[builder]
     pub fn new(
@@ -39,14 +39,14 @@
     ) -> Self {
         Self {
             back_off,
-            draws: PairDraws::new(seed),
+            draws: PairSampler::new(seed),
             failure_limit: failure_limit.max(1),
             replicas: BTreeMap::new(),
         }
     }
 }
 
-impl PlainChoice {
+impl ReplicaSelector {
     /// A call was answered by the replica.
     pub fn answered(&mut self, upstream: &UpstreamId) {
         let Some(state) = self.replicas.get_mut(upstream) else {
@@ -74,12 +74,12 @@
     }
 
     /// A replica is gone.
-    pub fn gone(&mut self, upstream: &UpstreamId) {
+    pub fn remove(&mut self, upstream: &UpstreamId) {
         self.replicas.remove(upstream);
     }
 
     /// A replica takes no new work.
-    pub fn leaving(&mut self, upstream: &UpstreamId) {
+    pub fn mark_leaving(&mut self, upstream: &UpstreamId) {
         if let Some(state) = self.replicas.get_mut(upstream) {
             state.leaving = true;
         }
@@ -118,7 +118,7 @@
     }
 
     /// A replica is there, or is back.
-    pub fn up(&mut self, upstream: UpstreamId) {
+    pub fn add(&mut self, upstream: UpstreamId) {
         self.replicas.entry(upstream).or_default().leaving = false;
     }
 
--- a/crates/route/src/plain_state.rs
+++ b/crates/route/src/replica_state.rs
@@ -7,7 +7,7 @@
 
 /// Calls under way and recent failures of one replica.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PlainState {
+pub(crate) struct ReplicaState {
     /// Whether it takes no new work.
     pub(crate) leaving: bool,
     /// Calls under way.
@@ -17,7 +17,7 @@
     rounds: u32,
 }
 
-impl PlainState {
+impl ReplicaState {
     /// A call was answered: failures count from zero again.
     pub(crate) fn answered(&mut self) {
         self.failures = 0;
--- a/crates/route/tests/leaving_table.rs
+++ b/crates/route/tests/leaving_table.rs
@@ -65,11 +65,11 @@
     assert!(table.merge(mark(100, LeavingCause::Said, true, "a")));
     assert!(table.merge(mark(101, LeavingCause::Listed, false, "a")));
     assert_eq!(
-        table.leaving(at(102), &"a".into()),
+        table.leaving_cause(at(102), &"a".into()),
         Some(LeavingCause::Said)
     );
     assert!(table.merge(mark(103, LeavingCause::Said, false, "a")));
-    assert_eq!(table.leaving(at(104), &"a".into()), None);
+    assert_eq!(table.leaving_cause(at(104), &"a".into()), None);
     assert!(
         !table.merge(mark(100, LeavingCause::Said, true, "a")),
         "a late mark is old"
@@ -82,12 +82,12 @@
     table.merge(mark(100, LeavingCause::Failed, true, "a"));
     table.merge(mark(100, LeavingCause::Listed, true, "b"));
     assert_eq!(
-        table.leaving(at(109), &"a".into()),
+        table.leaving_cause(at(109), &"a".into()),
         Some(LeavingCause::Failed)
     );
-    assert_eq!(table.leaving(at(110), &"a".into()), None);
+    assert_eq!(table.leaving_cause(at(110), &"a".into()), None);
     assert_eq!(
-        table.leaving(at(699), &"b".into()),
+        table.leaving_cause(at(699), &"b".into()),
         Some(LeavingCause::Listed)
     );
     assert_eq!(table.expire(at(700)), 2);
@@ -103,6 +103,6 @@
         list_poll: Duration::from_secs(1),
         report: Duration::from_millis(250),
     };
-    assert_eq!(bound.said(), Duration::from_millis(1250));
+    assert_eq!(bound.announced(), Duration::from_millis(1250));
     assert_eq!(bound.worst(), Duration::from_secs(2));
 }
--- a/crates/route/tests/plain_choice.rs
+++ b/crates/route/tests/plain_choice.rs
@@ -2,17 +2,17 @@
 
 use {
     kernel::UpstreamId,
-    route::PlainChoice,
+    route::ReplicaSelector,
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
     },
 };
 
-fn choice_of(names: &[&str]) -> PlainChoice {
-    let mut choice = PlainChoice::builder().seed(7).build();
+fn choice_of(names: &[&str]) -> ReplicaSelector {
+    let mut choice = ReplicaSelector::builder().seed(7).build();
     for name in names {
-        choice.up((*name).into());
+        choice.add((*name).into());
     }
     choice
 }
@@ -21,13 +21,13 @@
 fn a_leaving_replica_gets_nothing() {
     let now = Instant::now();
     let mut choice = choice_of(&["a", "b"]);
-    choice.leaving(&"a".into());
+    choice.mark_leaving(&"a".into());
     for _ in 0..50 {
         assert_eq!(choice.pick(now).as_deref(), Some("b"));
     }
-    choice.leaving(&"b".into());
+    choice.mark_leaving(&"b".into());
     assert_eq!(choice.pick(now), None);
-    choice.up("a".into());
+    choice.add("a".into());
     assert_eq!(choice.pick(now).as_deref(), Some("a"));
 }
 
--- a/crates/route/tests/replica_choice.rs
+++ b/crates/route/tests/replica_choice.rs
@@ -3,7 +3,7 @@
 use {
     kernel::UpstreamId,
     proptest::prelude::*,
-    route::{DecodeOption, LaggedLoad, PrefillOption, PrefixTable, ReplicaChoice, RetryBudget},
+    route::{DecodeOption, EngineSelector, LaggedLoad, PrefillOption, PrefixTable, RetryBudget},
     std::time::{Duration, Instant},
 };
 
@@ -29,7 +29,7 @@
 #[test]
 fn a_cached_prefix_beats_an_idle_engine_until_its_queue_is_longer() {
     let (idle, warm): (UpstreamId, UpstreamId) = ("a".into(), "b".into());
-    let mut choice = ReplicaChoice::new(7);
+    let mut choice = EngineSelector::new(7);
     let mut pick = |queue| {
         let options = [reading(&idle, 0.0, 0.0), reading(&warm, 8_000.0, queue)];
         choice.prefill(10_000.0, &options).unwrap().upstream.clone()
@@ -42,7 +42,7 @@
 fn a_decode_engine_is_taken_by_its_step_and_never_when_full() {
     let (full, near, far): (UpstreamId, UpstreamId, UpstreamId) =
         ("a".into(), "b".into(), "c".into());
-    let mut choice = ReplicaChoice::new(7);
+    let mut choice = EngineSelector::new(7);
     let options = [
         decoding(&full, 0, 0),
         decoding(&near, 5, 9),
--- a/crates/spread/src/use_exchange.rs
+++ b/crates/spread/src/use_exchange.rs
@@ -10,7 +10,7 @@
     },
     kernel::{CustomerId, Incarnation, InstanceId, ZoneId, steady_clock},
     peer::PeerEndpoint,
-    policy::{QuotaTable, UseRow, UseTeller, UseTotals},
+    policy::{QuotaTable, UsageReporter, UsageRow, UsageTotals},
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
@@ -41,7 +41,7 @@
     /// Those that gave no answer.
     rests: BTreeMap<InstanceId, ReaderRest>,
     /// What was told to which life of whom.
-    told: BTreeMap<InstanceId, (Incarnation, UseTotals)>,
+    told: BTreeMap<InstanceId, (Incarnation, UsageTotals)>,
     /// When all customers were asked for last.
     whole: Option<Instant>,
 }
@@ -95,7 +95,7 @@
             };
             let before = std::mem::replace(&mut *self.board.first.lock(), partners.first.clone());
             if before.is_some() && partners.first.is_none() {
-                self.board.quotas.table.lock().note_first(now);
+                self.board.quotas.table.lock().start_aggregating(now);
             }
             let Some(first) = partners.first else {
                 return self.tell_zones(partners.zones, &own, now).await;
@@ -107,7 +107,7 @@
     }
 
     /// Tells the instance that adds up for this one; whether it answered.
-    async fn tell_first(&mut self, first: InstanceId, own: &UseTotals, now: Instant) -> bool {
+    async fn tell_first(&mut self, first: InstanceId, own: &UsageTotals, now: Instant) -> bool {
         let call = UseCall {
             rooms: self.board.rooms(),
             rows: self.news(&first, Some(&first), own),
@@ -117,18 +117,18 @@
         let Some(UseReply::Sums(sums)) = self.tell(&first, &call).await else {
             return false;
         };
-        let teller = UseTeller {
+        let teller = UsageReporter {
             instance: first,
             life: sums.life,
         };
         let now = steady_clock::now();
         let mut ledger = self.board.ledger.lock();
-        ledger.note_beyond(&teller, &sums.totals, now);
+        ledger.note_remote(&teller, &sums.totals, now);
         let others = ledger.others_of(sums.totals.keys());
         drop(ledger);
         let mut table = self.board.quotas.table.lock();
-        table.set_reach(f64::from(sums.reach) / FULL_REACH);
-        table.note_heard(now);
+        table.set_coverage(f64::from(sums.reach) / FULL_REACH);
+        table.note_synced(now);
         table.note_others(&others, &sums.assumed, now);
         take_rooms(&mut table, &sums, own, now);
         true
@@ -139,7 +139,7 @@
     async fn tell_zones(
         &mut self,
         zones: Vec<(ZoneId, Option<InstanceId>)>,
-        own: &UseTotals,
+        own: &UsageTotals,
         now: Instant,
     ) {
         let names = zones.iter().map(|(zone, _)| zone);
@@ -170,7 +170,7 @@
         &mut self,
         zone: ZoneId,
         first: InstanceId,
-        own: &UseTotals,
+        own: &UsageTotals,
     ) -> Option<UseSums> {
         let mut first = first;
         for _ in 0..TRIES {
@@ -186,7 +186,7 @@
                     first = named;
                 }
                 Some(UseReply::Sums(sums)) => {
-                    let teller = UseTeller {
+                    let teller = UsageReporter {
                         instance: first,
                         life: sums.life,
                     };
@@ -211,8 +211,8 @@
     }
 
     /// What `to` was not told yet, without what `of` told this instance.
-    fn news(&self, to: &InstanceId, of: Option<&InstanceId>, own: &UseTotals) -> Vec<UseRow> {
-        let mut rows = self.board.ledger.lock().telling(of, own);
+    fn news(&self, to: &InstanceId, of: Option<&InstanceId>, own: &UsageTotals) -> Vec<UsageRow> {
+        let mut rows = self.board.ledger.lock().report(of, own);
         let told = self.told.get(to);
         rows.retain(|row| told.and_then(|(_, told)| told.get(&row.customer)) != Some(&row.total));
         rows
@@ -238,7 +238,7 @@
                 let told = self.told.entry(to.clone()).or_default();
                 if told.0 != sums.life {
                     // A new life knows nothing of what was told before.
-                    *told = (sums.life, UseTotals::new());
+                    *told = (sums.life, UsageTotals::new());
                 }
                 let told = &mut told.1;
                 for row in &call.rows {
@@ -266,7 +266,7 @@
             self.whole = Some(now);
             return None;
         }
-        Some(self.board.quotas.table.lock().pressed(now))
+        Some(self.board.quotas.table.lock().scarce_customers(now))
     }
 
     /// Takes what the other zones told into the buckets, and what those that told nothing may have used.
@@ -278,19 +278,19 @@
         ledger.assume(&limits, now);
         let others = ledger.others_of(limits.keys());
         let assumed = ledger.assumed_of(limits.keys());
-        let reach = ledger.reach(now);
+        let reach = ledger.coverage(now);
         drop(ledger);
         let mut table = self.board.quotas.table.lock();
-        table.set_reach(reach);
-        table.note_heard(now);
+        table.set_coverage(reach);
+        table.note_synced(now);
         table.note_others(&others, &assumed, now);
     }
 }
 
 /// Takes over what the one asked has in its buckets.
-fn take_rooms(table: &mut QuotaTable, sums: &UseSums, own: &UseTotals, now: Instant) {
+fn take_rooms(table: &mut QuotaTable, sums: &UseSums, own: &UsageTotals, now: Instant) {
     match sums.is_settled {
-        true => table.follow_rooms(&sums.rooms, own, now),
-        false => table.note_rooms(&sums.rooms, now),
+        true => table.follow_balances(&sums.rooms, own, now),
+        false => table.cap_balances(&sums.rooms, now),
     }
 }
--- a/crates/spread/src/use_message.rs
+++ b/crates/spread/src/use_message.rs
@@ -2,7 +2,7 @@
 
 use {
     kernel::{CustomerId, Incarnation, InstanceId, ZoneId},
-    policy::{UseRow, UseTotals},
+    policy::{UsageRow, UsageTotals},
     serde::{Deserialize, Serialize},
 };
 
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UseCall {
     /// What is in the buckets that are low by the view of the one that asks, units.
-    pub rooms: UseTotals,
+    pub rooms: UsageTotals,
     /// What changed since the last call.
-    pub rows: Vec<UseRow>,
+    pub rows: Vec<UsageRow>,
     /// The customers that are asked for; none for all.
     pub wanted: Option<Vec<CustomerId>>,
     /// The zone whose first instance tells what all of it have used; none for one of the own zone.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct UseSums {
     /// What others are taken to have used beyond what they have told, units.
-    pub assumed: UseTotals,
+    pub assumed: UsageTotals,
     /// Whether the one asked has lived long enough for its rooms to be gone by.
     pub is_settled: bool,
     /// The life of the one asked: amounts of one life alone go on from each other.
@@ -43,7 +43,7 @@
     /// The part of the zones that the one asked hears of, in 100 parts.
     pub reach: u8,
     /// What is in the buckets by what the one asked was told, units.
-    pub rooms: UseTotals,
+    pub rooms: UsageTotals,
     /// What was used, units.
-    pub totals: UseTotals,
+    pub totals: UsageTotals,
 }
--- a/crates/spread/src/use_server.rs
+++ b/crates/spread/src/use_server.rs
@@ -4,7 +4,7 @@
     crate::{MemberBoard, UseCall, UseReply, UseSums, use_message::FULL_REACH},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, steady_clock},
     peer::{PeerIdentity, PeerIncoming, ProtocolTag},
-    policy::{UseLedger, UseTeller, UseTotals},
+    policy::{UsageLedger, UsageReporter, UsageTotals},
     relay::QuotaDesk,
     std::sync::Arc,
     tokio::sync::mpsc,
@@ -19,7 +19,7 @@
     /// Whom this instance tells; none while it is the first of its zone.
     pub first: Arc<RankedLock<Option<InstanceId>>>,
     /// What was told.
-    pub ledger: Arc<RankedLock<UseLedger>>,
+    pub ledger: Arc<RankedLock<UsageLedger>>,
     /// This life of the instance.
     pub life: Incarnation,
     /// The instances.
@@ -33,7 +33,7 @@
     pub fn new(life: Incarnation, members: MemberBoard, quotas: QuotaDesk) -> Self {
         Self {
             first: Arc::new(RankedLock::new(LockRank::Samples, None)),
-            ledger: Arc::new(RankedLock::new(LockRank::Readings, UseLedger::default())),
+            ledger: Arc::new(RankedLock::new(LockRank::Readings, UsageLedger::default())),
             life,
             members,
             quotas,
@@ -41,17 +41,19 @@
     }
 
     /// What the instance itself has used.
-    pub fn own(&self) -> UseTotals {
+    pub fn own(&self) -> UsageTotals {
         let table = self.quotas.table.lock();
-        let own = table.own().map(|(customer, own)| (customer.clone(), own));
+        let own = table
+            .own_usage()
+            .map(|(customer, own)| (customer.clone(), own));
         own.collect()
     }
 
     /// What is in the buckets that are low.
-    pub fn rooms(&self) -> UseTotals {
+    pub fn rooms(&self) -> UsageTotals {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
-        table.low_rooms(now)
+        table.low_balances(now)
     }
 
     /// Answers calls until the endpoint closes.
@@ -82,11 +84,11 @@
         if let Some(first) = first.filter(|_| call.zone.is_some()) {
             return UseReply::Ask(first);
         }
-        let teller = UseTeller {
+        let teller = UsageReporter {
             instance: from.instance,
             life: from.incarnation,
         };
-        self.quotas.table.lock().note_rooms(&call.rooms, now);
+        self.quotas.table.lock().cap_balances(&call.rooms, now);
         let own = self.own();
         let mut ledger = self.ledger.lock();
         let totals = match &call.zone {
@@ -94,11 +96,11 @@
                 let told = call.rows.iter();
                 let told = told.map(|row| (row.customer.clone(), row.total));
                 ledger.note_zone(zone, &teller, &told.collect(), now);
-                let rows = ledger.telling(None, &own).into_iter();
+                let rows = ledger.report(None, &own).into_iter();
                 rows.map(|row| (row.customer, row.total)).collect()
             }
             None => {
-                ledger.note_teller(&teller, &call.rows, now);
+                ledger.note_report(&teller, &call.rows, now);
                 ledger.others_for(&teller.instance, &own)
             }
         };
@@ -114,13 +116,13 @@
         UseReply::Sums(self.sums(call, totals, &all_assumed))
     }
 
-    fn sums(&self, call: &UseCall, totals: UseTotals, assumed: &UseTotals) -> UseSums {
+    fn sums(&self, call: &UseCall, totals: UsageTotals, assumed: &UsageTotals) -> UseSums {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
         let mut sums = UseSums {
             is_settled: table.is_settled(now),
             life: self.life,
-            reach: (table.reach() * FULL_REACH) as u8,
+            reach: (table.coverage() * FULL_REACH) as u8,
             ..UseSums::default()
         };
         let mut is_pressed = false;
@@ -135,7 +137,7 @@
             {
                 continue;
             }
-            if let Some(room) = table.told_room(&customer, now) {
+            if let Some(room) = table.reported_balance(&customer, now) {
                 sums.rooms.insert(customer.clone(), room as i64);
             }
             if let Some(assumed) = assumed.get(&customer).filter(|assumed| **assumed != 0) {
--- a/crates/trestlewalk/src/admin/admin_server.rs
+++ b/crates/trestlewalk/src/admin/admin_server.rs
@@ -9,7 +9,7 @@
         response::{IntoResponse, Response},
         routing::get,
     },
-    kernel::{CloseSignal, PluginEntry},
+    kernel::{PluginEntry, ShutdownSignal},
     prometheus::TextEncoder,
     serde_json::{Value, json},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -21,7 +21,7 @@
 /// The running admin server.
 #[derive(Debug)]
 pub struct AdminServer {
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     task: JoinHandle<()>,
 }
 
@@ -37,7 +37,7 @@
 
     /// Starts to answer at `listener`.
     pub fn start<S: StatusSource>(listener: TcpListener, state: AdminState<S>) -> Self {
-        let signal = CloseSignal::new();
+        let signal = ShutdownSignal::new();
         let raised = signal.clone();
         let server = axum::serve(listener, admin_router(state))
             .with_graceful_shutdown(async move { raised.raised().await });
--- a/crates/trestlewalk/src/entry/path_base.rs
+++ b/crates/trestlewalk/src/entry/path_base.rs
@@ -13,7 +13,7 @@
         CellHub, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView, StreamCanceller,
         TableBoard, UpstreamBoard,
     },
-    kernel::{CloseSignal, WorkerPool},
+    kernel::{ShutdownSignal, WorkerPool},
     peer::{PeerBook, PeerEndpoint, PeerError},
     plat::{BudgetPlatform, CallRate, HttpPlatform, InstanceKind, InstanceRecord, InstanceState},
     route::UpstreamRole,
@@ -118,7 +118,7 @@
     pub fn door_shared(
         &self,
         parts: &EntryParts,
-        cut: CloseSignal,
+        cut: ShutdownSignal,
         gate: Arc<AdmissionGate>,
     ) -> DoorShared<CompletionEngine> {
         let settings = &parts.settings;
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -12,7 +12,7 @@
     },
     door::{AdmissionGate, DoorServer},
     flow::TableBoard,
-    kernel::CloseSignal,
+    kernel::ShutdownSignal,
     peer::PeerEndpoint,
     snafu::ResultExt,
     std::{
@@ -29,11 +29,11 @@
 /// Everything between the callers' socket and the upstreams.
 pub struct RequestPath {
     control: ControlWork,
-    cut: CloseSignal,
+    cut: ShutdownSignal,
     endpoint: PeerEndpoint,
     gate: Arc<AdmissionGate>,
     server: JoinHandle<bool>,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     tickets: Arc<EntryTickets>,
 }
 
@@ -96,12 +96,12 @@
     pub fn start(callers: TcpListener, parts: &EntryParts) -> Result<Self, RunError> {
         let base = PathBase::new(parts)?;
         let control = ControlWork::start(&base, parts)?;
-        let cut = CloseSignal::new();
+        let cut = ShutdownSignal::new();
         let gate = Arc::new(AdmissionGate::new(
             parts.settings.limits.open_requests as usize,
         ));
         let shared = base.door_shared(parts, cut.clone(), gate.clone());
-        let signal = CloseSignal::new();
+        let signal = ShutdownSignal::new();
         let server = DoorServer::new(callers, Arc::new(shared));
         let members = control.members();
         let tickets = start_tickets(&base, parts, gate.clone(), server.router(), members)?;
