--- a/crates/admit/src/admit_event.rs
+++ b/crates/admit/src/admit_event.rs
@@ -10,7 +10,7 @@
 
 /// How far a request has come, as its entry instance announces it to a new allocator.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HoldPhase {
+pub enum AnnouncedPhase {
     /// It generates tokens.
     Decoding {
         /// The engine whose place it holds.
@@ -26,7 +26,7 @@
         since: Instant,
     },
     /// Its KV cache lies at the prefill engine and may be evicted.
-    Read {
+    Prefilled {
         /// The engine that has the KV cache.
         prefill: UpstreamId,
         /// When the reading ended.
@@ -49,7 +49,7 @@
     /// An entry instance announces what a request holds, to an allocator that did not grant it.
     Announce {
         /// How far the request has come.
-        phase: HoldPhase,
+        phase: AnnouncedPhase,
         /// The request.
         request: AdmitRequest,
     },
@@ -117,9 +117,9 @@
     },
     /// An entry instance whose session was lost tells anew how far a request has come. It counts in place of what the
     /// allocator holds: a grant may have been lost with the session.
-    Restate {
+    Reconcile {
         /// How far the request has come; none when it waits for a prefill engine.
-        phase: Option<HoldPhase>,
+        phase: Option<AnnouncedPhase>,
         /// The request.
         request: AdmitRequest,
     },
@@ -138,7 +138,7 @@
     /// An upstream is gone: all that requests hold there is free.
     UpstreamGone(UpstreamId),
     /// An upstream takes no new work; what runs there goes on.
-    UpstreamLeaving(UpstreamId, LeavingCause),
+    UpstreamDraining(UpstreamId, LeavingCause),
     /// An upstream is there, or changed its role or rates, or is back.
     UpstreamUp(UpstreamInfo),
 }
--- a/crates/admit/src/cell_allocator.rs
+++ b/crates/admit/src/cell_allocator.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         admit_action::AdmitAction,
-        admit_event::{AdmitEvent, HoldPhase},
+        admit_event::{AdmitEvent, AnnouncedPhase},
         admit_policy::AdmitPolicy,
         admit_request::AdmitRequest,
         cell_counts::CellCounts,
@@ -11,7 +11,7 @@
         ended_keys::EndedKeys,
         engine_pool::EnginePool,
         held_request::HeldRequest,
-        link_turns::LinkTurns,
+        link_schedule::LinkSchedule,
         pool_key::PoolKey,
         request_key::RequestKey,
         request_phase::RequestPhase,
@@ -43,23 +43,23 @@
     pub(crate) choice: ReplicaChoice,
     pub(crate) ended: EndedKeys,
     /// Announced requests whose row no table had yet.
-    pub(crate) early: BTreeMap<RequestKey, (HoldPhase, AdmitRequest)>,
-    pub(crate) lives: BTreeMap<InstanceId, Incarnation>,
-    pub(crate) link: LinkTurns,
+    pub(crate) pending: BTreeMap<RequestKey, (AnnouncedPhase, AdmitRequest)>,
+    pub(crate) live_incarnations: BTreeMap<InstanceId, Incarnation>,
+    pub(crate) link: LinkSchedule,
     pub(crate) pools: BTreeMap<PoolKey, EnginePool>,
     pub(crate) prefixes: PrefixTable,
     /// Requests whose KV cache waits for a place and a link turn, most pressing first.
-    pub(crate) read: BTreeSet<(Instant, RequestKey)>,
+    pub(crate) prefilled: BTreeSet<(Instant, RequestKey)>,
     pub(crate) requests: BTreeMap<RequestKey, HeldRequest>,
     pub(crate) row_ids: BTreeMap<WorkId, usize>,
     pub(crate) rows: Vec<RowState>,
     pub(crate) serial: u64,
     pub(crate) share: f64,
-    pub(crate) swept: Option<Instant>,
+    pub(crate) last_sweep: Option<Instant>,
     pub(crate) table: Arc<WorkTable>,
     pub(crate) timers: BTreeSet<(Instant, RequestKey)>,
     pub(crate) tuning: CellTuning,
-    pub(crate) woken: Option<Instant>,
+    pub(crate) next_wake: Option<Instant>,
 }
 
 #[bon]
@@ -102,36 +102,36 @@
         };
         Self {
             choice: ReplicaChoice::new(seed),
-            early: BTreeMap::new(),
+            pending: BTreeMap::new(),
             ended: EndedKeys::default(),
-            link: LinkTurns::default(),
-            lives: BTreeMap::new(),
+            link: LinkSchedule::default(),
+            live_incarnations: BTreeMap::new(),
             pools: BTreeMap::new(),
             prefixes: PrefixTable::new(prefix_blocks),
-            read: BTreeSet::new(),
+            prefilled: BTreeSet::new(),
             requests: BTreeMap::new(),
             row_ids: BTreeMap::new(),
             rows: Vec::new(),
             serial: 0,
             share: 1.0,
-            swept: None,
+            last_sweep: None,
             table: Arc::default(),
             timers: BTreeSet::new(),
             tuning,
-            woken: None,
+            next_wake: None,
         }
     }
 }
 
 impl AdmitPolicy for CellAllocator {
     fn on_event(&mut self, now: Instant, event: AdmitEvent, actions: &mut Vec<AdmitAction>) {
-        self.take(now, event, actions);
+        self.apply(now, event, actions);
         self.schedule(now, actions);
     }
 }
 
 impl CellAllocator {
-    fn take(&mut self, now: Instant, event: AdmitEvent, actions: &mut Vec<AdmitAction>) {
+    fn apply(&mut self, now: Instant, event: AdmitEvent, actions: &mut Vec<AdmitAction>) {
         match event {
             AdmitEvent::Announce { phase, request } => {
                 self.announce(now, phase, request, actions);
@@ -154,12 +154,14 @@
             AdmitEvent::Load(report) => self.load(&report),
             AdmitEvent::PrefillDone { key } => self.prefill_done(now, &key, actions),
             AdmitEvent::PrefillFailed { key } => self.prefill_failed(now, &key, actions),
-            AdmitEvent::Restate { phase, request } => self.restate(now, phase, request, actions),
+            AdmitEvent::Reconcile { phase, request } => {
+                self.reconcile(now, phase, request, actions)
+            }
             AdmitEvent::Submit(request) => self.submit(now, request, actions),
             AdmitEvent::Table { share, table } => self.set_table(now, share, table, actions),
             AdmitEvent::Tick => {}
             AdmitEvent::UpstreamGone(upstream) => self.upstream_gone(now, &upstream, actions),
-            AdmitEvent::UpstreamLeaving(upstream, _) => self.upstream_leaving(&upstream),
+            AdmitEvent::UpstreamDraining(upstream, _) => self.upstream_draining(&upstream),
             AdmitEvent::UpstreamUp(info) => self.upstream_up(now, info),
         }
     }
@@ -174,13 +176,13 @@
                 RequestPhase::Decoding { .. } => &mut counts.decoding,
                 RequestPhase::Prefilling { .. } => &mut counts.reading,
                 RequestPhase::Queued => &mut counts.queued,
-                RequestPhase::Read { .. } => &mut counts.read,
+                RequestPhase::Prefilled { .. } => &mut counts.read,
                 RequestPhase::Transferring { .. } => &mut counts.transferring,
             };
             *count += 1;
         }
         for pool in self.pools.values() {
-            counts.claims += pool.claims.len();
+            counts.claims += pool.reservations.len();
             for engine in pool.decodes.values() {
                 counts.places += usize::try_from(engine.load.own()).unwrap_or(usize::MAX);
             }
--- a/crates/admit/src/cell_estimates.rs
+++ b/crates/admit/src/cell_estimates.rs
@@ -24,7 +24,7 @@
             if state.queue.is_empty() || state.pool != own.pool || state.row.rank > own.row.rank {
                 continue;
             }
-            if index != row && !state.under_limit() {
+            if index != row && !state.is_under_limit() {
                 continue;
             }
             let queued = state.queue.len() as f64;
@@ -56,16 +56,16 @@
         let target = state.row.first_token.unwrap_or_default();
         let due = (request.arrived + target).checked_sub(seconds(transfer + pool.step_seconds()));
         let due = due.unwrap_or(now);
-        let claims = pool.claims.iter().take_while(|(time, _)| *time < due);
-        let ends = claims.count() as f64 + ahead.requests + 1.0 - free;
+        let earlier = pool.reservations.iter().take_while(|(time, _)| *time < due);
+        let ends = earlier.count() as f64 + ahead.requests + 1.0 - free;
         let place = pool.forecast.seconds_until(ends);
         let start = pool.start_seconds(now, ahead);
         let start = match state.row.waste <= 0.0 {
             true => start.max(place),
             false => start,
         };
-        let read = self.read_end_seconds(now, pool, request, start);
-        let ready = read.max(place);
+        let prefill_seconds = self.prefill_end_seconds(now, pool, request, start);
+        let ready = prefill_seconds.max(place);
         let wait = self.link.wait_seconds(now, ready, transfer);
         seconds(ready + wait + transfer + pool.step_seconds())
     }
@@ -78,13 +78,13 @@
         };
         let bound = f64::from(request.max_tokens);
         let length = state.sketch.quantile(SERVICE_QUANTILE, bound);
-        let read = pool.least_read_seconds(f64::from(request.prompt_tokens));
+        let prefill_seconds = pool.min_prefill_seconds(f64::from(request.prompt_tokens));
         let transfer = self.link.seconds(request.prompt_tokens);
-        seconds(read + transfer + length * pool.full_step_seconds())
+        seconds(prefill_seconds + transfer + length * pool.full_step_seconds())
     }
 
     /// Seconds until a prompt is read whose turn comes in `start` seconds.
-    fn read_end_seconds(
+    fn prefill_end_seconds(
         &self,
         now: Instant,
         pool: &EnginePool,
@@ -93,18 +93,18 @@
     ) -> f64 {
         let mut best = f64::INFINITY;
         for (upstream, engine) in &pool.prefills {
-            if engine.leaving {
+            if engine.is_draining {
                 continue;
             }
-            let tokens = f64::from(request.prompt_tokens) - self.cached(upstream, request);
+            let tokens = f64::from(request.prompt_tokens) - self.cached_tokens(upstream, request);
             let from = engine.queue_seconds(now).max(start);
-            best = best.min(from + engine.read_seconds(tokens.max(1.0)));
+            best = best.min(from + engine.prefill_seconds(tokens.max(1.0)));
         }
         best
     }
 
     /// The tokens of a prompt that an engine is thought to hold; the last one is always read.
-    pub(crate) fn cached(&self, upstream: &UpstreamId, request: &AdmitRequest) -> f64 {
+    pub(crate) fn cached_tokens(&self, upstream: &UpstreamId, request: &AdmitRequest) -> f64 {
         if request.prefix.is_empty() {
             return 0.0;
         }
@@ -117,7 +117,7 @@
 impl EnginePool {
     /// Seconds until the next prompt can be read once those before it were given out.
     fn start_seconds(&self, now: Instant, ahead: QueueAhead) -> f64 {
-        let open = self.prefills.values().filter(|engine| !engine.leaving);
+        let open = self.prefills.values().filter(|engine| !engine.is_draining);
         let mut queues: Vec<f64> = open.map(|engine| engine.queue_seconds(now)).collect();
         let engines = queues.len().max(1) as f64;
         let each = ahead.tokens / self.prefill_rate().max(f64::MIN_POSITIVE) * engines;
--- a/crates/admit/src/cell_grants.rs
+++ b/crates/admit/src/cell_grants.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         admit_action::AdmitAction, cell_allocator::CellAllocator, held_request::HeldRequest,
-        pool_key::PoolKey, read_verdict::ReadVerdict, request_key::RequestKey,
+        pool_key::PoolKey, prefill_decision::PrefillDecision, request_key::RequestKey,
         request_phase::RequestPhase,
     },
     kernel::UpstreamId,
@@ -12,13 +12,13 @@
 };
 
 /// A KV cache that is evicted this soon is transferred beside whatever crosses the link.
-const PRESSING: Duration = Duration::from_millis(60);
+const EVICTION_MARGIN: Duration = Duration::from_millis(60);
 /// How soon a blocked queue is looked at again when no event comes.
-const BLOCKED_WAKE: Duration = Duration::from_millis(10);
+const BLOCKED_RETRY: Duration = Duration::from_millis(10);
 /// The most requests that are passed over after one event.
-const SKIPS_LIMIT: usize = 4;
+const MAX_SKIPS: usize = 4;
 /// The most grants of reading after one event.
-const GRANTS_LIMIT: usize = 64;
+const MAX_GRANTS: usize = 64;
 
 impl CellAllocator {
     pub(crate) fn schedule(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
@@ -36,47 +36,51 @@
     fn wake(&mut self, now: Instant, blocked: bool, actions: &mut Vec<AdmitAction>) {
         let mut wake = self.timers.first().map(|(time, _)| *time);
         let mut sooner = |time: Instant| wake = Some(wake.map_or(time, |wake| wake.min(time)));
-        if !self.read.is_empty() {
+        if !self.prefilled.is_empty() {
             let free = self.link.free_at(now);
             if let Some(free) = free.and_then(|free| free.checked_sub(self.tuning.lookahead)) {
                 sooner(free.max(now));
             }
-            for (_, key) in &self.read {
-                let evicts = self.requests.get(key).and_then(HeldRequest::evicts);
-                let pressing = evicts.and_then(|evicts| evicts.checked_sub(PRESSING));
+            for (_, key) in &self.prefilled {
+                let evicts_at = self.requests.get(key).and_then(HeldRequest::evicts_at);
+                let pressing =
+                    evicts_at.and_then(|evicts_at| evicts_at.checked_sub(EVICTION_MARGIN));
                 if let Some(pressing) = pressing.filter(|pressing| now < *pressing) {
                     sooner(pressing);
                 }
             }
             for pool in self.pools.values() {
                 for engine in pool.decodes.values() {
-                    if let Some((_, until)) = engine.full.filter(|(_, until)| now < *until) {
+                    if let Some((_, until)) = engine.full_period.filter(|(_, until)| now < *until) {
                         sooner(until);
                     }
                 }
             }
         }
         if blocked {
-            sooner(now + BLOCKED_WAKE);
+            sooner(now + BLOCKED_RETRY);
         }
         let Some(wake) = wake else {
             return;
         };
-        if self.woken.is_some_and(|woken| now < woken && woken <= wake) {
+        if self
+            .next_wake
+            .is_some_and(|woken| now < woken && woken <= wake)
+        {
             return;
         }
-        self.woken = Some(wake);
+        self.next_wake = Some(wake);
         actions.push(AdmitAction::WakeAt(wake));
     }
 
     fn grant_decodes(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
-        let waiting: Vec<RequestKey> = self.read.iter().map(|(_, key)| key.clone()).collect();
+        let waiting: Vec<RequestKey> = self.prefilled.iter().map(|(_, key)| key.clone()).collect();
         for key in waiting {
             let held = self.requests.get(&key);
             let tokens = held.map_or(0, |held| held.request.prompt_tokens);
             let transfer = self.link.seconds(tokens);
-            let evicts = held.and_then(HeldRequest::evicts);
-            let pressing = evicts.is_some_and(|evicts| evicts <= now + PRESSING);
+            let evicts_at = held.and_then(HeldRequest::evicts_at);
+            let pressing = evicts_at.is_some_and(|evicts_at| evicts_at <= now + EVICTION_MARGIN);
             if !pressing && !self.link.may_start(now, transfer, self.tuning.lookahead) {
                 continue;
             }
@@ -96,8 +100,8 @@
         let Some(mut held) = self.remove(now, key) else {
             return;
         };
-        if let RequestPhase::Read { evicts, prefill } = held.phase {
-            held.kv = Some((prefill, evicts));
+        if let RequestPhase::Prefilled { evicts_at, prefill } = held.phase {
+            held.kv = Some((prefill, evicts_at));
         }
         self.link.start(now, held.request.prompt_tokens);
         held.phase = RequestPhase::Transferring {
@@ -139,20 +143,20 @@
         actions: &mut Vec<AdmitAction>,
     ) -> bool {
         let mut skipped = Vec::new();
-        for _ in 0..GRANTS_LIMIT {
-            let Some(turn) = self.next_turn(now, pool, &skipped) else {
+        for _ in 0..MAX_GRANTS {
+            let Some(candidate) = self.next_candidate(now, pool, &skipped) else {
                 return !skipped.is_empty();
             };
-            let Some((prefill, tokens)) = self.pick_prefill(now, pool, &turn.key) else {
+            let Some((prefill, tokens)) = self.pick_prefill(now, pool, &candidate.key) else {
                 return !skipped.is_empty();
             };
-            match self.may_read(now, pool, &turn, &prefill, tokens) {
-                ReadVerdict::Blocked => return true,
-                ReadVerdict::Skip if skipped.len() == SKIPS_LIMIT => return true,
-                ReadVerdict::Skip => skipped.push(turn.key),
-                ReadVerdict::Start => {
-                    self.grant_prefill(now, &turn.key, prefill, tokens, actions);
-                    self.take_turn(pool, &turn, tokens);
+            match self.decide_prefill(now, pool, &candidate, &prefill, tokens) {
+                PrefillDecision::Blocked => return true,
+                PrefillDecision::Skip if skipped.len() == MAX_SKIPS => return true,
+                PrefillDecision::Skip => skipped.push(candidate.key),
+                PrefillDecision::Start => {
+                    self.grant_prefill(now, &candidate.key, prefill, tokens, actions);
+                    self.charge_row(pool, &candidate, tokens);
                 }
             }
         }
@@ -171,7 +175,7 @@
             return;
         };
         self.prefixes.sent(&prefill, &held.request.prefix);
-        held.granted = held.granted.or(Some(now));
+        held.granted_at = held.granted_at.or(Some(now));
         held.phase = RequestPhase::Prefilling {
             prefill: prefill.clone(),
             tokens,
@@ -197,11 +201,11 @@
         let mut all = Vec::with_capacity(pool.prefills.len());
         let mut idle = Vec::with_capacity(pool.prefills.len());
         for (upstream, engine) in &pool.prefills {
-            if engine.leaving {
+            if engine.is_draining {
                 continue;
             }
             let option = PrefillOption {
-                cached_tokens: self.cached(upstream, &held.request),
+                cached_tokens: self.cached_tokens(upstream, &held.request),
                 queue_seconds: engine.queue_seconds(now),
                 rate: engine.info.prefill_rate,
                 upstream,
--- a/crates/admit/src/cell_books.rs
+++ b/crates/admit/src/cell_indexes.rs
@@ -13,43 +13,43 @@
 /// How many times the expected time news may take before that.
 const LOST_FACTOR: f64 = 4.0;
 /// The bound of any wait, so that sums of times stay in range.
-pub(crate) const FOREVER: Duration = Duration::from_secs(365 * 24 * 3600);
+pub(crate) const MAX_WAIT: Duration = Duration::from_secs(365 * 24 * 3600);
 
 impl CellAllocator {
     /// Enters a request in every index that its phase names.
     pub(crate) fn put(&mut self, now: Instant, key: RequestKey, mut held: HeldRequest) {
-        held.timer = self.timer_of(now, &held);
-        held.due = self.due_of(now, &held);
-        self.timers.insert((held.timer, key.clone()));
+        held.timer_at = self.timer_for(now, &held);
+        held.due = self.place_due_at(now, &held);
+        self.timers.insert((held.timer_at, key.clone()));
         let row = &mut self.rows[held.row];
         let tokens = held.request.prompt_tokens;
         if let RequestPhase::Queued = held.phase {
-            row.queue.insert(held.place, key.clone());
+            row.queue.insert(held.position, key.clone());
             row.queued_tokens += u64::from(tokens);
         } else {
             row.running += 1;
         }
-        if held.phase.is_claim() {
-            self.link.claim(tokens);
+        if held.phase.awaits_place() {
+            self.link.reserve(tokens);
         }
         self.put_in_pool(now, &key, &held);
-        if let RequestPhase::Read { .. } = held.phase {
-            self.read.insert((held.due, key.clone()));
+        if let RequestPhase::Prefilled { .. } = held.phase {
+            self.prefilled.insert((held.due, key.clone()));
         }
         self.requests.insert(key, held);
     }
 
     fn put_in_pool(&mut self, now: Instant, key: &RequestKey, held: &HeldRequest) {
         let pool = self.pools.entry(held.pool.clone()).or_default();
-        if held.phase.is_claim() {
-            pool.claims.insert((held.due, key.clone()));
+        if held.phase.awaits_place() {
+            pool.reservations.insert((held.due, key.clone()));
         }
         match &held.phase {
             RequestPhase::Decoding { decode, tokens } => {
                 let Some(engine) = pool.decodes.get_mut(decode) else {
                     return;
                 };
-                let started = engine.started(now, *tokens);
+                let started = engine.starting_count(now, *tokens);
                 let stream = self.rows[held.row].stream(held, Some(started));
                 engine.add(now, key.clone(), stream);
             }
@@ -59,9 +59,9 @@
                 }
             }
             RequestPhase::Queued => {}
-            RequestPhase::Read { prefill, .. } => {
+            RequestPhase::Prefilled { prefill, .. } => {
                 if let Some(engine) = pool.prefills.get_mut(prefill) {
-                    engine.kept.insert(key.clone());
+                    engine.exported.insert(key.clone());
                 }
             }
             RequestPhase::Transferring { decode } => {
@@ -77,20 +77,20 @@
     /// Takes a request out of every index; all that it held is free.
     pub(crate) fn remove(&mut self, now: Instant, key: &RequestKey) -> Option<HeldRequest> {
         let held = self.requests.remove(key)?;
-        self.timers.remove(&(held.timer, key.clone()));
+        self.timers.remove(&(held.timer_at, key.clone()));
         let row = &mut self.rows[held.row];
         let tokens = held.request.prompt_tokens;
         if let RequestPhase::Queued = held.phase {
-            row.queue.remove(&held.place);
+            row.queue.remove(&held.position);
             row.queued_tokens -= u64::from(tokens);
         } else {
             row.running -= 1;
         }
-        if held.phase.is_claim() {
-            self.link.unclaim(tokens);
+        if held.phase.awaits_place() {
+            self.link.release(tokens);
         }
-        if let RequestPhase::Read { .. } = held.phase {
-            self.read.remove(&(held.due, key.clone()));
+        if let RequestPhase::Prefilled { .. } = held.phase {
+            self.prefilled.remove(&(held.due, key.clone()));
         }
         self.remove_from_pool(now, key, &held);
         Some(held)
@@ -100,12 +100,12 @@
         let Some(pool) = self.pools.get_mut(&held.pool) else {
             return;
         };
-        if held.phase.is_claim() {
-            pool.claims.remove(&(held.due, key.clone()));
+        if held.phase.awaits_place() {
+            pool.reservations.remove(&(held.due, key.clone()));
         }
         match &held.phase {
             RequestPhase::Decoding { decode, .. } | RequestPhase::Transferring { decode } => {
-                pool.forget_stream(now, decode, key, &self.rows);
+                pool.remove_stream(now, decode, key, &self.rows);
             }
             RequestPhase::Prefilling { prefill, .. } => {
                 if let Some(engine) = pool.prefills.get_mut(prefill) {
@@ -113,28 +113,30 @@
                 }
             }
             RequestPhase::Queued => {}
-            RequestPhase::Read { prefill, .. } => {
+            RequestPhase::Prefilled { prefill, .. } => {
                 if let Some(engine) = pool.prefills.get_mut(prefill) {
-                    engine.kept.remove(key);
+                    engine.exported.remove(key);
                 }
             }
         }
     }
 
     /// By when a request needs a decode place: before its KV cache is evicted, and in time for its first token.
-    fn due_of(&self, now: Instant, held: &HeldRequest) -> Instant {
+    fn place_due_at(&self, now: Instant, held: &HeldRequest) -> Instant {
         let eviction = self.link.eviction();
         let kept = eviction.mul_f64(self.tuning.eviction_share);
         let ready = match &held.phase {
             RequestPhase::Prefilling { prefill, tokens } => {
                 let pool = self.pools.get(&held.pool);
                 let engine = pool.and_then(|pool| pool.prefills.get(prefill));
-                let read = engine.map_or(0.0, |engine| {
-                    engine.queue_seconds(now) + engine.read_seconds(*tokens)
+                let prefill_seconds = engine.map_or(0.0, |engine| {
+                    engine.queue_seconds(now) + engine.prefill_seconds(*tokens)
                 });
-                now + seconds(read)
+                now + seconds(prefill_seconds)
+            }
+            RequestPhase::Prefilled { evicts_at, .. } => {
+                evicts_at.checked_sub(eviction).unwrap_or(now)
             }
-            RequestPhase::Read { evicts, .. } => evicts.checked_sub(eviction).unwrap_or(now),
             _ => return now,
         };
         self.place_due(held, ready, ready + kept)
@@ -153,11 +155,11 @@
     }
 
     /// When the allocator has to look at a request again if it hears nothing.
-    fn timer_of(&self, now: Instant, held: &HeldRequest) -> Instant {
+    fn timer_for(&self, now: Instant, held: &HeldRequest) -> Instant {
         let tokens = held.request.prompt_tokens;
         let transfer = self.link.seconds(tokens);
         let Some(pool) = self.pools.get(&held.pool) else {
-            return held.patience;
+            return held.patience_end;
         };
         match &held.phase {
             RequestPhase::Decoding { decode, tokens } => {
@@ -168,38 +170,38 @@
                         + info.decode_slope_seconds * f64::from(info.decode_places)
                 });
                 let left = held.request.max_tokens.saturating_sub(*tokens);
-                lost_after(now, step * f64::from(left))
+                lost_deadline(now, step * f64::from(left))
             }
             RequestPhase::Prefilling { prefill, tokens } => {
                 let engine = pool.prefills.get(prefill);
-                let read = engine.map_or(0.0, |engine| {
-                    engine.queue_seconds(now) + engine.read_seconds(*tokens)
+                let prefill_seconds = engine.map_or(0.0, |engine| {
+                    engine.queue_seconds(now) + engine.prefill_seconds(*tokens)
                 });
-                lost_after(now, read)
+                lost_deadline(now, prefill_seconds)
             }
             RequestPhase::Queued => {
                 let Some(deadline) = held.deadline else {
-                    let next = if held.place.late {
-                        held.patience
+                    let next = if held.position.is_late {
+                        held.patience_end
                     } else {
-                        held.latest
+                        held.latest_start
                     };
-                    return next.min(held.patience);
+                    return next.min(held.patience_end);
                 };
-                let least = pool.least_read_seconds(f64::from(tokens)) + transfer;
+                let least = pool.min_prefill_seconds(f64::from(tokens)) + transfer;
                 let least = Duration::try_from_secs_f64(least + pool.step_seconds());
                 let latest = deadline.checked_sub(least.unwrap_or_default());
-                held.patience.min(latest.unwrap_or(deadline))
+                held.patience_end.min(latest.unwrap_or(deadline))
             }
-            RequestPhase::Read { evicts, .. } => *evicts + LOST_AFTER,
-            RequestPhase::Transferring { .. } => lost_after(now, transfer),
+            RequestPhase::Prefilled { evicts_at, .. } => *evicts_at + LOST_AFTER,
+            RequestPhase::Transferring { .. } => lost_deadline(now, transfer),
         }
     }
 }
 
-fn lost_after(now: Instant, seconds: f64) -> Instant {
-    let time = Duration::try_from_secs_f64(seconds * LOST_FACTOR).unwrap_or(FOREVER);
-    now + time.min(FOREVER) + LOST_AFTER
+fn lost_deadline(now: Instant, seconds: f64) -> Instant {
+    let time = Duration::try_from_secs_f64(seconds * LOST_FACTOR).unwrap_or(MAX_WAIT);
+    now + time.min(MAX_WAIT) + LOST_AFTER
 }
 
 impl crate::row_state::RowState {
--- a/crates/admit/src/cell_plan.rs
+++ b/crates/admit/src/cell_plan.rs
@@ -49,10 +49,10 @@
     }
 
     /// The cells where something of a row may run, by their names; a row with a small limit has few.
-    pub fn homes(&self, row: &WorkRow) -> Vec<CellKey> {
-        let mut homes = self.cells_for(row);
-        homes.retain(|cell| self.limit_share(row, cell) != Some(0));
-        homes
+    pub fn cells_with_capacity(&self, row: &WorkRow) -> Vec<CellKey> {
+        let mut cells_with_capacity = self.allowed_cells(row);
+        cells_with_capacity.retain(|cell| self.limit_share(row, cell) != Some(0));
+        cells_with_capacity
     }
 
     /// How many requests of a row may run at once in a cell; none is no limit.
@@ -62,7 +62,7 @@
     /// the limit, a cell that is cut off keeps to its own part, and a row goes on somewhere unless its limit is 0.
     pub fn limit_share(&self, row: &WorkRow, cell: &CellKey) -> Option<u32> {
         let limit = row.limit?;
-        let mut cells = self.cells_for(row);
+        let mut cells = self.allowed_cells(row);
         if !cells.contains(cell) {
             return Some(0);
         }
@@ -88,7 +88,7 @@
         split
     }
 
-    fn cells_for(&self, row: &WorkRow) -> Vec<CellKey> {
+    fn allowed_cells(&self, row: &WorkRow) -> Vec<CellKey> {
         let Some(model) = &row.model else {
             return Vec::new();
         };
--- a/crates/admit/src/cell_refusals.rs
+++ b/crates/admit/src/cell_refusals.rs
@@ -50,7 +50,7 @@
             return Some((ResultCode::LimitReached, turn));
         }
         if let Some(pool) = self.pools.get_mut(&self.rows[row].pool) {
-            pool.look_ahead(now, &self.rows);
+            pool.refresh_forecast(now, &self.rows);
         }
         let ahead = self.queue_ahead(row);
         let wait = self.first_token_after(now, row, request, ahead);
@@ -63,7 +63,7 @@
     /// How long a new request of a row waits until the row is under its limit.
     fn limit_wait(&self, row: usize) -> Duration {
         let state = &self.rows[row];
-        if state.under_limit() {
+        if state.is_under_limit() {
             return Duration::ZERO;
         }
         let residence = state.residence.unwrap_or_default();
@@ -77,17 +77,17 @@
         let Some(pool) = self.pools.get_mut(&state.pool) else {
             return Self::UNKNOWN_WAIT;
         };
-        pool.look_ahead(now, &self.rows);
+        pool.refresh_forecast(now, &self.rows);
         let ahead = self.queue_ahead(row);
         let state = &self.rows[row];
         let Some(pool) = self.pools.get(&state.pool) else {
             return Self::UNKNOWN_WAIT;
         };
-        let read = ahead.tokens / pool.prefill_rate().max(f64::MIN_POSITIVE);
+        let prefill_seconds = ahead.tokens / pool.prefill_rate().max(f64::MIN_POSITIVE);
         let free = f64::from(pool.free(now, state.row.between_tokens));
-        let ends = pool.claims.len() as f64 + ahead.requests + 1.0 - free;
+        let ends = pool.reservations.len() as f64 + ahead.requests + 1.0 - free;
         let place = pool.forecast.seconds_until(ends);
-        seconds(read.max(place)).max(self.limit_wait(row))
+        seconds(prefill_seconds.max(place)).max(self.limit_wait(row))
     }
 
     /// Looks at the requests whose time has come.
@@ -105,13 +105,15 @@
                 RequestPhase::Decoding { .. } | RequestPhase::Transferring { .. } => {
                     self.resync(&key, actions);
                 }
-                RequestPhase::Prefilling { .. } | RequestPhase::Read { .. } => {
+                RequestPhase::Prefilling { .. } | RequestPhase::Prefilled { .. } => {
                     self.retry(now, held, actions);
                 }
                 RequestPhase::Queued
-                    if held.deadline.is_none() && !held.place.late && now < held.patience =>
+                    if held.deadline.is_none()
+                        && !held.position.is_late
+                        && now < held.patience_end =>
                 {
-                    held.place.late = true;
+                    held.position.is_late = true;
                     self.put(now, key, held);
                 }
                 RequestPhase::Queued => {
@@ -128,11 +130,13 @@
 
     /// Refuses urgent requests that are known to be late by now, though their own time has not come.
     pub(crate) fn sweep_urgent(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
-        let since = self.swept.map(|swept| now.saturating_duration_since(swept));
+        let since = self
+            .last_sweep
+            .map(|swept| now.saturating_duration_since(swept));
         if since.is_some_and(|since| since < SWEEP_PERIOD) {
             return;
         }
-        self.swept = Some(now);
+        self.last_sweep = Some(now);
         for row in 0..self.rows.len() {
             if self.rows[row].row.first_token.is_some() {
                 self.sweep_row(now, row, actions);
@@ -145,7 +149,7 @@
             return;
         }
         if let Some(pool) = self.pools.get_mut(&self.rows[row].pool) {
-            pool.look_ahead(now, &self.rows);
+            pool.refresh_forecast(now, &self.rows);
         }
         let mut ahead = self.queue_ahead(row);
         ahead.requests -= self.rows[row].queue.len() as f64;
@@ -155,7 +159,7 @@
             let Some(held) = self.requests.get(key) else {
                 continue;
             };
-            let deadline = held.deadline.unwrap_or(held.patience);
+            let deadline = held.deadline.unwrap_or(held.patience_end);
             let left = deadline.saturating_duration_since(now);
             let wait = self.first_token_after(now, row, &held.request, ahead);
             if wait > left {
--- a/crates/admit/src/cell_requests.rs
+++ b/crates/admit/src/cell_requests.rs
@@ -2,22 +2,22 @@
 
 use {
     crate::{
-        admit_action::AdmitAction, admit_event::HoldPhase, admit_request::AdmitRequest,
-        cell_allocator::CellAllocator, cell_books::FOREVER, held_request::HeldRequest,
-        queue_place::QueuePlace, request_key::RequestKey, request_phase::RequestPhase,
+        admit_action::AdmitAction, admit_event::AnnouncedPhase, admit_request::AdmitRequest,
+        cell_allocator::CellAllocator, cell_indexes::MAX_WAIT, held_request::HeldRequest,
+        queue_position::QueuePosition, request_key::RequestKey, request_phase::RequestPhase,
     },
     kernel::{Incarnation, InstanceId, ResultCode, UpstreamId},
     std::time::Instant,
 };
 
 /// How many announced requests are kept until a table comes.
-const EARLY_LIMIT: usize = 65_536;
+const MAX_PENDING: usize = 65_536;
 
 impl CellAllocator {
     pub(crate) fn announce(
         &mut self,
         now: Instant,
-        phase: HoldPhase,
+        phase: AnnouncedPhase,
         request: AdmitRequest,
         actions: &mut Vec<AdmitAction>,
     ) {
@@ -34,12 +34,12 @@
         };
         let key = request.key.clone();
         self.remove(now, &key);
-        let mut held = self.hold(now, row, request);
-        held.granted = Some(now);
-        if let HoldPhase::Transferring { prefill, since, .. } = &phase {
+        let mut held = self.queued_request(now, row, request);
+        held.granted_at = Some(now);
+        if let AnnouncedPhase::Transferring { prefill, since, .. } = &phase {
             held.kv = Some((prefill.clone(), *since + self.link.eviction()));
         }
-        held.phase = self.announced(phase, &held);
+        held.phase = self.announced_phase(phase, &held);
         self.put(now, key, held);
     }
 
@@ -47,34 +47,36 @@
     /// for a grant.
     fn announce_unknown(
         &mut self,
-        phase: HoldPhase,
+        phase: AnnouncedPhase,
         request: AdmitRequest,
         actions: &mut Vec<AdmitAction>,
     ) {
         if self.table.version == 0 {
-            if self.early.len() < EARLY_LIMIT {
-                self.early.insert(request.key.clone(), (phase, request));
+            if self.pending.len() < MAX_PENDING {
+                self.pending.insert(request.key.clone(), (phase, request));
             }
             return;
         }
-        if let HoldPhase::Read { .. } = phase {
+        if let AnnouncedPhase::Prefilled { .. } = phase {
             let code = ResultCode::WorkUnknown;
             actions.push(Self::refuse(request.key, code, Self::UNKNOWN_WAIT));
         }
     }
 
-    fn announced(&self, phase: HoldPhase, held: &HeldRequest) -> RequestPhase {
+    fn announced_phase(&self, phase: AnnouncedPhase, held: &HeldRequest) -> RequestPhase {
         match phase {
-            HoldPhase::Decoding { decode, tokens } => RequestPhase::Decoding { decode, tokens },
-            HoldPhase::Prefilling { prefill, .. } => RequestPhase::Prefilling {
+            AnnouncedPhase::Decoding { decode, tokens } => {
+                RequestPhase::Decoding { decode, tokens }
+            }
+            AnnouncedPhase::Prefilling { prefill, .. } => RequestPhase::Prefilling {
                 prefill,
                 tokens: f64::from(held.request.prompt_tokens),
             },
-            HoldPhase::Read { prefill, since } => RequestPhase::Read {
-                evicts: since + self.link.eviction(),
+            AnnouncedPhase::Prefilled { prefill, since } => RequestPhase::Prefilled {
+                evicts_at: since + self.link.eviction(),
                 prefill,
             },
-            HoldPhase::Transferring { decode, .. } => RequestPhase::Transferring { decode },
+            AnnouncedPhase::Transferring { decode, .. } => RequestPhase::Transferring { decode },
         }
     }
 
@@ -112,18 +114,18 @@
         };
         let pool = self.pools.get_mut(&held.pool);
         if let Some(engine) = pool.and_then(|pool| pool.decodes.get_mut(&decode)) {
-            engine.full = Some((now, now + self.tuning.full_backoff));
+            engine.full_period = Some((now, now + self.tuning.full_backoff));
         }
         // A KV cache at an engine that is gone by now is lost with it.
         let kept = held.kv.take().filter(|(prefill, _)| {
             let pool = self.pools.get(&held.pool);
             pool.is_some_and(|pool| pool.prefills.contains_key(prefill))
         });
-        let Some((prefill, evicts)) = kept else {
+        let Some((prefill, evicts_at)) = kept else {
             self.retry(now, held, actions);
             return;
         };
-        held.phase = RequestPhase::Read { evicts, prefill };
+        held.phase = RequestPhase::Prefilled { evicts_at, prefill };
         self.put(now, key.clone(), held);
     }
 
@@ -136,13 +138,13 @@
         let Some(held) = self.remove(now, key) else {
             return;
         };
-        if held.charged > 0.0 {
-            self.settle_turn(&held, output_tokens);
+        if held.charged_seconds > 0.0 {
+            self.settle_charge(&held, output_tokens);
         }
         let row = &mut self.rows[held.row];
-        row.sketch.note(output_tokens);
-        if let Some(granted) = held.granted {
-            row.note_residence(now.saturating_duration_since(granted));
+        row.sketch.record(output_tokens);
+        if let Some(granted) = held.granted_at {
+            row.record_residence(now.saturating_duration_since(granted));
         }
         self.ended.insert(key.clone());
     }
@@ -162,12 +164,17 @@
     }
 
     /// A request as it is before it holds anything.
-    pub(crate) fn hold(&mut self, now: Instant, row: usize, request: AdmitRequest) -> HeldRequest {
+    pub(crate) fn queued_request(
+        &mut self,
+        now: Instant,
+        row: usize,
+        request: AdmitRequest,
+    ) -> HeldRequest {
         let state = &self.rows[row];
         let arrived = request.arrived;
         let first_token = state.row.first_token;
-        let deadline = first_token.map(|target| arrived + target.min(FOREVER));
-        let patience = arrived + state.row.patience.min(FOREVER);
+        let deadline = first_token.map(|target| arrived + target.min(MAX_WAIT));
+        let patience = arrived + state.row.patience.min(MAX_WAIT);
         let service = self.service_time(row, &request);
         let latest = patience
             .checked_sub(service)
@@ -175,25 +182,25 @@
             .max(arrived);
         self.serial += 1;
         HeldRequest {
-            charged: 0.0,
+            charged_seconds: 0.0,
             deadline,
             due: now,
-            granted: None,
+            granted_at: None,
             kv: None,
-            latest,
-            patience,
+            latest_start: latest,
+            patience_end: patience,
             phase: RequestPhase::Queued,
-            place: QueuePlace {
-                late: false,
-                fresh: true,
+            position: QueuePosition {
+                is_late: false,
+                is_fresh: true,
                 deadline: deadline.unwrap_or(latest),
                 serial: self.serial,
             },
             pool: state.pool.clone(),
             request,
             row,
-            timer: now,
-            tries: 0,
+            timer_at: now,
+            failed_tries: 0,
         }
     }
 
@@ -207,13 +214,17 @@
         for key in gone {
             self.remove(now, &key);
         }
-        let life = self.lives.entry(instance).or_default();
+        let life = self.live_incarnations.entry(instance).or_default();
         *life = before.max(*life);
     }
 
     /// Whether the request ended, or its entry instance's life did.
     fn is_over(&self, key: &RequestKey) -> bool {
-        let life = self.lives.get(&key.instance).copied().unwrap_or_default();
+        let life = self
+            .live_incarnations
+            .get(&key.instance)
+            .copied()
+            .unwrap_or_default();
         key.incarnation < life || self.ended.contains(key)
     }
 
@@ -223,7 +234,8 @@
         key: &RequestKey,
         actions: &mut Vec<AdmitAction>,
     ) {
-        let Some(RequestPhase::Read { .. } | RequestPhase::Transferring { .. }) = self.phase(key)
+        let Some(RequestPhase::Prefilled { .. } | RequestPhase::Transferring { .. }) =
+            self.phase(key)
         else {
             self.resync(key, actions);
             return;
@@ -258,8 +270,8 @@
             return;
         };
         let prefill = prefill.clone();
-        let evicts = now + self.link.eviction();
-        self.move_to(now, key, RequestPhase::Read { evicts, prefill });
+        let evicts_at = now + self.link.eviction();
+        self.move_to(now, key, RequestPhase::Prefilled { evicts_at, prefill });
     }
 
     pub(crate) fn prefill_failed(
@@ -286,15 +298,15 @@
         actions.push(AdmitAction::Resync { key: key.clone() });
     }
 
-    pub(crate) fn restate(
+    pub(crate) fn reconcile(
         &mut self,
         now: Instant,
-        phase: Option<HoldPhase>,
+        phase: Option<AnnouncedPhase>,
         request: AdmitRequest,
         actions: &mut Vec<AdmitAction>,
     ) {
         let known = self.phase(&request.key);
-        if known.is_some_and(|known| known.is_told(phase.as_ref())) {
+        if known.is_some_and(|known| known.matches_announced(phase.as_ref())) {
             return;
         }
         self.remove(now, &request.key);
@@ -312,15 +324,15 @@
         actions: &mut Vec<AdmitAction>,
     ) {
         let key = held.request.key.clone();
-        if held.tries >= self.rows[held.row].row.retries {
+        if held.failed_tries >= self.rows[held.row].row.retries {
             let wait = self.queue_wait(now, held.row);
             actions.push(Self::refuse(key, ResultCode::UpstreamRefused, wait));
             return;
         }
-        held.tries += 1;
+        held.failed_tries += 1;
         held.kv = None;
         held.phase = RequestPhase::Queued;
-        held.place.fresh = false;
+        held.position.is_fresh = false;
         self.put(now, key, held);
     }
 
@@ -334,7 +346,7 @@
             return;
         }
         let row = self.row_ids.get(&request.work).copied();
-        let Some(row) = row.filter(|row| self.rows[*row].known) else {
+        let Some(row) = row.filter(|row| self.rows[*row].is_listed) else {
             actions.push(Self::refuse(
                 request.key,
                 ResultCode::WorkUnknown,
@@ -342,14 +354,14 @@
             ));
             return;
         };
-        self.rows[row].arrivals.hit(now);
+        self.rows[row].arrivals.record(now);
         if let Some((code, wait)) = self.refusal(now, row, &request) {
             actions.push(Self::refuse(request.key, code, wait));
             return;
         }
         let key = request.key.clone();
-        self.join_turns(row);
-        let held = self.hold(now, row, request);
+        self.join_rank(row);
+        let held = self.queued_request(now, row, request);
         self.put(now, key, held);
     }
 }
--- a/crates/admit/src/cell_upstreams.rs
+++ b/crates/admit/src/cell_upstreams.rs
@@ -15,7 +15,7 @@
 impl CellAllocator {
     pub(crate) fn load(&mut self, report: &LoadReport) {
         if report.leaving {
-            self.upstream_leaving(&report.upstream);
+            self.upstream_draining(&report.upstream);
         }
         for pool in self.pools.values_mut() {
             if let Some(engine) = pool.decodes.get_mut(&report.upstream) {
@@ -37,7 +37,7 @@
         self.share = share;
         self.table = table.clone();
         for state in &mut self.rows {
-            state.known = false;
+            state.is_listed = false;
         }
         for (work, row) in &table.rows {
             let index = *self.row_ids.entry(work.clone()).or_insert(self.rows.len());
@@ -45,13 +45,13 @@
                 self.rows.push(RowState::new(row.clone()));
             }
             let state = &mut self.rows[index];
-            state.known = true;
+            state.is_listed = true;
             state.limit = row.limit.map_or(u32::MAX, |limit| cell_limit(limit, share));
             state.pool = PoolKey::of_row(row);
             state.row = row.clone();
         }
         self.requeue_all(now, actions);
-        for (phase, request) in std::mem::take(&mut self.early).into_values() {
+        for (phase, request) in std::mem::take(&mut self.pending).into_values() {
             self.announce(now, phase, request, actions);
         }
     }
@@ -66,16 +66,16 @@
             let Some(held) = self.remove(now, &key) else {
                 continue;
             };
-            if !self.rows[held.row].known {
+            if !self.rows[held.row].is_listed {
                 let code = ResultCode::WorkUnknown;
                 actions.push(Self::refuse(key, code, Self::UNKNOWN_WAIT));
                 continue;
             }
-            let mut fresh = self.hold(now, held.row, held.request);
-            fresh.granted = held.granted;
-            fresh.place.fresh = held.place.fresh;
-            fresh.place.serial = held.place.serial;
-            fresh.tries = held.tries;
+            let mut fresh = self.queued_request(now, held.row, held.request);
+            fresh.granted_at = held.granted_at;
+            fresh.position.is_fresh = held.position.is_fresh;
+            fresh.position.serial = held.position.serial;
+            fresh.failed_tries = held.failed_tries;
             self.put(now, key, fresh);
         }
     }
@@ -91,14 +91,14 @@
             let Some(held) = self.remove(now, &key) else {
                 continue;
             };
-            if held.phase.is_claim() {
+            if held.phase.awaits_place() {
                 self.retry(now, held, actions);
             }
         }
         for pool in self.pools.values_mut() {
             pool.decodes.remove(upstream);
             pool.prefills.remove(upstream);
-            pool.forecast.spoil();
+            pool.forecast.invalidate();
         }
     }
 
@@ -106,14 +106,14 @@
     fn held_at(&self, upstream: &UpstreamId) -> Vec<RequestKey> {
         let mut keys = Vec::new();
         for (key, held) in &self.requests {
-            let at =
-                match &held.phase {
-                    RequestPhase::Decoding { decode, .. }
-                    | RequestPhase::Transferring { decode } => decode,
-                    RequestPhase::Prefilling { prefill, .. }
-                    | RequestPhase::Read { prefill, .. } => prefill,
-                    RequestPhase::Queued => continue,
-                };
+            let at = match &held.phase {
+                RequestPhase::Decoding { decode, .. } | RequestPhase::Transferring { decode } => {
+                    decode
+                }
+                RequestPhase::Prefilling { prefill, .. }
+                | RequestPhase::Prefilled { prefill, .. } => prefill,
+                RequestPhase::Queued => continue,
+            };
             if at == upstream {
                 keys.push(key.clone());
             }
@@ -121,30 +121,30 @@
         keys
     }
 
-    pub(crate) fn upstream_leaving(&mut self, upstream: &UpstreamId) {
+    pub(crate) fn upstream_draining(&mut self, upstream: &UpstreamId) {
         for pool in self.pools.values_mut() {
             if let Some(engine) = pool.decodes.get_mut(upstream) {
-                engine.leaving = true;
-                pool.forecast.spoil();
+                engine.is_draining = true;
+                pool.forecast.invalidate();
             }
             if let Some(engine) = pool.prefills.get_mut(upstream) {
-                engine.leaving = true;
+                engine.is_draining = true;
             }
         }
     }
 
     /// An upstream is there. What it holds in another role or pool goes on there and gets no new work.
     pub(crate) fn upstream_up(&mut self, now: Instant, info: UpstreamInfo) {
-        self.upstream_leaving(&info.upstream);
+        self.upstream_draining(&info.upstream);
         let upstream = info.upstream.clone();
         let key = PoolKey::of_upstream(&info);
         let pool = self.pools.entry(key).or_default();
         let known = match info.role {
             UpstreamRole::Decode => match pool.decodes.get_mut(&upstream) {
                 Some(engine) => {
-                    engine.count_tokens(now);
+                    engine.advance_tokens(now);
                     engine.info = info;
-                    engine.leaving = false;
+                    engine.is_draining = false;
                     true
                 }
                 None => {
@@ -157,7 +157,7 @@
             UpstreamRole::Prefill => match pool.prefills.get_mut(&upstream) {
                 Some(engine) => {
                     engine.info = info;
-                    engine.leaving = false;
+                    engine.is_draining = false;
                     true
                 }
                 None => {
@@ -167,14 +167,14 @@
                 }
             },
         };
-        pool.forecast.spoil();
+        pool.forecast.invalidate();
         if !known {
-            self.adopt(now, &upstream);
+            self.attach_held(now, &upstream);
         }
     }
 
     /// Enters the requests that were announced before their engine was known.
-    fn adopt(&mut self, now: Instant, upstream: &UpstreamId) {
+    fn attach_held(&mut self, now: Instant, upstream: &UpstreamId) {
         for key in self.held_at(upstream) {
             let Some(held) = self.remove(now, &key) else {
                 continue;
--- a/crates/admit/src/decode_engine.rs
+++ b/crates/admit/src/decode_engine.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        decode_stream::DecodeStream, length_sketch::LengthOutlook, request_key::RequestKey,
+        decode_stream::DecodeStream, length_sketch::RemainingLength, request_key::RequestKey,
         row_state::RowState,
     },
     route::{LaggedLoad, LoadReport, UpstreamInfo},
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct DecodeEngine {
     /// When it refused, and until when it is taken as full.
-    pub(crate) full: Option<(Instant, Instant)>,
+    pub(crate) full_period: Option<(Instant, Instant)>,
     /// What is known of it.
     pub(crate) info: UpstreamInfo,
     /// Whether it takes no new work.
-    pub(crate) leaving: bool,
+    pub(crate) is_draining: bool,
     /// What is held there.
     pub(crate) load: LaggedLoad,
     /// Requests that hold a place: in transfer or decoding.
@@ -38,7 +38,7 @@
 
 impl DecodeEngine {
     pub(crate) fn add(&mut self, now: Instant, key: RequestKey, stream: DecodeStream) {
-        self.count_tokens(now);
+        self.advance_tokens(now);
         if let Some(target) = stream.target {
             *self.targets.entry(target).or_default() += 1;
         }
@@ -69,7 +69,7 @@
     }
 
     /// Brings the token count up to a time.
-    pub(crate) fn count_tokens(&mut self, now: Instant) {
+    pub(crate) fn advance_tokens(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.tokens_at).as_secs_f64();
         self.tokens += passed / self.step_seconds();
         self.tokens_at = self.tokens_at.max(now);
@@ -77,15 +77,16 @@
 
     /// How many more requests with this between-token target it takes now.
     pub(crate) fn free(&self, now: Instant, target: Option<Duration>) -> u32 {
-        if self.leaving || self.full.is_some_and(|(_, until)| now < until) {
+        if self.is_draining || self.full_period.is_some_and(|(_, until)| now < until) {
             return 0;
         }
         self.batch_limit(target).saturating_sub(self.used())
     }
 
     /// As [`Self::free`], but under zero by the streams that have to end before the target can be kept.
-    pub(crate) fn room(&self, now: Instant, target: Option<Duration>) -> f64 {
-        let limit = match self.leaving || self.full.is_some_and(|(_, until)| now < until) {
+    pub(crate) fn spare_places(&self, now: Instant, target: Option<Duration>) -> f64 {
+        let limit = match self.is_draining || self.full_period.is_some_and(|(_, until)| now < until)
+        {
             true => return 0.0,
             false => self.batch_limit(target),
         };
@@ -95,9 +96,9 @@
     pub(crate) fn new(now: Instant, info: UpstreamInfo) -> Self {
         Self {
             decoding: 0,
-            full: None,
+            full_period: None,
             info,
-            leaving: false,
+            is_draining: false,
             load: LaggedLoad::default(),
             streams: BTreeMap::new(),
             targets: BTreeMap::new(),
@@ -110,7 +111,7 @@
         let Some(stream) = self.streams.remove(key) else {
             return;
         };
-        self.count_tokens(now);
+        self.advance_tokens(now);
         self.load.sub(now, 1);
         self.decoding -= u32::from(stream.started.is_some());
         let Some(target) = stream.target else {
@@ -124,11 +125,15 @@
     }
 
     pub(crate) fn report(&mut self, report: &LoadReport) {
-        let news = self
+        let is_newer = self
             .load
             .report(report.taken, u64::from(report.decode_used));
-        if news && self.full.is_some_and(|(since, _)| since < report.taken) {
-            self.full = None;
+        if is_newer
+            && self
+                .full_period
+                .is_some_and(|(since, _)| since < report.taken)
+        {
+            self.full_period = None;
         }
     }
 
@@ -141,21 +146,21 @@
     }
 
     /// The token count that a stream with `tokens` tokens started at.
-    pub(crate) fn started(&mut self, now: Instant, tokens: u32) -> f64 {
-        self.count_tokens(now);
+    pub(crate) fn starting_count(&mut self, now: Instant, tokens: u32) -> f64 {
+        self.advance_tokens(now);
         self.tokens - f64::from(tokens)
     }
 
     /// What is to be expected of a stream.
-    pub(crate) fn outlook<'a>(
+    pub(crate) fn remaining<'a>(
         &self,
         stream: &DecodeStream,
         rows: &'a [RowState],
-    ) -> LengthOutlook<'a> {
+    ) -> RemainingLength<'a> {
         let bound = f64::from(stream.max_tokens);
         rows[stream.row]
             .sketch
-            .outlook(self.produced(stream), bound)
+            .remaining(self.produced(stream), bound)
     }
 
     /// How many tokens a stream has got; none when it is in transfer.
--- a/crates/admit/src/ended_keys.rs
+++ b/crates/admit/src/ended_keys.rs
@@ -6,7 +6,7 @@
 };
 
 /// How many ended requests are remembered.
-const LIMIT: usize = 4096;
+const CAPACITY: usize = 4096;
 
 /// Remembers the last requests that ended, so that a late or doubled event does not start them again.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
             return;
         }
         self.order.push_back(key);
-        if self.order.len() <= LIMIT {
+        if self.order.len() <= CAPACITY {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
--- a/crates/admit/src/engine_pool.rs
+++ b/crates/admit/src/engine_pool.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        decode_engine::DecodeEngine, free_forecast::FreeForecast, prefill_engine::PrefillEngine,
-        request_key::RequestKey, row_state::RowState,
+        completion_forecast::CompletionForecast, decode_engine::DecodeEngine,
+        prefill_engine::PrefillEngine, request_key::RequestKey, row_state::RowState,
     },
     kernel::UpstreamId,
     std::{
@@ -19,11 +19,11 @@
     /// The service that work which waited long may still take before its rank, in seconds of the whole pool.
     pub(crate) aged_credit: f64,
     /// Requests that were or are being read and hold no decode place yet, by when they need one.
-    pub(crate) claims: BTreeSet<(Instant, RequestKey)>,
+    pub(crate) reservations: BTreeSet<(Instant, RequestKey)>,
     pub(crate) decodes: BTreeMap<UpstreamId, DecodeEngine>,
-    pub(crate) forecast: FreeForecast,
+    pub(crate) forecast: CompletionForecast,
     /// The service over the weight that the last row of each rank had when its turn came.
-    pub(crate) levels: BTreeMap<Rank, f64>,
+    pub(crate) rank_passes: BTreeMap<Rank, f64>,
     pub(crate) prefills: BTreeMap<UpstreamId, PrefillEngine>,
 }
 
@@ -38,20 +38,23 @@
     }
 
     /// As [`Self::free`], less the streams that have to end before a target can be kept.
-    pub(crate) fn room(&self, now: Instant, target: Option<Duration>) -> f64 {
-        let mut room = 0.0;
+    pub(crate) fn spare_places(&self, now: Instant, target: Option<Duration>) -> f64 {
+        let mut spare = 0.0;
         for engine in self.decodes.values() {
-            room += engine.room(now, target);
+            spare += engine.spare_places(now, target);
         }
-        room
+        spare
     }
 
     /// Whether one more request that needs a place by `due` finds one, and every claim after it still does. All in
     /// the order of the times by which they need it, with `margin` deviations of the forecast to spare.
     pub(crate) fn has_place(&self, now: Instant, due: Instant, free: f64, margin: f64) -> bool {
-        let earlier = self.claims.iter().take_while(|(time, _)| *time <= due);
+        let earlier = self
+            .reservations
+            .iter()
+            .take_while(|(time, _)| *time <= due);
         let mut before = earlier.count() as f64;
-        let later = self.claims.iter().skip(before as usize);
+        let later = self.reservations.iter().skip(before as usize);
         for due in std::iter::once(due).chain(later.map(|(time, _)| *time)) {
             before += 1.0;
             if before <= free {
@@ -67,27 +70,27 @@
     }
 
     /// Works the forecast out anew when it is old.
-    pub(crate) fn look_ahead(&mut self, now: Instant, rows: &[RowState]) {
-        if !self.forecast.is_old(now) {
+    pub(crate) fn refresh_forecast(&mut self, now: Instant, rows: &[RowState]) {
+        if !self.forecast.is_stale(now) {
             return;
         }
         self.forecast.clear(now);
         for engine in self.decodes.values_mut() {
-            if engine.leaving {
+            if engine.is_draining {
                 continue;
             }
-            engine.count_tokens(now);
+            engine.advance_tokens(now);
             let step = engine.step_seconds();
             for stream in engine.streams.values() {
-                let outlook = engine.outlook(stream, rows);
+                let remaining = engine.remaining(stream, rows);
                 self.forecast
-                    .add(|seconds| outlook.ended_by(seconds / step));
+                    .add(|seconds| remaining.end_probability(seconds / step));
             }
         }
     }
 
     /// Takes a stream off an engine and out of the forecast.
-    pub(crate) fn forget_stream(
+    pub(crate) fn remove_stream(
         &mut self,
         now: Instant,
         decode: &UpstreamId,
@@ -97,13 +100,13 @@
         let Some(engine) = self.decodes.get_mut(decode) else {
             return;
         };
-        engine.count_tokens(now);
+        engine.advance_tokens(now);
         let step = engine.step_seconds();
         let stream = engine.streams.get(key);
-        if let Some(stream) = stream.filter(|_| !engine.leaving) {
-            let outlook = engine.outlook(stream, rows);
+        if let Some(stream) = stream.filter(|_| !engine.is_draining) {
+            let remaining = engine.remaining(stream, rows);
             self.forecast
-                .sub(|seconds| outlook.ended_by(seconds / step));
+                .sub(|seconds| remaining.end_probability(seconds / step));
         }
         engine.remove(now, key);
     }
@@ -116,7 +119,7 @@
 
     /// The between-token time of the slowest decode engine when it is full, seconds.
     pub(crate) fn full_step_seconds(&self) -> f64 {
-        let engines = self.decodes.values().filter(|engine| !engine.leaving);
+        let engines = self.decodes.values().filter(|engine| !engine.is_draining);
         let steps = engines.map(|engine| {
             let more = engine.info.decode_places.saturating_sub(1);
             engine.info.decode_base_seconds + engine.info.decode_slope_seconds * f64::from(more)
@@ -126,13 +129,13 @@
 
     /// Whether some prefill and some decode engine take new work.
     pub(crate) fn is_open(&self) -> bool {
-        let read = self.prefills.values().any(|engine| !engine.leaving);
-        let decode = self.decodes.values().any(|engine| !engine.leaving);
-        read && decode
+        let has_prefill = self.prefills.values().any(|engine| !engine.is_draining);
+        let has_decode = self.decodes.values().any(|engine| !engine.is_draining);
+        has_prefill && has_decode
     }
 
     /// The least time that reading so many tokens takes, seconds.
-    pub(crate) fn least_read_seconds(&self, tokens: f64) -> f64 {
+    pub(crate) fn min_prefill_seconds(&self, tokens: f64) -> f64 {
         let rates = self
             .prefills
             .values()
@@ -150,7 +153,7 @@
 
     /// Prompt tokens that the pool reads a second.
     pub(crate) fn prefill_rate(&self) -> f64 {
-        let open = self.prefills.values().filter(|engine| !engine.leaving);
+        let open = self.prefills.values().filter(|engine| !engine.is_draining);
         open.map(|engine| engine.info.prefill_rate).sum()
     }
 }
--- a/crates/admit/src/length_sketch.rs
+++ b/crates/admit/src/length_sketch.rs
@@ -1,13 +1,13 @@
 //! The output lengths seen for one row.
 
 /// Buckets for each doubling of the length.
-const PER_OCTAVE: f64 = 8.0;
+const BUCKETS_PER_DOUBLING: f64 = 8.0;
 /// Up to 2^17 tokens.
-const BUCKETS: usize = 17 * 8 + 1;
+const BUCKET_COUNT: usize = 17 * 8 + 1;
 /// Once this many lengths were seen, older ones count half.
-const FADE_AT: f64 = 1024.0;
+const DECAY_AT: f64 = 1024.0;
 /// How many lengths at the caller's bound are assumed before any was seen.
-const PRIOR: f64 = 4.0;
+const PRIOR_COUNT: f64 = 4.0;
 
 /// A histogram over geometric buckets; small, deterministic, and fading so that it follows a drift.
 #[derive(Clone, Debug)]
@@ -21,8 +21,8 @@
 impl Default for LengthSketch {
     fn default() -> Self {
         Self {
-            counts: vec![0.0; BUCKETS],
-            tails: vec![0.0; BUCKETS + 1],
+            counts: vec![0.0; BUCKET_COUNT],
+            tails: vec![0.0; BUCKET_COUNT + 1],
             total: 0.0,
         }
     }
@@ -31,38 +31,38 @@
 impl LengthSketch {
     /// The expected length of an answer of at most `bound` tokens.
     pub(crate) fn mean(&self, bound: f64) -> f64 {
-        let mut sum = PRIOR * bound;
+        let mut sum = PRIOR_COUNT * bound;
         for (bucket, count) in self.counts.iter().enumerate() {
-            sum += count * edge(bucket as f64 + 0.5).min(bound);
+            sum += count * length_at(bucket as f64 + 0.5).min(bound);
         }
-        sum / (PRIOR + self.total)
+        sum / (PRIOR_COUNT + self.total)
     }
 
     /// The mean of the lengths seen; 0 before any was.
     pub(crate) fn mean_seen(&self) -> f64 {
         let mut sum = 0.0;
         for (bucket, count) in self.counts.iter().enumerate() {
-            sum += count * edge(bucket as f64 + 0.5);
+            sum += count * length_at(bucket as f64 + 0.5);
         }
         sum / self.total.max(1.0)
     }
 
     /// Notes the length of an answer.
-    pub(crate) fn note(&mut self, tokens: u32) {
-        if self.total >= FADE_AT {
-            self.fade();
+    pub(crate) fn record(&mut self, tokens: u32) {
+        if self.total >= DECAY_AT {
+            self.decay();
         }
         let bucket = position(f64::from(tokens)) as usize;
-        self.counts[bucket.min(BUCKETS - 1)] += 1.0;
+        self.counts[bucket.min(BUCKET_COUNT - 1)] += 1.0;
         self.total += 1.0;
-        for tail in &mut self.tails[..=bucket.min(BUCKETS - 1)] {
+        for tail in &mut self.tails[..=bucket.min(BUCKET_COUNT - 1)] {
             *tail += 1.0;
         }
     }
 
     /// What is to be expected of an answer which has `tokens` already, of at most `bound`.
-    pub(crate) fn outlook(&self, tokens: f64, bound: f64) -> LengthOutlook<'_> {
-        LengthOutlook {
+    pub(crate) fn remaining(&self, tokens: f64, bound: f64) -> RemainingLength<'_> {
+        RemainingLength {
             bound,
             sketch: self,
             survivors: self.survivors(tokens),
@@ -72,16 +72,16 @@
 
     /// The length that a share of the answers of at most `bound` tokens does not exceed.
     pub(crate) fn quantile(&self, share: f64, bound: f64) -> f64 {
-        let above = (1.0 - share) * (PRIOR + self.total);
-        for bucket in 0..BUCKETS {
-            if PRIOR + self.tails[bucket + 1] <= above {
-                return edge(bucket as f64 + 1.0).min(bound);
+        let above = (1.0 - share) * (PRIOR_COUNT + self.total);
+        for bucket in 0..BUCKET_COUNT {
+            if PRIOR_COUNT + self.tails[bucket + 1] <= above {
+                return length_at(bucket as f64 + 1.0).min(bound);
             }
         }
         bound
     }
 
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         for count in self.counts.iter_mut().chain(&mut self.tails) {
             *count /= 2.0;
         }
@@ -90,26 +90,26 @@
 
     /// How many of the lengths seen and assumed are greater.
     fn survivors(&self, tokens: f64) -> f64 {
-        let position = position(tokens).min(BUCKETS as f64 - 1.0);
+        let position = position(tokens).min(BUCKET_COUNT as f64 - 1.0);
         let bucket = position as usize;
         let part = position - bucket as f64;
         let (upper, lower) = (self.tails[bucket], self.tails[bucket + 1]);
-        PRIOR + upper + (lower - upper) * part
+        PRIOR_COUNT + upper + (lower - upper) * part
     }
 }
 
 /// How an answer that has got so far goes on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LengthOutlook<'a> {
+pub(crate) struct RemainingLength<'a> {
     bound: f64,
     sketch: &'a LengthSketch,
     survivors: f64,
     tokens: f64,
 }
 
-impl LengthOutlook<'_> {
+impl RemainingLength<'_> {
     /// The chance that the answer is at most `more` tokens longer.
-    pub(crate) fn ended_by(&self, more: f64) -> f64 {
+    pub(crate) fn end_probability(&self, more: f64) -> f64 {
         if self.tokens + more >= self.bound {
             return 1.0;
         }
@@ -118,11 +118,11 @@
 }
 
 /// The length at a position.
-fn edge(position: f64) -> f64 {
-    (position / PER_OCTAVE).exp2() - 1.0
+fn length_at(position: f64) -> f64 {
+    (position / BUCKETS_PER_DOUBLING).exp2() - 1.0
 }
 
 /// Where a length lies among the buckets.
 fn position(tokens: f64) -> f64 {
-    (tokens.max(0.0) + 1.0).log2() * PER_OCTAVE
+    (tokens.max(0.0) + 1.0).log2() * BUCKETS_PER_DOUBLING
 }
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -9,43 +9,43 @@
 pub mod admit_policy;
 pub mod admit_request;
 pub mod cell_allocator;
-mod cell_books;
 pub mod cell_counts;
 mod cell_estimates;
 mod cell_grants;
+mod cell_indexes;
 pub mod cell_key;
+mod cell_order;
 pub mod cell_plan;
 mod cell_refusals;
 mod cell_requests;
 mod cell_tuning;
-mod cell_turns;
 mod cell_upstreams;
+mod completion_forecast;
 mod decode_engine;
 mod decode_stream;
 mod ended_keys;
 mod engine_pool;
-mod free_forecast;
 mod held_request;
 mod length_sketch;
 pub mod link_info;
-mod link_turns;
+mod link_schedule;
 mod normal_quantile;
 mod pool_key;
+mod prefill_candidate;
+mod prefill_decision;
 mod prefill_engine;
 mod queue_ahead;
-mod queue_place;
+mod queue_position;
 mod rate_meter;
-mod read_verdict;
 pub mod request_key;
 mod request_phase;
 mod row_limit;
 mod row_state;
-mod row_turn;
 mod urgent_demand;
 
 pub use {
     admit_action::AdmitAction,
-    admit_event::{AdmitEvent, HoldPhase},
+    admit_event::{AdmitEvent, AnnouncedPhase},
     admit_policy::AdmitPolicy,
     admit_request::AdmitRequest,
     cell_allocator::CellAllocator,
--- a/crates/admit/src/link_turns.rs
+++ b/crates/admit/src/link_schedule.rs
@@ -9,23 +9,23 @@
 const EVICTION_UNKNOWN: Duration = Duration::from_millis(500);
 
 /// A transfer that is at most this part of what is left of another goes beside it.
-const BESIDE_SHARE: f64 = 0.25;
+const PARALLEL_SHARE: f64 = 0.25;
 
 /// The link by its rate: when it will be free, and what still has to cross it.
 ///
 /// Transfers take turns: on a shared link the mean of the ends is the least when one follows the other. A turn ends by
 /// the link's rate and not by the first token, which comes a decode step later.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LinkTurns {
+pub(crate) struct LinkSchedule {
     /// Seconds of transfer that requests which were or are being read will need.
-    claimed: f64,
+    reserved_seconds: f64,
     free_at: Option<Instant>,
     info: Option<LinkInfo>,
 }
 
-impl LinkTurns {
-    pub(crate) fn claim(&mut self, tokens: u32) {
-        self.claimed += self.seconds(tokens);
+impl LinkSchedule {
+    pub(crate) fn reserve(&mut self, tokens: u32) {
+        self.reserved_seconds += self.seconds(tokens);
     }
 
     /// How long a prefill engine keeps an exported KV cache.
@@ -44,13 +44,13 @@
     /// is so short against the one under way that going beside it delays that one little.
     pub(crate) fn may_start(&self, now: Instant, transfer: f64, lookahead: Duration) -> bool {
         let busy = self.busy_seconds(now);
-        busy <= lookahead.as_secs_f64() || transfer <= busy * BESIDE_SHARE
+        busy <= lookahead.as_secs_f64() || transfer <= busy * PARALLEL_SHARE
     }
 
     /// Seconds that a transfer of `transfer` seconds which is ready in `ready` seconds waits for its turn.
     pub(crate) fn wait_seconds(&self, now: Instant, ready: f64, transfer: f64) -> f64 {
-        let before = (self.busy_seconds(now) + self.claimed - ready).max(0.0);
-        if transfer <= before * BESIDE_SHARE {
+        let before = (self.busy_seconds(now) + self.reserved_seconds - ready).max(0.0);
+        if transfer <= before * PARALLEL_SHARE {
             return transfer;
         }
         before
@@ -76,8 +76,8 @@
         let before = self.seconds(1);
         self.info = Some(info);
         let after = self.seconds(1);
-        self.claimed = if before > 0.0 {
-            self.claimed * after / before
+        self.reserved_seconds = if before > 0.0 {
+            self.reserved_seconds * after / before
         } else {
             0.0
         };
@@ -89,7 +89,7 @@
         self.free_at = Some(self.free_at.map_or(now, |free| free.max(now)) + time);
     }
 
-    pub(crate) fn unclaim(&mut self, tokens: u32) {
-        self.claimed = (self.claimed - self.seconds(tokens)).max(0.0);
+    pub(crate) fn release(&mut self, tokens: u32) {
+        self.reserved_seconds = (self.reserved_seconds - self.seconds(tokens)).max(0.0);
     }
 }
--- a/crates/admit/src/normal_quantile.rs
+++ b/crates/admit/src/normal_quantile.rs
@@ -1,17 +1,19 @@
 //! The quantile of the normal distribution.
 
 /// The greatest quantile given, in standard deviations.
-const LIMIT: f64 = 4.0;
+const MAX_DEVIATIONS: f64 = 4.0;
 
 /// How many standard deviations above the mean a share of `part` lies under. By the rational approximation of
 /// Abramowitz and Stegun, 26.2.23, whose error is under 0.00045.
-pub(crate) fn normal_quantile(part: f64) -> f64 {
-    let tail = part.min(1.0 - part);
+pub(crate) fn normal_quantile(probability: f64) -> f64 {
+    let tail = probability.min(1.0 - probability);
     if tail <= 0.0 {
-        return LIMIT.copysign(part - 0.5);
+        return MAX_DEVIATIONS.copysign(probability - 0.5);
     }
     let t = (-2.0 * tail.ln()).sqrt();
     let upper = 2.515_517 + t * (0.802_853 + t * 0.010_328);
     let lower = 1.0 + t * (1.432_788 + t * (0.189_269 + t * 0.001_308));
-    (t - upper / lower).min(LIMIT).copysign(part - 0.5)
+    (t - upper / lower)
+        .min(MAX_DEVIATIONS)
+        .copysign(probability - 0.5)
 }
--- a/crates/admit/src/row_turn.rs
+++ b/crates/admit/src/prefill_candidate.rs
@@ -4,9 +4,9 @@
 
 /// The request whose turn it is.
 #[derive(Clone, Debug)]
-pub(crate) struct RowTurn {
+pub(crate) struct PrefillCandidate {
     /// Whether it goes before its rank, for it waited long.
-    pub(crate) aged: bool,
+    pub(crate) is_aged: bool,
     pub(crate) key: RequestKey,
     /// The index of its row.
     pub(crate) row: usize,
--- a/crates/admit/src/prefill_engine.rs
+++ b/crates/admit/src/prefill_engine.rs
@@ -18,28 +18,28 @@
     /// What is known of it.
     pub(crate) info: UpstreamInfo,
     /// Requests whose KV cache lies there.
-    pub(crate) kept: BTreeSet<RequestKey>,
+    pub(crate) exported: BTreeSet<RequestKey>,
     /// Whether it takes no new work.
-    pub(crate) leaving: bool,
+    pub(crate) is_draining: bool,
     /// Prompt tokens that it was given and has not read.
     pub(crate) load: LaggedLoad,
     free_at: Instant,
     /// Requests that it was given, with the seconds that each takes alone.
-    reading: BTreeMap<RequestKey, f64>,
+    prefilling: BTreeMap<RequestKey, f64>,
 }
 
 impl PrefillEngine {
     /// Gives it a prompt to read.
     pub(crate) fn add(&mut self, now: Instant, key: RequestKey, tokens: f64) {
-        let seconds = self.read_seconds(tokens);
-        self.free_at = after(self.free_at.max(now), seconds);
+        let seconds = self.prefill_seconds(tokens);
+        self.free_at = add_seconds(self.free_at.max(now), seconds);
         self.load.add(now, tokens as u64);
-        self.reading.insert(key, seconds);
+        self.prefilling.insert(key, seconds);
     }
 
     /// Whether it has nothing to read, or will in less than `lookahead`.
     pub(crate) fn is_idle(&self, now: Instant, lookahead: Duration) -> bool {
-        self.reading.is_empty()
+        self.prefilling.is_empty()
             || (now < self.free_at && self.free_at.duration_since(now) < lookahead)
     }
 
@@ -47,41 +47,41 @@
         Self {
             free_at: now,
             info,
-            kept: BTreeSet::new(),
-            leaving: false,
+            exported: BTreeSet::new(),
+            is_draining: false,
             load: LaggedLoad::default(),
-            reading: BTreeMap::new(),
+            prefilling: BTreeMap::new(),
         }
     }
 
     /// Seconds until it has read what it was given.
     pub(crate) fn queue_seconds(&self, now: Instant) -> f64 {
-        let foreign = self.read_seconds(self.load.foreign() as f64);
-        if self.reading.is_empty() {
+        let foreign = self.prefill_seconds(self.load.foreign() as f64);
+        if self.prefilling.is_empty() {
             return foreign;
         }
         let left = self.free_at.saturating_duration_since(now).as_secs_f64();
-        let taken: f64 = self.reading.values().sum();
+        let taken: f64 = self.prefilling.values().sum();
         left.max(taken * OVERDUE_SHARE) + foreign
     }
 
     /// Seconds that reading so many tokens takes alone.
-    pub(crate) fn read_seconds(&self, tokens: f64) -> f64 {
+    pub(crate) fn prefill_seconds(&self, tokens: f64) -> f64 {
         tokens / self.info.prefill_rate.max(f64::MIN_POSITIVE)
     }
 
     /// Takes back a prompt: it was read, it failed or its caller is gone.
     pub(crate) fn remove(&mut self, now: Instant, key: &RequestKey) {
-        let Some(seconds) = self.reading.remove(key) else {
+        let Some(seconds) = self.prefilling.remove(key) else {
             return;
         };
         let tokens = seconds * self.info.prefill_rate;
         self.load.sub(now, tokens.round() as u64);
-        let left: f64 = self.reading.values().sum();
-        self.free_at = self.free_at.min(after(now, left));
+        let left: f64 = self.prefilling.values().sum();
+        self.free_at = self.free_at.min(add_seconds(now, left));
     }
 }
 
-fn after(time: Instant, seconds: f64) -> Instant {
+fn add_seconds(time: Instant, seconds: f64) -> Instant {
     time + Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
--- a/crates/admit/src/rate_meter.rs
+++ b/crates/admit/src/rate_meter.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// The time over which older events fade.
-const FADE: Duration = Duration::from_secs(4);
+const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
 /// An exponentially fading rate.
 #[derive(Clone, Debug, Default)]
@@ -13,8 +13,8 @@
 }
 
 impl RateMeter {
-    pub(crate) fn hit(&mut self, now: Instant) {
-        self.value = self.per_second(now) + 1.0 / FADE.as_secs_f64();
+    pub(crate) fn record(&mut self, now: Instant) {
+        self.value = self.per_second(now) + 1.0 / TIME_CONSTANT.as_secs_f64();
         self.at = Some(now);
     }
 
@@ -23,6 +23,6 @@
             return 0.0;
         };
         let passed = now.saturating_duration_since(at).as_secs_f64();
-        self.value * (-passed / FADE.as_secs_f64()).exp()
+        self.value * (-passed / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/crates/admit/src/request_phase.rs
+++ b/crates/admit/src/request_phase.rs
@@ -1,6 +1,6 @@
 //! How far a request has come, as the allocator sees it.
 
-use {crate::admit_event::HoldPhase, kernel::UpstreamId, std::time::Instant};
+use {crate::admit_event::AnnouncedPhase, kernel::UpstreamId, std::time::Instant};
 
 /// What a request holds now.
 #[derive(Clone, Debug)]
@@ -11,9 +11,9 @@
     Prefilling { prefill: UpstreamId, tokens: f64 },
     /// It waits for its turn and holds nothing.
     Queued,
-    /// Its KV cache lies at the prefill engine until `evicts`.
-    Read {
-        evicts: Instant,
+    /// Its KV cache lies at the prefill engine until `evicts_at`.
+    Prefilled {
+        evicts_at: Instant,
         prefill: UpstreamId,
     },
     /// Its KV cache crosses the link.
@@ -22,24 +22,29 @@
 
 impl RequestPhase {
     /// Whether the request was or is being read and holds no decode place yet.
-    pub(crate) fn is_claim(&self) -> bool {
-        matches!(self, Self::Prefilling { .. } | Self::Read { .. })
+    pub(crate) fn awaits_place(&self) -> bool {
+        matches!(self, Self::Prefilling { .. } | Self::Prefilled { .. })
     }
 
     /// Whether an entry instance tells the same phase at the same engine; none is told of a queued request.
-    pub(crate) fn is_told(&self, told: Option<&HoldPhase>) -> bool {
+    pub(crate) fn matches_announced(&self, told: Option<&AnnouncedPhase>) -> bool {
         match (self, told) {
-            (Self::Decoding { decode, .. }, Some(HoldPhase::Decoding { decode: told, .. }))
-            | (Self::Transferring { decode }, Some(HoldPhase::Transferring { decode: told, .. })) => {
-                decode == told
-            }
+            (
+                Self::Decoding { decode, .. },
+                Some(AnnouncedPhase::Decoding { decode: told, .. }),
+            )
+            | (
+                Self::Transferring { decode },
+                Some(AnnouncedPhase::Transferring { decode: told, .. }),
+            ) => decode == told,
             (
                 Self::Prefilling { prefill, .. },
-                Some(HoldPhase::Prefilling { prefill: told, .. }),
+                Some(AnnouncedPhase::Prefilling { prefill: told, .. }),
             )
-            | (Self::Read { prefill, .. }, Some(HoldPhase::Read { prefill: told, .. })) => {
-                prefill == told
-            }
+            | (
+                Self::Prefilled { prefill, .. },
+                Some(AnnouncedPhase::Prefilled { prefill: told, .. }),
+            ) => prefill == told,
             (Self::Queued, None) => true,
             _ => false,
         }
--- a/crates/admit/src/row_state.rs
+++ b/crates/admit/src/row_state.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        length_sketch::LengthSketch, pool_key::PoolKey, queue_place::QueuePlace,
+        length_sketch::LengthSketch, pool_key::PoolKey, queue_position::QueuePosition,
         rate_meter::RateMeter, request_key::RequestKey,
     },
     std::{collections::BTreeMap, time::Duration},
@@ -18,7 +18,7 @@
     /// How often requests come.
     pub(crate) arrivals: RateMeter,
     /// Whether the table has the row.
-    pub(crate) known: bool,
+    pub(crate) is_listed: bool,
     /// How many may run at once in this cell.
     pub(crate) limit: u32,
     /// The service received over the weight; the row with the least goes next.
@@ -26,7 +26,7 @@
     /// The engines that serve it.
     pub(crate) pool: PoolKey,
     /// The requests that wait.
-    pub(crate) queue: BTreeMap<QueuePlace, RequestKey>,
+    pub(crate) queue: BTreeMap<QueuePosition, RequestKey>,
     /// The prompt tokens of the requests that wait.
     pub(crate) queued_tokens: u64,
     /// How long a request holds something, seconds; none before the first ended.
@@ -43,7 +43,7 @@
     pub(crate) fn new(row: WorkRow) -> Self {
         Self {
             arrivals: RateMeter::default(),
-            known: true,
+            is_listed: true,
             limit: 0,
             pass: 0.0,
             pool: PoolKey::of_row(&row),
@@ -62,14 +62,14 @@
     }
 
     /// Notes how long a request held something.
-    pub(crate) fn note_residence(&mut self, time: Duration) {
+    pub(crate) fn record_residence(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
         let mean = self.residence.unwrap_or(seconds);
         self.residence = Some(mean + (seconds - mean) * RESIDENCE_WEIGHT);
     }
 
     /// Whether one more request may run.
-    pub(crate) fn under_limit(&self) -> bool {
+    pub(crate) fn is_under_limit(&self) -> bool {
         self.running < self.limit
     }
 }
--- a/crates/admit/tests/cell/early_refusal.rs
+++ b/crates/admit/tests/cell/early_refusal.rs
@@ -120,7 +120,7 @@
 fn a_leaving_upstream_gets_nothing_new_in_any_role() {
     for name in ["d1", "p1"] {
         let mut cell = Cell::small();
-        let leaving = AdmitEvent::UpstreamLeaving(name.into(), LeavingCause::Said);
+        let leaving = AdmitEvent::UpstreamDraining(name.into(), LeavingCause::Said);
         cell.send(leaving);
         let actions = submit(&mut cell, 1, "slot");
         assert_eq!(refusals(&actions), [ResultCode::UpstreamMissing]);
@@ -140,7 +140,7 @@
 fn a_decode_engine_that_leaves_while_a_prompt_is_read_gets_no_transfer() {
     let mut cell = Cell::small();
     submit(&mut cell, 1, "report");
-    cell.send(AdmitEvent::UpstreamLeaving(
+    cell.send(AdmitEvent::UpstreamDraining(
         "d1".into(),
         LeavingCause::Listed,
     ));
--- a/crates/admit/tests/cell/grant_oracle.rs
+++ b/crates/admit/tests/cell/grant_oracle.rs
@@ -1,7 +1,7 @@
 //! What an allocator may do, in a few lines: the phase of each request by what the allocator was told and said.
 
 use {
-    admit::{AdmitAction, AdmitEvent, HoldPhase, RequestKey},
+    admit::{AdmitAction, AdmitEvent, AnnouncedPhase, RequestKey},
     kernel::{Incarnation, UpstreamId, WorkId},
     route::UpstreamRole,
     std::collections::BTreeMap,
@@ -11,8 +11,8 @@
 pub(crate) enum OraclePhase {
     Over { again: bool },
     Queued,
-    Read(UpstreamId),
-    Reading(UpstreamId),
+    Prefilled(UpstreamId),
+    Prefilling(UpstreamId),
     Streaming(UpstreamId, Option<UpstreamId>),
 }
 
@@ -43,7 +43,7 @@
         };
         let (work, phase) = self.phases.get(&key).expect("the request is known").clone();
         let next = match (action, phase) {
-            (AdmitAction::GrantDecode { decode, .. }, Read(prefill)) => {
+            (AdmitAction::GrantDecode { decode, .. }, Prefilled(prefill)) => {
                 assert!(
                     self.streams(decode) < self.places,
                     "{decode} is full: {action:?}"
@@ -55,9 +55,9 @@
                     self.running(&work) < self.limit,
                     "{work} is at its limit: {action:?}"
                 );
-                Reading(prefill.clone())
+                Prefilling(prefill.clone())
             }
-            (AdmitAction::Refuse { retry_after, .. }, Queued | Read(_) | Reading(_)) => {
+            (AdmitAction::Refuse { retry_after, .. }, Queued | Prefilled(_) | Prefilling(_)) => {
                 assert!(!retry_after.is_zero());
                 Over { again: true }
             }
@@ -78,10 +78,10 @@
                     return;
                 }
                 let phase = match phase.clone() {
-                    HoldPhase::Decoding { decode, .. } => Streaming(decode, None),
-                    HoldPhase::Prefilling { prefill, .. } => Reading(prefill),
-                    HoldPhase::Read { prefill, .. } => Read(prefill),
-                    HoldPhase::Transferring {
+                    AnnouncedPhase::Decoding { decode, .. } => Streaming(decode, None),
+                    AnnouncedPhase::Prefilling { prefill, .. } => Prefilling(prefill),
+                    AnnouncedPhase::Prefilled { prefill, .. } => Prefilled(prefill),
+                    AnnouncedPhase::Transferring {
                         decode, prefill, ..
                     } => Streaming(decode, Some(prefill)),
                 };
@@ -112,7 +112,7 @@
             AdmitEvent::UpstreamGone(upstream) => {
                 for (_, phase) in self.phases.values_mut() {
                     match phase {
-                        Read(at) | Reading(at) if at == upstream => *phase = Queued,
+                        Prefilled(at) | Prefilling(at) if at == upstream => *phase = Queued,
                         Streaming(at, _) if at == upstream => *phase = Over { again: true },
                         _ => {}
                     }
@@ -135,12 +135,12 @@
             AdmitEvent::KvEvicted { key } => {
                 self.change(
                     key,
-                    |phase| matches!(phase, Read(_) | Streaming(_, Some(_))),
+                    |phase| matches!(phase, Prefilled(_) | Streaming(_, Some(_))),
                     Queued,
                 );
             }
             AdmitEvent::PrefillFailed { key } => {
-                self.change(key, |phase| matches!(phase, Reading(_)), Queued);
+                self.change(key, |phase| matches!(phase, Prefilling(_)), Queued);
             }
             AdmitEvent::FirstToken { key } => {
                 if let Some((_, Streaming(_, kv))) = self.phases.get_mut(key) {
@@ -150,13 +150,13 @@
             AdmitEvent::DecodeRefused { key } => {
                 if let Some((_, Streaming(_, Some(prefill)))) = self.phases.get(key) {
                     let prefill = prefill.clone();
-                    self.change(key, |_| true, Read(prefill));
+                    self.change(key, |_| true, Prefilled(prefill));
                 }
             }
             AdmitEvent::PrefillDone { key } => {
-                if let Some((_, Reading(prefill))) = self.phases.get(key) {
+                if let Some((_, Prefilling(prefill))) = self.phases.get(key) {
                     let prefill = prefill.clone();
-                    self.change(key, |_| true, Read(prefill));
+                    self.change(key, |_| true, Prefilled(prefill));
                 }
             }
             _ => {}
@@ -188,7 +188,8 @@
 
     fn running(&self, work: &WorkId) -> u32 {
         use OraclePhase::*;
-        let runs = |phase: &OraclePhase| matches!(phase, Read(_) | Reading(_) | Streaming(..));
+        let runs =
+            |phase: &OraclePhase| matches!(phase, Prefilled(_) | Prefilling(_) | Streaming(..));
         let all = self.phases.values();
         all.filter(|(row, phase)| row == work && runs(phase))
             .count() as u32
--- a/crates/admit/tests/cell/row_plan.rs
+++ b/crates/admit/tests/cell/row_plan.rs
@@ -43,6 +43,6 @@
             }
         }
         prop_assert_eq!(sum, limit);
-        prop_assert_eq!(plan.homes(&row).is_empty(), limit == 0);
+        prop_assert_eq!(plan.cells_with_capacity(&row).is_empty(), limit == 0);
     }
 }
--- a/crates/admit/tests/cell/stateful_fuzz.rs
+++ b/crates/admit/tests/cell/stateful_fuzz.rs
@@ -6,7 +6,7 @@
         grant_oracle::{ENGINES, GrantOracle, OraclePhase},
         small_cell::{Cell, key, patient, upstream, urgent},
     },
-    admit::{AdmitAction, AdmitEvent, AdmitRequest, CellCounts, HoldPhase, RequestKey},
+    admit::{AdmitAction, AdmitEvent, AdmitRequest, AnnouncedPhase, CellCounts, RequestKey},
     kernel::Incarnation,
     proptest::{prelude::*, test_runner::RngSeed},
     route::{LeavingCause, LoadReport},
@@ -125,10 +125,10 @@
         let (decode, prefill) = (ENGINES[phase % 2].0.into(), ENGINES[2 + phase % 2].0.into());
         let since = self.cell.now;
         let phase = match phase / 2 {
-            0 => HoldPhase::Decoding { decode, tokens: 3 },
-            1 => HoldPhase::Prefilling { prefill, since },
-            2 => HoldPhase::Read { prefill, since },
-            _ => HoldPhase::Transferring {
+            0 => AnnouncedPhase::Decoding { decode, tokens: 3 },
+            1 => AnnouncedPhase::Prefilling { prefill, since },
+            2 => AnnouncedPhase::Prefilled { prefill, since },
+            _ => AnnouncedPhase::Transferring {
                 decode,
                 prefill,
                 since,
@@ -141,7 +141,7 @@
         let (name, role) = ENGINES[at % ENGINES.len()];
         self.messages.push(match kind {
             0 => AdmitEvent::UpstreamGone(name.into()),
-            1 => AdmitEvent::UpstreamLeaving(name.into(), LeavingCause::Said),
+            1 => AdmitEvent::UpstreamDraining(name.into(), LeavingCause::Said),
             _ => AdmitEvent::UpstreamUp(upstream(name, role)),
         });
     }
@@ -171,7 +171,7 @@
             (_, 2) => AdmitEvent::PrefillFailed { key },
             (_, 3) => AdmitEvent::DecodeLost { key },
             (_, 4) => AdmitEvent::FirstToken { key },
-            (Some(OraclePhase::Reading(_)), _) => AdmitEvent::PrefillDone { key },
+            (Some(OraclePhase::Prefilling(_)), _) => AdmitEvent::PrefillDone { key },
             (Some(OraclePhase::Streaming(_, Some(_))), _) => AdmitEvent::FirstToken { key },
             _ => AdmitEvent::Finished { key, output_tokens },
         });
--- a/crates/bench/src/policies/naive_policy.rs
+++ b/crates/bench/src/policies/naive_policy.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::policies::{bench_policy::BenchPolicy, pool_view::PoolView},
-    admit::{AdmitAction, AdmitEvent, AdmitPolicy, HoldPhase, RequestKey},
+    admit::{AdmitAction, AdmitEvent, AdmitPolicy, AnnouncedPhase, RequestKey},
     kernel::{ResultCode, UpstreamId},
     std::{
         collections::BTreeMap,
@@ -65,29 +65,29 @@
                 self.read(request.key, actions);
             }
             AdmitEvent::Tick => self.retry(actions),
-            AdmitEvent::UpstreamGone(upstream) | AdmitEvent::UpstreamLeaving(upstream, _) => {
+            AdmitEvent::UpstreamGone(upstream) | AdmitEvent::UpstreamDraining(upstream, _) => {
                 self.pool.block(&upstream);
             }
             AdmitEvent::UpstreamUp(info) => self.pool.add(&info),
             AdmitEvent::CacheEvents { .. }
             | AdmitEvent::Link(_)
             | AdmitEvent::Load(_)
-            | AdmitEvent::Restate { .. }
+            | AdmitEvent::Reconcile { .. }
             | AdmitEvent::Table { .. } => {}
         }
     }
 }
 
 impl NaivePolicy {
-    fn announce(&mut self, key: RequestKey, phase: HoldPhase, actions: &mut Vec<AdmitAction>) {
+    fn announce(&mut self, key: RequestKey, phase: AnnouncedPhase, actions: &mut Vec<AdmitAction>) {
         match phase {
-            HoldPhase::Decoding { .. } | HoldPhase::Transferring { .. } => {}
-            HoldPhase::Prefilling { prefill, .. } => {
+            AnnouncedPhase::Decoding { .. } | AnnouncedPhase::Transferring { .. } => {}
+            AnnouncedPhase::Prefilling { prefill, .. } => {
                 self.pool.take(&prefill);
                 let hold = self.holds.entry(key).or_default();
                 hold.prefill = Some(prefill);
             }
-            HoldPhase::Read { .. } => {
+            AnnouncedPhase::Prefilled { .. } => {
                 self.holds.entry(key.clone()).or_default();
                 self.decode(key, actions);
             }
--- a/crates/bench/src/policies/reserve_policy.rs
+++ b/crates/bench/src/policies/reserve_policy.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::policies::{bench_policy::BenchPolicy, pool_view::PoolView},
-    admit::{AdmitAction, AdmitEvent, AdmitPolicy, AdmitRequest, HoldPhase, RequestKey},
+    admit::{AdmitAction, AdmitEvent, AdmitPolicy, AdmitRequest, AnnouncedPhase, RequestKey},
     kernel::{ResultCode, UpstreamId},
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -67,7 +67,7 @@
             AdmitEvent::Submit(request) => self.submit(request),
             AdmitEvent::Table { table, .. } => self.table = table,
             AdmitEvent::Tick => self.end_patience(now, actions),
-            AdmitEvent::UpstreamGone(upstream) | AdmitEvent::UpstreamLeaving(upstream, _) => {
+            AdmitEvent::UpstreamGone(upstream) | AdmitEvent::UpstreamDraining(upstream, _) => {
                 self.pool.block(&upstream);
             }
             AdmitEvent::UpstreamUp(info) => self.pool.add(&info),
@@ -75,7 +75,7 @@
             | AdmitEvent::FirstToken { .. }
             | AdmitEvent::Link(_)
             | AdmitEvent::Load(_)
-            | AdmitEvent::Restate { .. } => {}
+            | AdmitEvent::Reconcile { .. } => {}
         }
         self.grant_read(actions);
         self.grant_queued(actions);
@@ -84,18 +84,19 @@
 }
 
 impl ReservePolicy {
-    fn announce(&mut self, request: AdmitRequest, phase: HoldPhase) {
+    fn announce(&mut self, request: AdmitRequest, phase: AnnouncedPhase) {
         let mut hold = self.hold(&request);
         match phase {
-            HoldPhase::Decoding { decode, .. } | HoldPhase::Transferring { decode, .. } => {
+            AnnouncedPhase::Decoding { decode, .. }
+            | AnnouncedPhase::Transferring { decode, .. } => {
                 self.pool.take(&decode);
                 hold.decode = Some(decode);
             }
-            HoldPhase::Prefilling { prefill, .. } => {
+            AnnouncedPhase::Prefilling { prefill, .. } => {
                 self.pool.take(&prefill);
                 hold.prefill = Some(prefill);
             }
-            HoldPhase::Read { .. } => hold.read = true,
+            AnnouncedPhase::Prefilled { .. } => hold.read = true,
         }
         self.holds.insert(request.key, hold);
     }
--- a/crates/bench/src/world/entry_side.rs
+++ b/crates/bench/src/world/entry_side.rs
@@ -232,7 +232,7 @@
 
     fn note_failed_call(&mut self, engine: EngineName) {
         let upstream = self.truth.upstream(engine);
-        self.entry_tells(AdmitEvent::UpstreamLeaving(upstream, LeavingCause::Failed));
+        self.entry_tells(AdmitEvent::UpstreamDraining(upstream, LeavingCause::Failed));
     }
 
     fn note_decode_lost(&mut self, request: RequestIndex, decode: EngineIndex) {
--- a/crates/bench/src/world/fault_side.rs
+++ b/crates/bench/src/world/fault_side.rs
@@ -12,7 +12,7 @@
             world_event::{EngineName, EngineNote, WorldEvent},
         },
     },
-    admit::{AdmitEvent, HoldPhase},
+    admit::{AdmitEvent, AnnouncedPhase},
     kernel::Incarnation,
     route::{LoadReport, load_report::LeavingCause},
 };
@@ -154,7 +154,7 @@
         let event = if !self.truth.is_alive(engine) {
             AdmitEvent::UpstreamGone(upstream)
         } else if self.truth.is_leaving(engine) {
-            AdmitEvent::UpstreamLeaving(upstream, LeavingCause::Listed)
+            AdmitEvent::UpstreamDraining(upstream, LeavingCause::Listed)
         } else {
             AdmitEvent::UpstreamUp(self.truth.upstream_info(engine))
         };
@@ -295,18 +295,18 @@
         });
     }
 
-    fn hold_phase(&self, request: RequestIndex) -> Option<HoldPhase> {
+    fn hold_phase(&self, request: RequestIndex) -> Option<AnnouncedPhase> {
         let state = &self.requests[request];
         let prefill = self.truth.readings.get(state.reading?)?.prefill;
         let prefill = self.truth.prefill_names[prefill].clone();
         match state.phase {
-            EntryPhase::Decoding { decode } => Some(HoldPhase::Decoding {
+            EntryPhase::Decoding { decode } => Some(AnnouncedPhase::Decoding {
                 decode: self.truth.decode_names[decode].clone(),
                 tokens: self.tokens_so_far(request),
             }),
-            EntryPhase::Prefilling { since } => Some(HoldPhase::Prefilling { prefill, since }),
-            EntryPhase::Read { since } => Some(HoldPhase::Read { prefill, since }),
-            EntryPhase::Transferring { decode, since } => Some(HoldPhase::Transferring {
+            EntryPhase::Prefilling { since } => Some(AnnouncedPhase::Prefilling { prefill, since }),
+            EntryPhase::Read { since } => Some(AnnouncedPhase::Prefilled { prefill, since }),
+            EntryPhase::Transferring { decode, since } => Some(AnnouncedPhase::Transferring {
                 decode: self.truth.decode_names[decode].clone(),
                 prefill,
                 since,
--- a/crates/door/src/door_shared.rs
+++ b/crates/door/src/door_shared.rs
@@ -3,7 +3,7 @@
 use {
     crate::{admission_gate::AdmissionGate, door_limits::DoorLimits, error_answer::ErrorAnswer},
     axum::body::Body,
-    flow::{FlowShared, PlainCaller, PlainLimiter, TableBoard},
+    flow::{CurrentTable, FlowShared, PlainCaller, PlainLimiter},
     kernel::{ResultCode, ServiceId, WorkId, ZoneId},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
     table::WorkRow,
@@ -38,7 +38,7 @@
     /// The requests to plain services.
     pub plain: Arc<PlainCaller<Body>>,
     /// The table in force.
-    pub tables: Arc<TableBoard>,
+    pub tables: Arc<CurrentTable>,
     /// The availability zone of this instance.
     pub zone: ZoneId,
 }
--- a/crates/door/src/service_handler.rs
+++ b/crates/door/src/service_handler.rs
@@ -14,7 +14,7 @@
     },
     bytes::Bytes,
     engine::{ModelEngine, PooledBody},
-    flow::{FlowFailure, PlainCaller, plain_limiter::LimitPass},
+    flow::{FlowFailure, PlainCaller, plain_limiter::LimitPermit},
     http::{HeaderMap, HeaderName, HeaderValue, Request, Uri, header},
     hyper::body::{Body as HttpBody, Frame, SizeHint},
     kernel::{ResultCode, ServiceId, UpstreamId},
@@ -43,7 +43,7 @@
 struct CountedBody {
     body: PooledBody<Body>,
     caller: Arc<PlainCaller<Body>>,
-    _limit: LimitPass,
+    _limit: LimitPermit,
     _pass: GatePass,
     service: ServiceId,
     upstream: UpstreamId,
--- a/crates/flow/src/abandoned_streams.rs
+++ b/crates/flow/src/abandoned_streams.rs
@@ -22,7 +22,7 @@
 impl AbandonedStreams {
     /// Takes the streams of one engine that have no connection and a silent holder. Those that have looked so for long
     /// enough are given back.
-    pub fn note(
+    pub fn observe(
         &mut self,
         now: Instant,
         upstream: &UpstreamId,
--- a/crates/flow/src/allocator_seats.rs
+++ b/crates/flow/src/allocator_tracker.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        cell_hub::{CellHub, CellSeat},
+        cell_hub::{CellHub, CellRoute},
         cell_session::run_session,
-        cell_table::{CellTable, PolicyMaker},
+        cell_table::{CellTable, PolicyFactory},
         grant_router::GrantRouter,
-        upstream_board::UpstreamBoard,
+        upstream_registry::UpstreamRegistry,
     },
     kernel::{InstanceId, ModelId, WorkerPool, ZoneId, seeded_rng},
     peer::PeerEndpoint,
@@ -27,9 +27,9 @@
 /// How long a cell that another instance allocates is kept here, for sessions that have not moved yet.
 const LEAVE_AFTER: Duration = Duration::from_secs(5);
 /// How long a request may wait for a cell that has no allocator.
-const UNSEATED_LIMIT: Duration = Duration::from_secs(1);
+const UNASSIGNED_LIMIT: Duration = Duration::from_secs(1);
 /// When to come back after such a wait.
-const UNSEATED_RETRY_AFTER: Duration = Duration::from_secs(2);
+const UNASSIGNED_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// The shortest time between two sessions to one allocator.
 const SESSION_PAUSE: Duration = Duration::from_millis(200);
 
@@ -40,33 +40,33 @@
 }
 
 /// One seat as it was set last.
-struct SetSeat {
+struct AssignedRoute {
     allocator: InstanceId,
     frames: mpsc::WeakUnboundedSender<crate::cell_frame::CellFrame>,
     since: Instant,
 }
 
 /// Follows the members and gives every cell its allocator.
-pub struct AllocatorSeats<M: PolicyMaker, V> {
-    board: Arc<UpstreamBoard>,
+pub struct AllocatorTracker<M: PolicyFactory, V> {
+    registry: Arc<UpstreamRegistry>,
     cells: Arc<CellTable<M, GrantRouter>>,
     endpoint: PeerEndpoint,
     hub: Arc<CellHub>,
     instance: InstanceId,
-    left: BTreeMap<ModelId, Instant>,
+    left_since: BTreeMap<ModelId, Instant>,
     members: Arc<V>,
     pool: WorkerPool,
-    seats: BTreeMap<ModelId, SetSeat>,
-    unseated: BTreeMap<ModelId, Instant>,
+    routes: BTreeMap<ModelId, AssignedRoute>,
+    unassigned: BTreeMap<ModelId, Instant>,
     zone: ZoneId,
 }
 
 #[bon::bon]
-impl<M: PolicyMaker, V: MemberView> AllocatorSeats<M, V> {
+impl<M: PolicyFactory, V: MemberView> AllocatorTracker<M, V> {
     /// Seats for the cells of `zone`, of this `instance`'s side; its sessions run in `pool`.
     #[builder]
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         cells: Arc<CellTable<M, GrantRouter>>,
         endpoint: PeerEndpoint,
         hub: Arc<CellHub>,
@@ -76,22 +76,22 @@
         zone: ZoneId,
     ) -> Self {
         Self {
-            board,
+            registry,
             cells,
             endpoint,
             hub,
             instance,
-            left: BTreeMap::new(),
+            left_since: BTreeMap::new(),
             members,
             pool,
-            seats: BTreeMap::new(),
-            unseated: BTreeMap::new(),
+            routes: BTreeMap::new(),
+            unassigned: BTreeMap::new(),
             zone,
         }
     }
 }
 
-impl<M: PolicyMaker, V: MemberView> AllocatorSeats<M, V> {
+impl<M: PolicyFactory, V: MemberView> AllocatorTracker<M, V> {
     /// Follows the members for as long as it is driven.
     pub async fn run(mut self) {
         let mut ticks = time::interval(CHECK_INTERVAL);
@@ -104,71 +104,71 @@
 
     fn check(&mut self, now: Instant) {
         let members = self.members.zone_members();
-        for model in zone_models(&self.board, &self.zone) {
+        for model in zone_models(&self.registry, &self.zone) {
             let Some(allocator) = allocator_of(&self.zone, &model, &members) else {
                 continue;
             };
-            if self.needs_seat(now, &model, &allocator) {
-                self.set_seat(now, &model, allocator);
+            if self.needs_route(now, &model, &allocator) {
+                self.assign_route(now, &model, allocator);
             }
         }
-        self.leave_cells(now);
-        self.refuse_unseated(now);
+        self.drop_left_cells(now);
+        self.refuse_unassigned(now);
     }
 
     fn has_session(&self, model: &ModelId) -> bool {
-        let Some(seat) = self.seats.get(model) else {
+        let Some(route) = self.routes.get(model) else {
             return false;
         };
-        let frames = seat.frames.upgrade();
+        let frames = route.frames.upgrade();
         frames.is_some_and(|frames| !frames.is_closed())
     }
 
     /// Refuses the requests whose cell has had no allocator for too long: for want of engines or of members.
-    fn refuse_unseated(&mut self, now: Instant) {
+    fn refuse_unassigned(&mut self, now: Instant) {
         for model in self.hub.requests().models() {
             if self.has_session(&model) {
-                self.unseated.remove(&model);
+                self.unassigned.remove(&model);
                 continue;
             }
-            let since = *self.unseated.entry(model.clone()).or_insert(now);
-            if now.saturating_duration_since(since) < UNSEATED_LIMIT {
+            let since = *self.unassigned.entry(model.clone()).or_insert(now);
+            if now.saturating_duration_since(since) < UNASSIGNED_LIMIT {
                 continue;
             }
-            self.hub.refuse_cell(&model, UNSEATED_RETRY_AFTER);
+            self.hub.refuse_cell(&model, UNASSIGNED_RETRY_AFTER);
         }
     }
 
-    fn needs_seat(&self, now: Instant, model: &ModelId, allocator: &InstanceId) -> bool {
-        let Some(seat) = self.seats.get(model) else {
+    fn needs_route(&self, now: Instant, model: &ModelId, allocator: &InstanceId) -> bool {
+        let Some(route) = self.routes.get(model) else {
             return true;
         };
-        if seat.allocator != *allocator {
+        if route.allocator != *allocator {
             return true;
         }
-        !self.has_session(model) && now.saturating_duration_since(seat.since) >= SESSION_PAUSE
+        !self.has_session(model) && now.saturating_duration_since(route.since) >= SESSION_PAUSE
     }
 
-    fn set_seat(&mut self, now: Instant, model: &ModelId, allocator: InstanceId) {
+    fn assign_route(&mut self, now: Instant, model: &ModelId, allocator: InstanceId) {
         let (frames, outbox) = mpsc::unbounded_channel();
-        let seat = SetSeat {
+        let route = AssignedRoute {
             allocator: allocator.clone(),
             frames: frames.downgrade(),
             since: now,
         };
         let is_moved = self
-            .seats
-            .insert(model.clone(), seat)
+            .routes
+            .insert(model.clone(), route)
             .is_none_or(|old| old.allocator != allocator);
         if is_moved {
             tracing::info!(%model, %allocator, "the cell has an allocator");
         }
         if allocator == self.instance {
-            self.left.remove(model);
+            self.left_since.remove(model);
             self.cells.cell(model);
             self.pool.spawn(feed_cells(self.cells.clone(), outbox));
         } else {
-            self.left.entry(model.clone()).or_insert(now);
+            self.left_since.entry(model.clone()).or_insert(now);
             let session = run_session(
                 self.endpoint.clone(),
                 allocator.clone(),
@@ -177,25 +177,25 @@
             );
             self.pool.spawn(session);
         }
-        self.hub.seat(model, CellSeat { allocator, frames });
+        self.hub.set_route(model, CellRoute { allocator, frames });
     }
 
     /// Drops the cells that others have allocated for long enough. A session that moves here late makes its cell anew.
-    fn leave_cells(&mut self, now: Instant) {
+    fn drop_left_cells(&mut self, now: Instant) {
         for (model, _) in self.cells.list() {
             let is_own = self
-                .seats
+                .routes
                 .get(&model)
-                .is_some_and(|seat| seat.allocator == self.instance);
+                .is_some_and(|route| route.allocator == self.instance);
             if is_own {
                 continue;
             }
-            let since = *self.left.entry(model.clone()).or_insert(now);
+            let since = *self.left_since.entry(model.clone()).or_insert(now);
             if now.saturating_duration_since(since) < LEAVE_AFTER {
                 continue;
             }
-            self.cells.leave(&model);
-            self.left.remove(&model);
+            self.cells.remove(&model);
+            self.left_since.remove(&model);
         }
     }
 }
@@ -206,8 +206,8 @@
 }
 
 /// The models that the engines of a zone serve.
-fn zone_models(board: &UpstreamBoard, zone: &str) -> BTreeSet<ModelId> {
-    let map = board.snapshot();
+fn zone_models(registry: &UpstreamRegistry, zone: &str) -> BTreeSet<ModelId> {
+    let map = registry.snapshot();
     let entries = map
         .values()
         .filter(|entry| entry.record.kind != InstanceKind::Plain && *entry.record.zone == *zone);
@@ -216,7 +216,7 @@
         .collect()
 }
 
-async fn feed_cells<M: PolicyMaker>(
+async fn feed_cells<M: PolicyFactory>(
     cells: Arc<CellTable<M, GrantRouter>>,
     mut frames: UnboundedReceiver<crate::cell_frame::CellFrame>,
 ) {
--- a/crates/flow/src/cell_driver.rs
+++ b/crates/flow/src/cell_driver.rs
@@ -25,8 +25,8 @@
 
 struct CellState<P> {
     /// Events of requests that came before the allocator knew its engines; `None` once it does.
-    early: Option<Vec<AdmitEvent>>,
-    open: OpenKeys,
+    buffered: Option<Vec<AdmitEvent>>,
+    open_keys: OpenKeys,
     policy: P,
     /// The table that the allocator was told last.
     table: Option<Arc<WorkTable>>,
@@ -46,8 +46,8 @@
             state: RankedLock::new(
                 LockRank::Allocator,
                 CellState {
-                    early: Some(Vec::new()),
-                    open: OpenKeys::default(),
+                    buffered: Some(Vec::new()),
+                    open_keys: OpenKeys::default(),
                     policy,
                     table: None,
                     wake_at: None,
@@ -58,7 +58,7 @@
     }
 
     /// Whether a table differs from the one that came here before; it counts as told from then on.
-    pub fn is_news(&self, table: &Arc<WorkTable>) -> bool {
+    pub fn replace_table(&self, table: &Arc<WorkTable>) -> bool {
         let mut state = self.state.lock();
         if state.table.as_ref() == Some(table) {
             return false;
@@ -74,7 +74,7 @@
 
     /// Gives one event to the allocator and delivers what it decides.
     pub fn on_event(&self, event: AdmitEvent) {
-        let actions = self.take(&mut self.state.lock(), event);
+        let actions = self.apply(&mut self.state.lock(), event);
         for action in actions {
             self.deliver(action);
         }
@@ -86,7 +86,7 @@
             instance, serials, ..
         } = &frame
         {
-            let missing = self.state.lock().open.begin_session(instance, serials);
+            let missing = self.state.lock().open_keys.begin_session(instance, serials);
             for key in missing {
                 self.on_request(AdmitEvent::Cancel { key });
             }
@@ -95,7 +95,7 @@
         let Some(event) = frame.into_event(now) else {
             return;
         };
-        let event = self.state.lock().open.restate(event);
+        let event = self.state.lock().open_keys.reconcile(event);
         self.on_request(event);
     }
 
@@ -104,10 +104,14 @@
     pub fn on_request(&self, event: AdmitEvent) {
         {
             let mut state = self.state.lock();
-            let CellState { early, open, .. } = &mut *state;
-            if let Some(early) = early {
-                open.note(&event);
-                early.push(event);
+            let CellState {
+                buffered,
+                open_keys,
+                ..
+            } = &mut *state;
+            if let Some(buffered) = buffered {
+                open_keys.track(&event);
+                buffered.push(event);
                 return;
             }
         }
@@ -120,8 +124,8 @@
         {
             // An event that comes meanwhile is taken after the earlier ones.
             let mut state = self.state.lock();
-            for event in state.early.take().unwrap_or_default() {
-                actions.extend(self.take(&mut state, event));
+            for event in state.buffered.take().unwrap_or_default() {
+                actions.extend(self.apply(&mut state, event));
             }
         }
         for action in actions {
@@ -148,12 +152,12 @@
     }
 
     /// Gives one event to the allocator; its decisions are to be delivered without the lock.
-    fn take(&self, state: &mut CellState<P>, event: AdmitEvent) -> Vec<AdmitAction> {
+    fn apply(&self, state: &mut CellState<P>, event: AdmitEvent) -> Vec<AdmitAction> {
         let mut actions = Vec::new();
-        state.open.note(&event);
+        state.open_keys.track(&event);
         state.policy.on_event(Instant::now(), event, &mut actions);
-        close_refused(&mut state.open, &actions);
-        self.keep_wake(state, &actions);
+        close_refused(&mut state.open_keys, &actions);
+        self.schedule_wake(state, &actions);
         actions
     }
 
@@ -173,7 +177,7 @@
     }
 
     /// Keeps the earliest time that was asked for and is still to come.
-    fn keep_wake(&self, state: &mut CellState<P>, actions: &[AdmitAction]) {
+    fn schedule_wake(&self, state: &mut CellState<P>, actions: &[AdmitAction]) {
         let now = Instant::now();
         for action in actions {
             let AdmitAction::WakeAt(at) = action else {
@@ -189,12 +193,12 @@
     }
 }
 
-fn close_refused(open: &mut OpenKeys, actions: &[AdmitAction]) {
+fn close_refused(open_keys: &mut OpenKeys, actions: &[AdmitAction]) {
     for action in actions {
         let AdmitAction::Refuse { key, .. } = action else {
             continue;
         };
-        open.close(key);
+        open_keys.close(key);
     }
 }
 
--- a/crates/flow/src/cell_frame.rs
+++ b/crates/flow/src/cell_frame.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::cell_notice::{CellGrant, CellNotice},
-    admit::{AdmitEvent, AdmitRequest, HoldPhase, RequestKey},
+    admit::{AdmitEvent, AdmitRequest, AnnouncedPhase, RequestKey},
     kernel::{BlockHash, InstanceId, ModelId, UpstreamId, WorkId},
     serde::{Deserialize, Serialize},
     std::{
@@ -50,7 +50,7 @@
     /// It waits for a prefill engine.
     Queued,
     /// Its KV cache waits for its transfer.
-    Read {
+    Prefilled {
         /// The prefill engine.
         prefill: UpstreamId,
         /// For how long.
@@ -157,12 +157,12 @@
     let request = submit.into_request(now);
     let phase = match phase {
         HeldPhase::Queued => return AdmitEvent::Submit(request),
-        HeldPhase::Decoding { decode, tokens } => HoldPhase::Decoding { decode, tokens },
-        HeldPhase::Prefilling { prefill, age } => HoldPhase::Prefilling {
+        HeldPhase::Decoding { decode, tokens } => AnnouncedPhase::Decoding { decode, tokens },
+        HeldPhase::Prefilling { prefill, age } => AnnouncedPhase::Prefilling {
             prefill,
             since: before(now, age),
         },
-        HeldPhase::Read { prefill, age } => HoldPhase::Read {
+        HeldPhase::Prefilled { prefill, age } => AnnouncedPhase::Prefilled {
             prefill,
             since: before(now, age),
         },
@@ -170,7 +170,7 @@
             decode,
             prefill,
             age,
-        } => HoldPhase::Transferring {
+        } => AnnouncedPhase::Transferring {
             decode,
             prefill,
             since: before(now, age),
--- a/crates/flow/src/cell_hub.rs
+++ b/crates/flow/src/cell_hub.rs
@@ -26,7 +26,7 @@
 
 /// Where the frames of one cell go.
 #[derive(Clone, Debug)]
-pub struct CellSeat {
+pub struct CellRoute {
     /// The allocator.
     pub allocator: InstanceId,
     /// Takes the frames to it.
@@ -39,7 +39,7 @@
     incarnation: AtomicU64,
     instance: InstanceId,
     requests: Arc<RequestTable>,
-    seats: RankedLock<BTreeMap<ModelId, CellSeat>>,
+    routes: RankedLock<BTreeMap<ModelId, CellRoute>>,
     serial: AtomicU64,
 }
 
@@ -50,17 +50,17 @@
             incarnation: AtomicU64::new(incarnation),
             instance,
             requests: Arc::new(RequestTable::new()),
-            seats: RankedLock::new(LockRank::Seats, BTreeMap::new()),
+            routes: RankedLock::new(LockRank::Seats, BTreeMap::new()),
             serial: AtomicU64::new(1),
         }
     }
 
     /// The allocator of each cell.
     pub fn allocators(&self) -> BTreeMap<ModelId, InstanceId> {
-        let seats = self.seats.lock();
-        let named = seats.iter();
+        let routes = self.routes.lock();
+        let named = routes.iter();
         named
-            .map(|(model, seat)| (model.clone(), seat.allocator.clone()))
+            .map(|(model, route)| (model.clone(), route.allocator.clone()))
             .collect()
     }
 
@@ -75,7 +75,7 @@
 
     /// Tells the allocator what happened to a request.
     pub fn notify(&self, key: &RequestKey, notice: CellNotice) {
-        let Some(model) = self.requests.note(key.serial, &notice) else {
+        let Some(model) = self.requests.apply_notice(key.serial, &notice) else {
             return;
         };
         self.send(CellFrame::Notice {
@@ -83,25 +83,25 @@
             model,
             notice,
         });
-        self.refuse_ended_life(key);
+        self.refuse_ended_incarnation(key);
     }
 
     /// Takes a grant of a cell's allocator. Grants of an instance that is not the cell's allocator any more are dropped.
     pub fn on_grant(&self, allocator: &InstanceId, frame: GrantFrame) {
         let model = &frame.model;
         // The cell keeps its allocator until the grant is noted: a new one is told of it then.
-        let seats = self.seats.lock();
-        let Some(seat) = seats.get(model) else {
+        let routes = self.routes.lock();
+        let Some(route) = routes.get(model) else {
             return;
         };
-        if seat.allocator != *allocator {
+        if route.allocator != *allocator {
             return;
         }
         let Some(answer) = self.requests.deliver(&frame.key, frame.grant) else {
             return;
         };
         // A closed session is followed by another seat, to which everything is announced.
-        let _ = seat.frames.send(with_model(answer, model));
+        let _ = route.frames.send(with_model(answer, model));
     }
 
     /// Takes the request to the end of its time at the allocator, without a word: the allocator refused it.
@@ -116,9 +116,9 @@
 
     /// Refuses the requests of a cell that wait for a grant.
     pub fn refuse_cell(&self, model: &ModelId, retry_after: Duration) {
-        let is_meant = |submit: &CellSubmit| submit.model == *model;
+        let is_selected = |submit: &CellSubmit| submit.model == *model;
         self.requests
-            .refuse_waiting(is_meant, ResultCode::UpstreamMissing, retry_after);
+            .refuse_waiting(is_selected, ResultCode::UpstreamMissing, retry_after);
     }
 
     /// Starts a new life: the allocators hold the requests of the earlier one for gone. Those that wait for a grant are
@@ -138,15 +138,15 @@
             return;
         };
         self.send(frame);
-        self.refuse_ended_life(key);
+        self.refuse_ended_incarnation(key);
     }
 
     /// Gives a cell another allocator and announces to it what this instance holds.
-    pub fn seat(&self, model: &ModelId, seat: CellSeat) {
-        let frames = seat.frames.clone();
+    pub fn set_route(&self, model: &ModelId, route: CellRoute) {
+        let frames = route.frames.clone();
         // What happens meanwhile is sent after the announcement that doesn't tell of it.
-        let mut seats = self.seats.lock();
-        seats.insert(model.clone(), seat);
+        let mut routes = self.routes.lock();
+        routes.insert(model.clone(), route);
         for frame in self.requests.announcements(&self.instance, model) {
             // A closed session is followed by another seat.
             let _ = frames.send(frame);
@@ -154,11 +154,11 @@
     }
 
     /// The allocator of a cell.
-    pub fn seated(&self, model: &ModelId) -> Option<InstanceId> {
-        self.seats
+    pub fn allocator(&self, model: &ModelId) -> Option<InstanceId> {
+        self.routes
             .lock()
             .get(model)
-            .map(|seat| seat.allocator.clone())
+            .map(|route| route.allocator.clone())
     }
 
     /// Queues a request; its grants come over the channel.
@@ -179,12 +179,12 @@
             age: request.arrived.elapsed(),
             ..submit
         }));
-        self.refuse_ended_life(key);
+        self.refuse_ended_incarnation(key);
         receiver
     }
 
     /// Refuses a request that waits for a grant and belongs to an ended life: no allocator takes it.
-    fn refuse_ended_life(&self, key: &RequestKey) {
+    fn refuse_ended_incarnation(&self, key: &RequestKey) {
         if key.incarnation >= self.incarnation.load(Ordering::Acquire) {
             return;
         }
@@ -196,12 +196,12 @@
     }
 
     fn send(&self, frame: CellFrame) {
-        let seats = self.seats.lock();
-        let Some(seat) = seats.get(frame.model()) else {
+        let routes = self.routes.lock();
+        let Some(route) = routes.get(frame.model()) else {
             return;
         };
         // A closed session is followed by another seat, to which everything is announced.
-        let _ = seat.frames.send(frame);
+        let _ = route.frames.send(frame);
     }
 }
 
--- a/crates/flow/src/cell_session.rs
+++ b/crates/flow/src/cell_session.rs
@@ -5,7 +5,7 @@
         cell_driver::GrantSink,
         cell_frame::{CellFrame, GrantFrame},
         cell_hub::CellHub,
-        cell_table::{CellTable, PolicyMaker},
+        cell_table::{CellTable, PolicyFactory},
         grant_router::GrantRouter,
     },
     bytes::Bytes,
@@ -20,13 +20,13 @@
 pub const CELL_TAG: ProtocolTag = 0x20;
 
 /// Takes the sessions that other instances open with the allocators here.
-pub struct SessionHost<M: PolicyMaker> {
+pub struct SessionHost<M: PolicyFactory> {
     cells: Arc<CellTable<M, GrantRouter>>,
     pool: WorkerPool,
     router: Arc<GrantRouter>,
 }
 
-impl<M: PolicyMaker> SessionHost<M> {
+impl<M: PolicyFactory> SessionHost<M> {
     /// A host of the allocators in `cells`, whose sessions run in `pool`.
     pub fn new(
         cells: Arc<CellTable<M, GrantRouter>>,
@@ -88,7 +88,7 @@
     sender.close().await;
 }
 
-async fn take_frames<M: PolicyMaker, S: GrantSink>(
+async fn take_frames<M: PolicyFactory, S: GrantSink>(
     cells: Arc<CellTable<M, S>>,
     from: PeerIdentity,
     mut receiver: SessionReceiver,
--- a/crates/flow/src/cell_table.rs
+++ b/crates/flow/src/cell_table.rs
@@ -4,7 +4,7 @@
     crate::{
         cell_driver::{CellDriver, GrantSink},
         cell_frame::CellFrame,
-        table_board::TableBoard,
+        current_table::CurrentTable,
     },
     admit::{AdmitEvent, AdmitPolicy},
     kernel::{CloseSignal, Incarnation, InstanceId, LockRank, ModelId, RankedLock, WorkerPool},
@@ -24,7 +24,7 @@
 const WHOLE_SHARE: f64 = 1.0;
 
 /// Makes the allocator of a cell.
-pub trait PolicyMaker: Send + Sync + 'static {
+pub trait PolicyFactory: Send + Sync + 'static {
     /// The kind of allocator.
     type Policy: AdmitPolicy + Send + 'static;
 
@@ -32,37 +32,37 @@
     fn make(&self, model: &ModelId) -> Self::Policy;
 
     /// The table with this cell's part of every row's limit in place of the whole.
-    fn cell_part(&self, model: &ModelId, table: &WorkTable) -> WorkTable;
+    fn table_for_cell(&self, model: &ModelId, table: &WorkTable) -> WorkTable;
 }
 
 /// One running cell.
-type CellHandle<M, S> = Arc<CellDriver<<M as PolicyMaker>::Policy, S>>;
+type CellHandle<M, S> = Arc<CellDriver<<M as PolicyFactory>::Policy, S>>;
 
 /// A cell with the signal that ends its timer.
-struct CellSeat<M: PolicyMaker, S> {
+struct RunningCell<M: PolicyFactory, S> {
     driver: CellHandle<M, S>,
     signal: CloseSignal,
 }
 
 /// The cells whose allocator this instance is, by model.
-pub struct CellTable<M: PolicyMaker, S> {
-    board: Arc<TableBoard>,
-    cells: RankedLock<BTreeMap<ModelId, CellSeat<M, S>>>,
-    maker: M,
+pub struct CellTable<M: PolicyFactory, S> {
+    current: Arc<CurrentTable>,
+    cells: RankedLock<BTreeMap<ModelId, RunningCell<M, S>>>,
+    factory: M,
     pool: WorkerPool,
     sink: Arc<S>,
 }
 
-impl<M: PolicyMaker, S: GrantSink> CellTable<M, S> {
+impl<M: PolicyFactory, S: GrantSink> CellTable<M, S> {
     /// The driver of a model's cell, made when it is not there yet.
     pub fn cell(&self, model: &ModelId) -> CellHandle<M, S> {
         let mut cells = self.cells.lock();
-        if let Some(seat) = cells.get(model) {
-            return seat.driver.clone();
+        if let Some(cell) = cells.get(model) {
+            return cell.driver.clone();
         }
         let driver = Arc::new(CellDriver::new(
             model.clone(),
-            self.maker.make(model),
+            self.factory.make(model),
             self.sink.clone(),
         ));
         let signal = CloseSignal::new();
@@ -71,7 +71,7 @@
             .spawn(async move { timer.0.run_timer(timer.1).await });
         cells.insert(
             model.clone(),
-            CellSeat {
+            RunningCell {
                 driver: driver.clone(),
                 signal,
             },
@@ -82,11 +82,11 @@
     }
 
     /// Drops the cell of a model whose allocator is now another instance.
-    pub fn leave(&self, model: &ModelId) {
-        let Some(seat) = self.cells.lock().remove(model) else {
+    pub fn remove(&self, model: &ModelId) {
+        let Some(cell) = self.cells.lock().remove(model) else {
             return;
         };
-        seat.signal.raise();
+        cell.signal.raise();
     }
 
     /// The running cells.
@@ -94,16 +94,16 @@
         let cells = self.cells.lock();
         cells
             .iter()
-            .map(|(model, seat)| (model.clone(), seat.driver.clone()))
+            .map(|(model, cell)| (model.clone(), cell.driver.clone()))
             .collect()
     }
 
     /// An empty table of cells. Timers run in `pool`, decisions go to `sink`.
-    pub fn new(board: Arc<TableBoard>, maker: M, pool: WorkerPool, sink: Arc<S>) -> Self {
+    pub fn new(current: Arc<CurrentTable>, factory: M, pool: WorkerPool, sink: Arc<S>) -> Self {
         Self {
-            board,
+            current,
             cells: RankedLock::new(LockRank::Cells, BTreeMap::new()),
-            maker,
+            factory,
             pool,
             sink,
         }
@@ -127,7 +127,7 @@
 
     /// Gives the table in force to every cell, whenever it changes.
     pub async fn run_tables(&self) {
-        let mut changes = self.board.changes();
+        let mut changes = self.current.changes();
         let mut ticks = time::interval(PART_INTERVAL);
         loop {
             tokio::select! {
@@ -145,11 +145,11 @@
     }
 
     fn put_table(&self, model: &ModelId, driver: &CellHandle<M, S>) {
-        let Some(table) = self.board.table() else {
+        let Some(table) = self.current.table() else {
             return;
         };
-        let table = Arc::new(self.maker.cell_part(model, &table));
-        if !driver.is_news(&table) {
+        let table = Arc::new(self.factory.table_for_cell(model, &table));
+        if !driver.replace_table(&table) {
             return;
         }
         driver.on_event(AdmitEvent::Table {
--- a/crates/flow/src/table_board.rs
+++ b/crates/flow/src/current_table.rs
@@ -12,7 +12,7 @@
 
 /// A table with the moment since which it is in force here.
 #[derive(Clone, Debug)]
-pub struct BoardEntry {
+pub struct TableEntry {
     /// The moment, by this process's clock.
     pub since: Instant,
     /// The moment, by the wall clock.
@@ -23,12 +23,12 @@
 
 /// Shows the table in force to every part; a part can wait for the next one.
 #[derive(Debug)]
-pub struct TableBoard {
-    entry: ArcSwap<Option<BoardEntry>>,
+pub struct CurrentTable {
+    entry: ArcSwap<Option<TableEntry>>,
     version: watch::Sender<u64>,
 }
 
-impl Default for TableBoard {
+impl Default for CurrentTable {
     fn default() -> Self {
         Self {
             entry: ArcSwap::from_pointee(None),
@@ -37,14 +37,14 @@
     }
 }
 
-impl TableBoard {
+impl CurrentTable {
     /// Tells of each further table.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
     /// The entry in force.
-    pub fn entry(&self) -> Option<BoardEntry> {
+    pub fn entry(&self) -> Option<TableEntry> {
         self.entry.load().as_ref().clone()
     }
 
@@ -56,7 +56,7 @@
     /// Puts a table in force. Whoever calls it answers for the order of versions.
     pub fn put(&self, table: Arc<WorkTable>) {
         let version = table.version;
-        let entry = BoardEntry {
+        let entry = TableEntry {
             since: Instant::now(),
             since_wall: SystemTime::now(),
             table,
--- a/crates/flow/src/engine_watch.rs
+++ b/crates/flow/src/engine_watch.rs
@@ -17,7 +17,7 @@
 pub struct EngineWatch {
     failures: u32,
     info: Option<UpstreamInfo>,
-    is_leaving: bool,
+    is_draining: bool,
     link: Option<LinkInfo>,
 }
 
@@ -64,16 +64,16 @@
         events: &mut Vec<AdmitEvent>,
     ) {
         let is_changed = self.info.as_ref() != Some(&info);
-        let is_back = self.is_leaving && mark.is_none();
+        let is_back = self.is_draining && mark.is_none();
         if is_changed || is_back {
             events.push(AdmitEvent::UpstreamUp(info.clone()));
         }
         if let Some(cause) = mark
-            && (is_changed || !self.is_leaving)
+            && (is_changed || !self.is_draining)
         {
-            events.push(AdmitEvent::UpstreamLeaving(info.upstream.clone(), cause));
+            events.push(AdmitEvent::UpstreamDraining(info.upstream.clone(), cause));
         }
-        self.is_leaving = mark.is_some();
+        self.is_draining = mark.is_some();
         self.info = Some(info);
     }
 
--- a/crates/flow/src/flow_core.rs
+++ b/crates/flow/src/flow_core.rs
@@ -42,7 +42,7 @@
     /// It waits for a prefill engine.
     Queued,
     /// Its KV cache waits for its transfer.
-    Read {
+    Prefilled {
         /// The prefill engine.
         prefill: UpstreamId,
     },
@@ -110,7 +110,7 @@
             FlowEvent::PrefillFailed(failure) => self.on_prefill_failed(failure),
             FlowEvent::Refused { code, retry_after } => self.on_refused(code, retry_after),
             FlowEvent::ResumeFailed(failure) => self.on_resume_failed(failure),
-            FlowEvent::RunLate => self.give_up(ResultCode::TicketExpired),
+            FlowEvent::DeadlinePassed => self.give_up(ResultCode::TicketExpired),
             FlowEvent::StreamDone => self.on_stream_done(),
             FlowEvent::Token => self.on_token(),
         }
@@ -146,17 +146,17 @@
     }
 
     /// Cancels what the attempt holds at engines.
-    fn free(&self) -> Option<FlowAction> {
+    fn cancel_held(&self) -> Option<FlowAction> {
         match &self.phase {
             FlowPhase::Decoding { decode, .. } => Some(self.cancel(decode, self.tokens == 0)),
             FlowPhase::Prefilling { prefill } => Some(self.cancel(prefill, true)),
-            FlowPhase::Read { prefill } => Some(self.cancel(prefill, false)),
+            FlowPhase::Prefilled { prefill } => Some(self.cancel(prefill, false)),
             FlowPhase::Ended | FlowPhase::Queued => None,
         }
     }
 
-    fn free_all(&self) -> Vec<FlowAction> {
-        let mut actions: Vec<FlowAction> = self.free().into_iter().collect();
+    fn cancel_all(&self) -> Vec<FlowAction> {
+        let mut actions: Vec<FlowAction> = self.cancel_held().into_iter().collect();
         if let FlowPhase::Decoding { prefill, .. } = &self.phase
             && self.tokens == 0
         {
@@ -175,7 +175,7 @@
     }
 
     fn give_up(&mut self, code: ResultCode) -> Vec<FlowAction> {
-        let mut actions = self.free_all();
+        let mut actions = self.cancel_all();
         actions.push(FlowAction::Notify(CellNotice::Cancel));
         let code = match code {
             ResultCode::CutByClose if !self.may_have_run => ResultCode::Closing,
@@ -193,7 +193,7 @@
             return self.on_evicted();
         }
         if !failure.may_have_run && self.tokens == 0 {
-            self.phase = FlowPhase::Read { prefill };
+            self.phase = FlowPhase::Prefilled { prefill };
             return vec![FlowAction::Notify(CellNotice::DecodeRefused)];
         }
         if failure.cause == CallCause::Garbled {
@@ -207,7 +207,7 @@
             return self.give_up(ResultCode::PrefillWasted);
         }
         self.evictions += 1;
-        let mut actions = self.free_all();
+        let mut actions = self.cancel_all();
         self.phase = FlowPhase::Queued;
         self.attempt += 1;
         actions.push(FlowAction::Notify(CellNotice::KvEvicted));
@@ -215,7 +215,7 @@
     }
 
     fn on_grant_decode(&mut self, decode: UpstreamId) -> Vec<FlowAction> {
-        let FlowPhase::Read { prefill } = self.phase.clone() else {
+        let FlowPhase::Prefilled { prefill } = self.phase.clone() else {
             return Vec::new();
         };
         self.phase = FlowPhase::Decoding {
@@ -229,7 +229,7 @@
     fn on_grant_prefill(&mut self, prefill: UpstreamId) -> Vec<FlowAction> {
         match self.phase.clone() {
             FlowPhase::Queued => vec![self.start_prefill(prefill)],
-            FlowPhase::Read { prefill: lost } => self.read_again(&lost, prefill),
+            FlowPhase::Prefilled { prefill: lost } => self.prefill_again(&lost, prefill),
             _ => Vec::new(),
         }
     }
@@ -239,7 +239,7 @@
             return Vec::new();
         };
         self.may_have_run = true;
-        self.phase = FlowPhase::Read { prefill };
+        self.phase = FlowPhase::Prefilled { prefill };
         vec![FlowAction::Notify(CellNotice::PrefillDone)]
     }
 
@@ -254,7 +254,7 @@
         }
         let mut actions: Vec<FlowAction> = Vec::new();
         if failure.may_have_run {
-            actions.extend(self.free());
+            actions.extend(self.cancel_held());
         }
         self.phase = FlowPhase::Queued;
         self.attempt += 1;
@@ -263,7 +263,7 @@
     }
 
     fn on_refused(&mut self, code: ResultCode, retry_after: Duration) -> Vec<FlowAction> {
-        let mut actions = self.free_all();
+        let mut actions = self.cancel_all();
         actions.push(self.end(code, Some(retry_after)));
         actions
     }
@@ -305,7 +305,7 @@
             };
             return self.give_up(code);
         }
-        let mut actions = self.free_all();
+        let mut actions = self.cancel_all();
         self.attempt += 1;
         self.phase = FlowPhase::Queued;
         self.tokens = 0;
@@ -331,7 +331,7 @@
     }
 
     /// The allocator holds the engine that read the prompt for gone: the KV cache there is lost.
-    fn read_again(&mut self, lost: &UpstreamId, prefill: UpstreamId) -> Vec<FlowAction> {
+    fn prefill_again(&mut self, lost: &UpstreamId, prefill: UpstreamId) -> Vec<FlowAction> {
         if !self.repeat {
             return self.give_up(ResultCode::PrefillWasted);
         }
--- a/crates/flow/src/flow_event.rs
+++ b/crates/flow/src/flow_event.rs
@@ -51,7 +51,7 @@
     /// A stream could not be taken up again.
     ResumeFailed(CallFailure),
     /// The request's ticket ended before the next dispatch.
-    RunLate,
+    DeadlinePassed,
     /// The engine's end marker came.
     StreamDone,
     /// A token came.
--- a/crates/flow/src/flow_plugin.rs
+++ b/crates/flow/src/flow_plugin.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell_hub::CellHub, flow_metrics::FlowMetrics, plain_limiter::PlainLimiter,
-        upstream_board::UpstreamBoard,
+        upstream_registry::UpstreamRegistry,
     },
     kernel::{PluginEntry, StateMap},
     prometheus::Registry,
@@ -20,11 +20,11 @@
 
 fn dump_flow(map: &StateMap) -> Option<Value> {
     let hub = map.get::<CellHub>()?;
-    let board = map.get::<UpstreamBoard>()?;
+    let registry = map.get::<UpstreamRegistry>()?;
     let limiter = map.get::<PlainLimiter>()?;
     let mut upstreams = Map::new();
-    for (name, entry) in board.snapshot().iter() {
-        let leaving = entry.leaving().map(|cause| format!("{cause:?}"));
+    for (name, entry) in registry.snapshot().iter() {
+        let leaving = entry.drain_cause().map(|cause| format!("{cause:?}"));
         let value = json!({ "address": entry.address, "leaving": leaving });
         upstreams.insert(name.to_string(), value);
     }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,11 +1,11 @@
 //! One request from the door to its last byte: the steps without I/O, and the tasks that drive them.
 //!
 //! [`FlowCore`] decides the next step and the final answer, and [`RequestDriver`] makes the calls. [`CellHub`] takes
-//! requests to the allocator of their cell, here or at another instance; [`AllocatorSeats`] follows which instance
+//! requests to the allocator of their cell, here or at another instance; [`AllocatorTracker`] follows which instance
 //! that is.
 
 pub mod abandoned_streams;
-pub mod allocator_seats;
+pub mod allocator_tracker;
 pub mod answer_event;
 pub mod cell_driver;
 pub mod cell_frame;
@@ -13,6 +13,7 @@
 pub mod cell_notice;
 pub mod cell_session;
 pub mod cell_table;
+pub mod current_table;
 pub mod engine_watch;
 pub mod flow_action;
 pub mod flow_core;
@@ -36,18 +37,18 @@
 pub mod stream_canceller;
 pub mod stream_name;
 pub mod stream_sweeper;
-pub mod table_board;
-pub mod upstream_board;
+pub mod upstream_registry;
 
 pub use {
-    allocator_seats::{AllocatorSeats, MemberView},
+    allocator_tracker::{AllocatorTracker, MemberView},
     answer_event::AnswerEvent,
     cell_driver::{CellDriver, GrantSink},
     cell_frame::{CellFrame, CellSubmit, GrantFrame, HeldPhase},
-    cell_hub::{CellHub, CellSeat},
+    cell_hub::{CellHub, CellRoute},
     cell_notice::{CellGrant, CellNotice},
     cell_session::{CELL_TAG, SessionHost},
-    cell_table::{CellTable, PolicyMaker},
+    cell_table::{CellTable, PolicyFactory},
+    current_table::CurrentTable,
     engine_watch::EngineWatch,
     flow_action::FlowAction,
     flow_core::FlowCore,
@@ -67,6 +68,5 @@
     stream_canceller::StreamCanceller,
     stream_name::StreamName,
     stream_sweeper::{LifeView, StreamSweeper},
-    table_board::TableBoard,
-    upstream_board::{UpstreamBoard, UpstreamEntry},
+    upstream_registry::{UpstreamEntry, UpstreamRegistry},
 };
--- a/crates/flow/src/limit_gate.rs
+++ b/crates/flow/src/limit_gate.rs
@@ -14,13 +14,13 @@
 /// How much of an older mean a new sample leaves: one part in this many is the sample's.
 const MEAN_WINDOW: u32 = 8;
 /// The mean before any sample.
-const FIRST_MEAN: Duration = Duration::from_millis(100);
+const INITIAL_MEAN: Duration = Duration::from_millis(100);
 /// The least and the most that a refused caller is told to wait.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
 /// What becomes of a request that wants to run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GateEntry {
+pub enum GateDecision {
     /// It runs.
     Admitted,
     /// It waits for its turn.
@@ -50,20 +50,20 @@
 
 impl LimitGate {
     /// A request of a row wants to run. `limit` is this instance's part; `waits` tells whether it may queue.
-    pub fn enter(&mut self, work: &WorkId, limit: u32, waits: bool) -> GateEntry {
+    pub fn enter(&mut self, work: &WorkId, limit: u32, waits: bool) -> GateDecision {
         let row = self.rows.entry(work.clone()).or_insert_with(RowGate::new);
         row.limit = limit;
         if row.running < limit && row.queue.is_empty() {
             row.running += 1;
-            return GateEntry::Admitted;
+            return GateDecision::Admitted;
         }
         if !waits || limit == 0 {
             let retry_after = row.retry_after();
-            return GateEntry::Refused { retry_after };
+            return GateDecision::Refused { retry_after };
         }
         self.next += 1;
         row.queue.push_back(self.next);
-        GateEntry::Queued(self.next)
+        GateDecision::Queued(self.next)
     }
 
     /// A waiting request gave up. When to come back.
@@ -82,7 +82,7 @@
         };
         row.running = row.running.saturating_sub(1);
         row.mean = (row.mean * (MEAN_WINDOW - 1) + ran) / MEAN_WINDOW;
-        row.turns()
+        row.admit_waiting()
     }
 
     /// How many requests of a row run and wait.
@@ -97,7 +97,7 @@
             return Vec::new();
         };
         row.limit = limit;
-        row.turns()
+        row.admit_waiting()
     }
 }
 
@@ -105,7 +105,7 @@
     fn new() -> Self {
         Self {
             limit: 0,
-            mean: FIRST_MEAN,
+            mean: INITIAL_MEAN,
             queue: VecDeque::new(),
             running: 0,
         }
@@ -120,15 +120,15 @@
         wait.clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1)
     }
 
-    fn turns(&mut self) -> Vec<WaiterId> {
-        let mut turns = Vec::new();
+    fn admit_waiting(&mut self) -> Vec<WaiterId> {
+        let mut admitted = Vec::new();
         while self.running < self.limit {
             let Some(waiter) = self.queue.pop_front() else {
                 break;
             };
             self.running += 1;
-            turns.push(waiter);
+            admitted.push(waiter);
         }
-        turns
+        admitted
     }
 }
--- a/crates/flow/src/load_poller.rs
+++ b/crates/flow/src/load_poller.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         cell_driver::{CellDriver, GrantSink},
-        cell_table::{CellTable, PolicyMaker},
+        cell_table::{CellTable, PolicyFactory},
         engine_watch::EngineWatch,
-        upstream_board::{UpstreamBoard, UpstreamEntry},
+        upstream_registry::{UpstreamEntry, UpstreamRegistry},
     },
     admit::AdmitEvent,
     engine::ModelEngine,
@@ -25,8 +25,8 @@
 type WatchMap = BTreeMap<UpstreamId, EngineWatch>;
 
 /// Polls load reports.
-pub struct LoadPoller<E, M: PolicyMaker, S> {
-    board: Arc<UpstreamBoard>,
+pub struct LoadPoller<E, M: PolicyFactory, S> {
+    registry: Arc<UpstreamRegistry>,
     cells: Arc<CellTable<M, S>>,
     engine: E,
     interval: Duration,
@@ -35,18 +35,18 @@
 }
 
 #[bon::bon]
-impl<E: ModelEngine, M: PolicyMaker, S: GrantSink> LoadPoller<E, M, S> {
+impl<E: ModelEngine, M: PolicyFactory, S: GrantSink> LoadPoller<E, M, S> {
     /// A poller of the cells in `cells`, whose engines are those of `zone` on the board.
     #[builder]
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         cells: Arc<CellTable<M, S>>,
         engine: E,
         interval: Duration,
         zone: ZoneId,
     ) -> Self {
         Self {
-            board,
+            registry,
             cells,
             engine,
             interval,
@@ -56,7 +56,7 @@
     }
 }
 
-impl<E: ModelEngine, M: PolicyMaker, S: GrantSink> LoadPoller<E, M, S> {
+impl<E: ModelEngine, M: PolicyFactory, S: GrantSink> LoadPoller<E, M, S> {
     /// Polls for as long as it is driven.
     pub async fn run(mut self) {
         let mut ticks = time::interval(self.interval);
@@ -73,7 +73,7 @@
     }
 
     async fn poll_cell(&mut self, model: &ModelId, driver: &Arc<CellDriver<M::Policy, S>>) {
-        let entries = cell_engines(&self.board, &self.zone, model);
+        let entries = cell_engines(&self.registry, &self.zone, model);
         let watches = self.watches.entry(model.clone()).or_default();
         for gone in drop_unlisted(watches, &entries) {
             driver.on_event(AdmitEvent::UpstreamGone(gone));
@@ -85,8 +85,8 @@
             let watch = watches.entry(name.clone()).or_default();
             let events = match load {
                 Ok(load) => {
-                    note_word(&self.board, name, load.leaving);
-                    let mark = outside_mark(entry);
+                    sync_own_mark(&self.registry, name, load.leaving);
+                    let mark = external_mark(entry);
                     watch.on_load(Instant::now(), &entry.record, &load, mark)
                 }
                 Err(_) => watch.on_failure(name),
@@ -100,8 +100,12 @@
 }
 
 /// The engines of a zone that serve a model.
-pub fn cell_engines(board: &UpstreamBoard, zone: &str, model: &ModelId) -> Vec<UpstreamEntry> {
-    let map = board.snapshot();
+pub fn cell_engines(
+    registry: &UpstreamRegistry,
+    zone: &str,
+    model: &ModelId,
+) -> Vec<UpstreamEntry> {
+    let map = registry.snapshot();
     let entries = map.values().filter(|entry| {
         entry.record.kind != InstanceKind::Plain
             && *entry.record.zone == *zone
@@ -122,7 +126,7 @@
 }
 
 /// Why an engine takes no new work, by any word but its own.
-fn outside_mark(entry: &UpstreamEntry) -> Option<LeavingCause> {
+fn external_mark(entry: &UpstreamEntry) -> Option<LeavingCause> {
     let own = entry
         .marks
         .iter()
@@ -131,11 +135,11 @@
 }
 
 /// Keeps the engine's own word as a mark, so that it spreads to the other instances.
-fn note_word(board: &UpstreamBoard, name: &UpstreamId, leaving: bool) {
+fn sync_own_mark(registry: &UpstreamRegistry, name: &UpstreamId, leaving: bool) {
     match leaving {
         true => {
-            board.mark(name, LeavingCause::Said);
+            registry.mark(name, LeavingCause::Said);
         }
-        false => board.clear(name, LeavingCause::Said),
+        false => registry.clear(name, LeavingCause::Said),
     }
 }
--- a/crates/flow/src/model_request.rs
+++ b/crates/flow/src/model_request.rs
@@ -27,7 +27,7 @@
 
 impl ModelRequest {
     /// Whether its ticket has ended, so that it may not be dispatched any more.
-    pub fn is_late(&self) -> bool {
+    pub fn is_past_deadline(&self) -> bool {
         self.run_by.is_some_and(RunDeadline::is_past)
     }
 }
--- a/crates/flow/src/open_keys.rs
+++ b/crates/flow/src/open_keys.rs
@@ -11,21 +11,21 @@
 pub struct OpenKeys {
     keys: BTreeSet<RequestKey>,
     /// Those that a new session has to tell anew and has not told yet.
-    untold: BTreeSet<RequestKey>,
+    unconfirmed: BTreeSet<RequestKey>,
 }
 
 impl OpenKeys {
     /// Takes a request out.
     pub fn close(&mut self, key: &RequestKey) {
         self.keys.remove(key);
-        self.untold.remove(key);
+        self.unconfirmed.remove(key);
     }
 
     /// Takes the requests of ended lives of an entry instance out.
-    pub fn close_lives(&mut self, instance: &InstanceId, before: Incarnation) {
+    pub fn close_incarnations(&mut self, instance: &InstanceId, before: Incarnation) {
         let goes_on = |key: &RequestKey| key.instance != *instance || key.incarnation >= before;
         self.keys.retain(goes_on);
-        self.untold.retain(goes_on);
+        self.unconfirmed.retain(goes_on);
     }
 
     /// A session of an instance begins that holds these serials. Gives the open requests that it does not hold any more;
@@ -38,7 +38,7 @@
         let mut missing = Vec::new();
         for key in self.keys.iter().filter(|key| key.instance == *instance) {
             if held.contains(&key.serial) {
-                self.untold.insert(key.clone());
+                self.unconfirmed.insert(key.clone());
                 continue;
             }
             missing.push(key.clone());
@@ -47,30 +47,32 @@
     }
 
     /// Follows an event on its way to the allocator.
-    pub fn note(&mut self, event: &AdmitEvent) {
+    pub fn track(&mut self, event: &AdmitEvent) {
         match event {
             AdmitEvent::Announce { request, .. }
-            | AdmitEvent::Restate { request, .. }
+            | AdmitEvent::Reconcile { request, .. }
             | AdmitEvent::Submit(request) => {
                 self.keys.insert(request.key.clone());
             }
             AdmitEvent::Cancel { key } | AdmitEvent::Finished { key, .. } => self.close(key),
-            AdmitEvent::HolderGone { before, instance } => self.close_lives(instance, *before),
+            AdmitEvent::HolderGone { before, instance } => {
+                self.close_incarnations(instance, *before)
+            }
             _ => {}
         }
     }
 
     /// Makes what a new session tells first of an open request take the place of what was known of it.
-    pub fn restate(&mut self, event: AdmitEvent) -> AdmitEvent {
+    pub fn reconcile(&mut self, event: AdmitEvent) -> AdmitEvent {
         match event {
-            AdmitEvent::Announce { phase, request } if self.untold.remove(&request.key) => {
-                AdmitEvent::Restate {
+            AdmitEvent::Announce { phase, request } if self.unconfirmed.remove(&request.key) => {
+                AdmitEvent::Reconcile {
                     phase: Some(phase),
                     request,
                 }
             }
-            AdmitEvent::Submit(request) if self.untold.remove(&request.key) => {
-                AdmitEvent::Restate {
+            AdmitEvent::Submit(request) if self.unconfirmed.remove(&request.key) => {
+                AdmitEvent::Reconcile {
                     phase: None,
                     request,
                 }
--- a/crates/flow/src/plain_caller.rs
+++ b/crates/flow/src/plain_caller.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         flow_failure::FlowFailure, plain_tries::PlainTries, run_deadline::RunDeadline,
-        upstream_board::UpstreamBoard,
+        upstream_registry::UpstreamRegistry,
     },
     bytes::Bytes,
     engine::{CallCause, CallError, HttpPool, PooledBody, SendFailure},
@@ -27,9 +27,9 @@
 /// The value of [`RAN_HEADER`] on a request that did not run.
 pub const RAN_NO: &str = "no";
 
-const BACK_OFF: Duration = Duration::from_millis(500);
+const REPLICA_BACKOFF: Duration = Duration::from_millis(500);
 const RETRY_RATIO: f64 = 0.1;
-const RETRIES_SAVED: u32 = 20;
+const MAX_SAVED_RETRIES: u32 = 20;
 const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The replicas of one service as this instance sees them.
@@ -40,7 +40,7 @@
 
 /// Calls plain services. The counts of calls under way are this instance's own.
 pub struct PlainCaller<B> {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     budget: RankedLock<RetryBudget>,
     first_byte: Duration,
     pool: HttpPool<B>,
@@ -65,15 +65,15 @@
     /// A caller of the services in `zone`; other zones' replicas are used when the own zone has none.
     #[builder]
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         connect: Duration,
         first_byte: Duration,
         seed: u64,
         zone: ZoneId,
     ) -> Self {
-        let budget = RetryBudget::new(RETRY_RATIO, RETRIES_SAVED);
+        let budget = RetryBudget::new(RETRY_RATIO, MAX_SAVED_RETRIES);
         Self {
-            board,
+            registry,
             budget: RankedLock::new(LockRank::Samples, budget),
             first_byte,
             pool: HttpPool::new(connect),
@@ -149,34 +149,34 @@
             .entry(service.clone())
             .or_insert_with(|| ServiceState {
                 choice: PlainChoice::builder()
-                    .back_off(BACK_OFF)
+                    .back_off(REPLICA_BACKOFF)
                     .seed(self.seed)
                     .build(),
                 known: BTreeSet::new(),
             });
-        state.follow(&live);
+        state.sync_replicas(&live);
         state.choice.pick_except(Instant::now(), tried)
     }
 
     /// The replicas that take work: those of the own zone, or all when it has none.
     fn live_replicas(&self, service: &ServiceId) -> BTreeSet<UpstreamId> {
-        let map = self.board.snapshot();
-        let mut near = BTreeSet::new();
-        let mut far = BTreeSet::new();
+        let map = self.registry.snapshot();
+        let mut local = BTreeSet::new();
+        let mut remote = BTreeSet::new();
         for (name, entry) in map.iter() {
             let record = &entry.record;
             let is_replica =
                 record.kind == InstanceKind::Plain && record.service.as_ref() == Some(service);
-            if !is_replica || entry.leaving().is_some() {
+            if !is_replica || entry.drain_cause().is_some() {
                 continue;
             }
             if record.zone == self.zone {
-                near.insert(name.clone());
+                local.insert(name.clone());
                 continue;
             }
-            far.insert(name.clone());
+            remote.insert(name.clone());
         }
-        if near.is_empty() { far } else { near }
+        if local.is_empty() { remote } else { local }
     }
 
     async fn try_once(
@@ -186,7 +186,7 @@
         request: Request<B>,
         tries: &PlainTries<B>,
     ) -> TryOutcome<B> {
-        let Some(address) = self.board.address(upstream) else {
+        let Some(address) = self.registry.address(upstream) else {
             self.with_choice(&row.service, |choice| choice.cancelled(upstream));
             return TryOutcome::Failed(Some(request), retry_later(ResultCode::UpstreamMissing));
         };
@@ -260,7 +260,7 @@
 
 impl ServiceState {
     /// Brings the choice up to what the board shows.
-    fn follow(&mut self, live: &BTreeSet<UpstreamId>) {
+    fn sync_replicas(&mut self, live: &BTreeSet<UpstreamId>) {
         if self.known == *live {
             return;
         }
--- a/crates/flow/src/plain_limiter.rs
+++ b/crates/flow/src/plain_limiter.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         flow_failure::FlowFailure,
-        limit_gate::{GateEntry, LimitGate, WaiterId},
+        limit_gate::{GateDecision, LimitGate, WaiterId},
         limit_share::ShareView,
     },
     arc_swap::ArcSwap,
@@ -33,13 +33,13 @@
 
 /// The right of one request to run; given back when dropped.
 #[derive(Debug)]
-pub struct LimitPass {
+pub struct LimitPermit {
     held: Option<(Arc<PlainLimiter>, WorkId)>,
     since: Instant,
 }
 
 /// A request in the queue; leaves it when dropped.
-struct QueuePlace {
+struct QueueEntry {
     is_over: bool,
     limiter: Arc<PlainLimiter>,
     waiter: WaiterId,
@@ -52,16 +52,16 @@
     /// # Errors
     ///
     /// The final answer for the caller.
-    pub async fn enter(self: &Arc<Self>, row: &WorkRow) -> Result<LimitPass, FlowFailure> {
+    pub async fn enter(self: &Arc<Self>, row: &WorkRow) -> Result<LimitPermit, FlowFailure> {
         let Some(limit) = self.shares.load().limit(row) else {
-            return Ok(LimitPass::unlimited());
+            return Ok(LimitPermit::unlimited());
         };
         let waits = row.first_token.is_none();
-        let (entry, turn) = self.ask(&row.work, limit, waits);
-        match entry {
-            GateEntry::Admitted => Ok(self.pass(&row.work)),
-            GateEntry::Queued(waiter) => self.wait(row, waiter, turn).await,
-            GateEntry::Refused { retry_after } => Err(FlowFailure {
+        let (decision, turn) = self.try_enter(&row.work, limit, waits);
+        match decision {
+            GateDecision::Admitted => Ok(self.permit(&row.work)),
+            GateDecision::Queued(waiter) => self.wait(row, waiter, turn).await,
+            GateDecision::Refused { retry_after } => Err(FlowFailure {
                 code: ResultCode::LimitReached,
                 retry_after: Some(retry_after),
             }),
@@ -95,35 +95,35 @@
         let mut state = self.state.lock();
         for row in rows {
             let limit = shares.limit(row).unwrap_or(u32::MAX);
-            let turns = state.gate.set_limit(&row.work, limit);
-            state.wake(turns);
+            let admitted = state.gate.set_limit(&row.work, limit);
+            state.wake(admitted);
         }
     }
 
-    fn ask(
+    fn try_enter(
         &self,
         work: &WorkId,
         limit: u32,
         waits: bool,
-    ) -> (GateEntry, Option<oneshot::Receiver<()>>) {
+    ) -> (GateDecision, Option<oneshot::Receiver<()>>) {
         let mut state = self.state.lock();
-        let entry = state.gate.enter(work, limit, waits);
-        let GateEntry::Queued(waiter) = entry else {
-            return (entry, None);
+        let decision = state.gate.enter(work, limit, waits);
+        let GateDecision::Queued(waiter) = decision else {
+            return (decision, None);
         };
         let (sender, receiver) = oneshot::channel();
         state.waiters.insert(waiter, sender);
-        (entry, Some(receiver))
+        (decision, Some(receiver))
     }
 
     fn leave(&self, work: &WorkId, ran: Duration) {
         let mut state = self.state.lock();
-        let turns = state.gate.leave(work, ran);
-        state.wake(turns);
+        let admitted = state.gate.leave(work, ran);
+        state.wake(admitted);
     }
 
-    fn pass(self: &Arc<Self>, work: &WorkId) -> LimitPass {
-        LimitPass {
+    fn permit(self: &Arc<Self>, work: &WorkId) -> LimitPermit {
+        LimitPermit {
             held: Some((self.clone(), work.clone())),
             since: Instant::now(),
         }
@@ -134,27 +134,27 @@
         row: &WorkRow,
         waiter: WaiterId,
         turn: Option<oneshot::Receiver<()>>,
-    ) -> Result<LimitPass, FlowFailure> {
-        let mut place = QueuePlace {
+    ) -> Result<LimitPermit, FlowFailure> {
+        let mut entry = QueueEntry {
             is_over: false,
             limiter: self.clone(),
             waiter,
             work: row.work.clone(),
         };
         let Some(turn) = turn else {
-            return Err(place.give_up());
+            return Err(entry.give_up());
         };
         if let Ok(Ok(())) = time::timeout(row.patience, turn).await {
-            place.is_over = true;
-            return Ok(self.pass(&row.work));
+            entry.is_over = true;
+            return Ok(self.permit(&row.work));
         }
-        Err(place.give_up())
+        Err(entry.give_up())
     }
 }
 
 impl LimiterState {
-    fn wake(&mut self, turns: Vec<WaiterId>) {
-        for waiter in turns {
+    fn wake(&mut self, admitted: Vec<WaiterId>) {
+        for waiter in admitted {
             let Some(turn) = self.waiters.remove(&waiter) else {
                 continue;
             };
@@ -164,7 +164,7 @@
     }
 }
 
-impl LimitPass {
+impl LimitPermit {
     fn unlimited() -> Self {
         Self {
             held: None,
@@ -173,7 +173,7 @@
     }
 }
 
-impl Drop for LimitPass {
+impl Drop for LimitPermit {
     fn drop(&mut self) {
         let Some((limiter, work)) = self.held.take() else {
             return;
@@ -182,7 +182,7 @@
     }
 }
 
-impl QueuePlace {
+impl QueueEntry {
     /// Leaves the queue. When the turn had come already it goes to the next one.
     fn give_up(&mut self) -> FlowFailure {
         self.is_over = true;
@@ -190,8 +190,8 @@
         let had_turn = state.waiters.remove(&self.waiter).is_none();
         let retry_after = state.gate.give_up(&self.work, self.waiter);
         if had_turn {
-            let turns = state.gate.leave(&self.work, Duration::ZERO);
-            state.wake(turns);
+            let admitted = state.gate.leave(&self.work, Duration::ZERO);
+            state.wake(admitted);
         }
         FlowFailure {
             code: ResultCode::PatienceEnded,
@@ -200,7 +200,7 @@
     }
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         if !self.is_over {
             self.give_up();
--- a/crates/flow/src/request_driver.rs
+++ b/crates/flow/src/request_driver.rs
@@ -6,7 +6,7 @@
         flow_action::FlowAction, flow_core::FlowCore, flow_event::FlowEvent,
         flow_failure::FlowFailure, flow_metrics::FlowMetrics, model_request::ModelRequest,
         prefix_hashes::prompt_tokens, stream_canceller::StreamCanceller, stream_name::StreamName,
-        upstream_board::UpstreamBoard,
+        upstream_registry::UpstreamRegistry,
     },
     admit::RequestKey,
     engine::{
@@ -28,7 +28,7 @@
 /// What all requests of an instance share.
 pub struct FlowShared<E> {
     /// The known upstreams.
-    pub board: Arc<UpstreamBoard>,
+    pub registry: Arc<UpstreamRegistry>,
     /// Cancels streams.
     pub canceller: StreamCanceller<E>,
     /// Raised when the close limit ends what still runs.
@@ -163,15 +163,15 @@
     }
 
     async fn call_decode(&mut self, decode: UpstreamId) -> (Option<FlowEvent>, Option<E::Tokens>) {
-        let Some(address) = self.shared.board.address(&decode) else {
+        let Some(address) = self.shared.registry.address(&decode) else {
             return (
                 Some(FlowEvent::DecodeFailed((&unlisted(&decode)).into())),
                 None,
             );
         };
         let call = self.completion_call(self.request.max_tokens, self.params.clone(), true);
-        if self.request.is_late() {
-            return (Some(FlowEvent::RunLate), None);
+        if self.request.is_past_deadline() {
+            return (Some(FlowEvent::DeadlinePassed), None);
         }
         match self
             .shared
@@ -185,7 +185,7 @@
     }
 
     async fn call_prefill(&mut self, prefill: UpstreamId) -> FlowEvent {
-        let Some(address) = self.shared.board.address(&prefill) else {
+        let Some(address) = self.shared.registry.address(&prefill) else {
             return FlowEvent::PrefillFailed((&unlisted(&prefill)).into());
         };
         let params = KvTransferParams {
@@ -193,8 +193,8 @@
             ..KvTransferParams::default()
         };
         let call = self.completion_call(1, params, false);
-        if self.request.is_late() {
-            return FlowEvent::RunLate;
+        if self.request.is_past_deadline() {
+            return FlowEvent::DeadlinePassed;
         }
         match self
             .shared
@@ -217,7 +217,7 @@
         decode: UpstreamId,
         offset: u32,
     ) -> (Option<FlowEvent>, Option<E::Tokens>) {
-        let Some(address) = self.shared.board.address(&decode) else {
+        let Some(address) = self.shared.registry.address(&decode) else {
             return (
                 Some(FlowEvent::ResumeFailed((&unlisted(&decode)).into())),
                 None,
--- a/crates/flow/src/request_table.rs
+++ b/crates/flow/src/request_table.rs
@@ -70,7 +70,7 @@
         if held.submit.key != *key {
             return None;
         }
-        if !held.take_grant(&grant) {
+        if !held.apply_grant(&grant) {
             return Some(held.announcement());
         }
         // The request may have ended; its end was notified then.
@@ -116,7 +116,7 @@
     }
 
     /// Notes what happened to a request. Its cell, or `None` when it is not held.
-    pub fn note(&self, serial: u64, notice: &CellNotice) -> Option<ModelId> {
+    pub fn apply_notice(&self, serial: u64, notice: &CellNotice) -> Option<ModelId> {
         let mut requests = self.requests.lock();
         let held = requests.get_mut(&serial)?;
         let model = held.submit.model.clone();
@@ -124,7 +124,7 @@
             CellNotice::Cancel | CellNotice::Finished { .. } => {
                 requests.remove(&serial);
             }
-            notice => held.note(notice),
+            notice => held.apply_notice(notice),
         }
         Some(model)
     }
@@ -141,13 +141,13 @@
     /// Refuses the requests that wait for a grant and are meant.
     pub fn refuse_waiting(
         &self,
-        is_meant: impl Fn(&CellSubmit) -> bool,
+        is_selected: impl Fn(&CellSubmit) -> bool,
         code: ResultCode,
         retry_after: Duration,
     ) {
         for held in self.requests.lock().values() {
-            let is_waiting = matches!(held.phase, HeldPhase::Queued | HeldPhase::Read { .. });
-            if !is_waiting || !is_meant(&held.submit) {
+            let is_waiting = matches!(held.phase, HeldPhase::Queued | HeldPhase::Prefilled { .. });
+            if !is_waiting || !is_selected(&held.submit) {
                 continue;
             }
             // The request may be ending by itself.
@@ -159,7 +159,7 @@
     pub fn requeue(&self, serial: u64) -> Option<CellFrame> {
         let mut requests = self.requests.lock();
         let held = requests.get_mut(&serial)?;
-        held.enter(HeldPhase::Queued);
+        held.set_phase(HeldPhase::Queued);
         Some(held.announcement())
     }
 
@@ -177,77 +177,77 @@
             return CellFrame::Submit(submit);
         }
         CellFrame::Announce {
-            phase: self.phase.clone().aged(self.since.elapsed()),
+            phase: self.phase.clone().with_age(self.since.elapsed()),
             submit,
         }
     }
 
-    fn enter(&mut self, phase: HeldPhase) {
+    fn set_phase(&mut self, phase: HeldPhase) {
         self.phase = phase;
         self.since = Instant::now();
     }
 
-    fn note(&mut self, notice: &CellNotice) {
+    fn apply_notice(&mut self, notice: &CellNotice) {
         match (notice, &self.phase) {
             (CellNotice::PrefillDone, HeldPhase::Prefilling { prefill, .. }) => {
                 let prefill = prefill.clone();
-                self.enter(HeldPhase::Read {
+                self.set_phase(HeldPhase::Prefilled {
                     prefill,
                     age: Duration::ZERO,
                 });
             }
             (CellNotice::FirstToken, HeldPhase::Transferring { decode, .. }) => {
                 let decode = decode.clone();
-                self.enter(HeldPhase::Decoding { decode, tokens: 1 });
+                self.set_phase(HeldPhase::Decoding { decode, tokens: 1 });
             }
             (CellNotice::DecodeRefused, HeldPhase::Transferring { prefill, .. }) => {
                 let prefill = prefill.clone();
-                self.enter(HeldPhase::Read {
+                self.set_phase(HeldPhase::Prefilled {
                     prefill,
                     age: Duration::ZERO,
                 });
             }
             (CellNotice::DecodeLost | CellNotice::KvEvicted | CellNotice::PrefillFailed, _) => {
-                self.enter(HeldPhase::Queued);
+                self.set_phase(HeldPhase::Queued);
             }
             _ => {}
         }
     }
 
-    fn take_grant(&mut self, grant: &CellGrant) -> bool {
+    fn apply_grant(&mut self, grant: &CellGrant) -> bool {
         match (grant, &self.phase) {
             // One that waits with a KV cache is to be read again: the engine that has it is gone.
-            (CellGrant::Prefill(prefill), HeldPhase::Queued | HeldPhase::Read { .. }) => {
+            (CellGrant::Prefill(prefill), HeldPhase::Queued | HeldPhase::Prefilled { .. }) => {
                 let prefill = prefill.clone();
-                self.enter(HeldPhase::Prefilling {
+                self.set_phase(HeldPhase::Prefilling {
                     prefill,
                     age: Duration::ZERO,
                 });
                 true
             }
-            (CellGrant::Decode(decode), HeldPhase::Read { prefill, .. }) => {
+            (CellGrant::Decode(decode), HeldPhase::Prefilled { prefill, .. }) => {
                 let (decode, prefill) = (decode.clone(), prefill.clone());
-                self.enter(HeldPhase::Transferring {
+                self.set_phase(HeldPhase::Transferring {
                     decode,
                     prefill,
                     age: Duration::ZERO,
                 });
                 true
             }
-            (CellGrant::Refuse { .. }, HeldPhase::Queued | HeldPhase::Read { .. }) => true,
+            (CellGrant::Refuse { .. }, HeldPhase::Queued | HeldPhase::Prefilled { .. }) => true,
             _ => false,
         }
     }
 }
 
 impl HeldPhase {
-    fn aged(self, elapsed: Duration) -> Self {
+    fn with_age(self, elapsed: Duration) -> Self {
         match self {
             Self::Prefilling { prefill, .. } => Self::Prefilling {
                 prefill,
                 age: elapsed,
             },
-            Self::Read { prefill, .. } => Self::Read {
+            Self::Prefilled { prefill, .. } => Self::Prefilled {
                 prefill,
                 age: elapsed,
             },
@@ -268,7 +268,7 @@
             Self::Decoding { .. } => "decoding",
             Self::Prefilling { .. } => "prefilling",
             Self::Queued => "queued",
-            Self::Read { .. } => "read",
+            Self::Prefilled { .. } => "read",
             Self::Transferring { .. } => "transferring",
         }
     }
--- a/crates/flow/src/stream_canceller.rs
+++ b/crates/flow/src/stream_canceller.rs
@@ -1,7 +1,7 @@
 //! Cancels streams at engines until the engine says that it is done, or is gone.
 
 use {
-    crate::{flow_metrics::FlowMetrics, upstream_board::UpstreamBoard},
+    crate::{flow_metrics::FlowMetrics, upstream_registry::UpstreamRegistry},
     engine::ModelEngine,
     kernel::{UpstreamId, WorkerPool},
     std::{
@@ -24,7 +24,7 @@
 /// Cancels streams in the background.
 #[derive(Clone)]
 pub struct StreamCanceller<E> {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     engine: E,
     metrics: Arc<FlowMetrics>,
     pool: WorkerPool,
@@ -41,13 +41,13 @@
 
     /// A canceller whose work is done in `pool`.
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         engine: E,
         metrics: Arc<FlowMetrics>,
         pool: WorkerPool,
     ) -> Self {
         Self {
-            board,
+            registry,
             engine,
             metrics,
             pool,
@@ -58,7 +58,7 @@
         let started = Instant::now();
         let mut pause = FIRST_PAUSE;
         while started.elapsed() < TRY_LIMIT {
-            let Some(address) = self.board.last_address(&upstream) else {
+            let Some(address) = self.registry.last_address(&upstream) else {
                 return;
             };
             let outcome = self.engine.cancel(address, &stream).await;
--- a/crates/flow/src/stream_sweeper.rs
+++ b/crates/flow/src/stream_sweeper.rs
@@ -4,11 +4,11 @@
     crate::{
         abandoned_streams::AbandonedStreams,
         cell_driver::GrantSink,
-        cell_table::{CellTable, PolicyMaker},
+        cell_table::{CellTable, PolicyFactory},
         load_poller::cell_engines,
         stream_canceller::StreamCanceller,
         stream_name::StreamName,
-        upstream_board::UpstreamBoard,
+        upstream_registry::UpstreamRegistry,
     },
     engine::{ModelEngine, wire::StreamRecord},
     futures_util::future::join_all,
@@ -35,9 +35,9 @@
 /// A stream is cancelled when its holder's life is known to be over, and also when its holder is merely silent but the
 /// engine says that nobody waits for the answer: one instance that outlives most others can't tell death from a
 /// partition, and the engine can.
-pub struct StreamSweeper<E, L, M: PolicyMaker, S> {
+pub struct StreamSweeper<E, L, M: PolicyFactory, S> {
     abandoned: AbandonedStreams,
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     canceller: StreamCanceller<E>,
     cells: Arc<CellTable<M, S>>,
     engine: E,
@@ -47,11 +47,11 @@
 }
 
 #[bon::bon]
-impl<E: ModelEngine, L: LifeView, M: PolicyMaker, S: GrantSink> StreamSweeper<E, L, M, S> {
+impl<E: ModelEngine, L: LifeView, M: PolicyFactory, S: GrantSink> StreamSweeper<E, L, M, S> {
     /// A sweeper of the cells in `cells`.
     #[builder]
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         canceller: StreamCanceller<E>,
         cells: Arc<CellTable<M, S>>,
         engine: E,
@@ -61,7 +61,7 @@
     ) -> Self {
         Self {
             abandoned: AbandonedStreams::default(),
-            board,
+            registry,
             canceller,
             cells,
             engine,
@@ -72,7 +72,7 @@
     }
 }
 
-impl<E: ModelEngine, L: LifeView, M: PolicyMaker, S: GrantSink> StreamSweeper<E, L, M, S> {
+impl<E: ModelEngine, L: LifeView, M: PolicyFactory, S: GrantSink> StreamSweeper<E, L, M, S> {
     /// Sweeps for as long as it is driven.
     pub async fn run(mut self) {
         let mut ticks = time::interval(self.interval);
@@ -87,7 +87,7 @@
 
     /// Asks all engines of a cell at once, so that one that is silent holds up none of the others.
     async fn sweep_cell(&mut self, model: &ModelId) {
-        let entries = cell_engines(&self.board, &self.zone, model);
+        let entries = cell_engines(&self.registry, &self.zone, model);
         let asked = entries
             .iter()
             .map(|entry| self.engine.streams(entry.address));
@@ -115,7 +115,7 @@
                 suspects.insert(stream.id);
             }
         }
-        for stream in self.abandoned.note(Instant::now(), upstream, &suspects) {
+        for stream in self.abandoned.observe(Instant::now(), upstream, &suspects) {
             self.cancel(upstream, &stream);
         }
     }
--- a/crates/flow/src/upstream_board.rs
+++ b/crates/flow/src/upstream_registry.rs
@@ -30,7 +30,7 @@
 
 impl UpstreamEntry {
     /// Why it takes no new work, by anyone's word.
-    pub fn leaving(&self) -> Option<LeavingCause> {
+    pub fn drain_cause(&self) -> Option<LeavingCause> {
         self.marks.first().copied().or(self.peer_mark)
     }
 }
@@ -40,14 +40,14 @@
 
 /// Shows the known upstreams to every part.
 #[derive(Debug)]
-pub struct UpstreamBoard {
+pub struct UpstreamRegistry {
     current: ArcSwap<UpstreamMap>,
     departed: RankedLock<BTreeMap<UpstreamId, SocketAddr>>,
     fixed: Vec<InstanceRecord>,
     writer: RankedLock<()>,
 }
 
-impl UpstreamBoard {
+impl UpstreamRegistry {
     /// The address of an upstream.
     pub fn address(&self, upstream: &str) -> Option<SocketAddr> {
         self.current.load().get(upstream).map(|entry| entry.address)
@@ -91,14 +91,14 @@
 
     /// A board with the upstreams that the settings name.
     pub fn new(fixed: Vec<InstanceRecord>) -> Self {
-        let board = Self {
+        let registry = Self {
             current: ArcSwap::default(),
             departed: RankedLock::new(LockRank::Samples, BTreeMap::new()),
             fixed,
             writer: RankedLock::new(LockRank::Upstreams, ()),
         };
-        board.put_list(&[]);
-        board
+        registry.put_list(&[]);
+        registry
     }
 
     /// Where an upstream answers, or answered when it was listed last: what it still holds has to be freed there.
--- a/crates/flow/tests/core/flow_world.rs
+++ b/crates/flow/tests/core/flow_world.rs
@@ -17,7 +17,7 @@
     Over,
     Prefilling,
     Queued,
-    Read,
+    Prefilled,
     Transferring,
 }
 
@@ -109,13 +109,15 @@
             FlowStep::DecodeFails(cause, ran) => self.fail_decode(cause, ran),
             FlowStep::GrantDecode(at) => {
                 let event = FlowEvent::GrantDecode(name("decode", at));
-                self.grant(CellSide::Read, CellSide::Transferring, event)
+                self.grant(CellSide::Prefilled, CellSide::Transferring, event)
             }
             FlowStep::GrantPrefill(at) => {
                 let event = FlowEvent::GrantPrefill(name("prefill", at));
                 // The allocator grants anew what waits when its prefill engine is gone.
                 match self.cell {
-                    CellSide::Read => self.grant(CellSide::Read, CellSide::Prefilling, event),
+                    CellSide::Prefilled => {
+                        self.grant(CellSide::Prefilled, CellSide::Prefilling, event)
+                    }
                     _ => self.grant(CellSide::Queued, CellSide::Prefilling, event),
                 }
             }
@@ -128,7 +130,7 @@
                     retry_after: std::time::Duration::from_secs(1),
                 };
                 match self.cell {
-                    CellSide::Queued | CellSide::Read => {
+                    CellSide::Queued | CellSide::Prefilled => {
                         self.grant(self.cell, CellSide::Over, event)
                     }
                     _ => None,
@@ -244,7 +246,7 @@
     fn late_grant(&mut self, at: usize) -> Option<FlowEvent> {
         let event = match self.cell {
             CellSide::Queued => FlowEvent::GrantDecode(name("decode", at)),
-            CellSide::Read => return None,
+            CellSide::Prefilled => return None,
             _ => FlowEvent::GrantPrefill(name("prefill", at)),
         };
         assert_eq!(self.core.on_event(event), Vec::new(), "a late grant");
@@ -334,7 +336,7 @@
             assert!(self.held.is_empty(), "left at engines: {:?}", self.held);
             return;
         }
-        let waits = matches!(self.cell, CellSide::Queued | CellSide::Read);
+        let waits = matches!(self.cell, CellSide::Queued | CellSide::Prefilled);
         assert_ne!(
             waits,
             self.call.is_some(),
@@ -357,14 +359,17 @@
                 &[CellSide::Decoding, CellSide::Transferring],
                 CellSide::Dropped,
             ),
-            CellNotice::DecodeRefused => (&[CellSide::Transferring], CellSide::Read),
+            CellNotice::DecodeRefused => (&[CellSide::Transferring], CellSide::Prefilled),
             CellNotice::Finished { .. } => (
                 &[CellSide::Decoding, CellSide::Transferring],
                 CellSide::Over,
             ),
             CellNotice::FirstToken => (&[CellSide::Transferring], CellSide::Decoding),
-            CellNotice::KvEvicted => (&[CellSide::Read, CellSide::Transferring], CellSide::Queued),
-            CellNotice::PrefillDone => (&[CellSide::Prefilling], CellSide::Read),
+            CellNotice::KvEvicted => (
+                &[CellSide::Prefilled, CellSide::Transferring],
+                CellSide::Queued,
+            ),
+            CellNotice::PrefillDone => (&[CellSide::Prefilling], CellSide::Prefilled),
             CellNotice::PrefillFailed => (&[CellSide::Prefilling], CellSide::Queued),
         };
         assert!(from.contains(&self.cell), "{notice:?} in {:?}", self.cell);
--- a/crates/flow/tests/limits.rs
+++ b/crates/flow/tests/limits.rs
@@ -3,7 +3,7 @@
 use {
     flow::{
         LimitGate, ShareView,
-        limit_gate::{GateEntry, WaiterId},
+        limit_gate::{GateDecision, WaiterId},
     },
     kernel::WorkId,
     proptest::{collection::vec, prelude::*, test_runner::RngSeed},
@@ -130,15 +130,15 @@
                 GateStep::Enter(waits) => {
                     let is_free = running < limit && queue.is_empty();
                     match gate.enter(&work, limit, waits) {
-                        GateEntry::Admitted => {
+                        GateDecision::Admitted => {
                             prop_assert!(is_free);
                             running += 1;
                         }
-                        GateEntry::Queued(waiter) => {
+                        GateDecision::Queued(waiter) => {
                             prop_assert!(waits && !is_free && limit > 0);
                             queue.push_back(waiter);
                         }
-                        GateEntry::Refused { retry_after } => {
+                        GateDecision::Refused { retry_after } => {
                             prop_assert!(!is_free && (!waits || limit == 0));
                             prop_assert!(retry_after >= Duration::from_secs(1));
                         }
--- a/crates/flow/tests/track/track_world.rs
+++ b/crates/flow/tests/track/track_world.rs
@@ -3,7 +3,7 @@
 use {
     admit::{AdmitEvent, CellAllocator, LinkInfo, RequestKey},
     flow::{
-        CellDriver, CellFrame, CellHub, CellNotice, CellSeat, GrantFrame, GrantSink, ModelRequest,
+        CellDriver, CellFrame, CellHub, CellNotice, CellRoute, GrantFrame, GrantSink, ModelRequest,
         cell_notice::CellGrant,
     },
     kernel::{InstanceId, ModelId},
@@ -119,11 +119,11 @@
     pub(crate) fn open_session(&mut self) {
         let (frames, outbox) = mpsc::unbounded_channel();
         self.frames = outbox;
-        let seat = CellSeat {
+        let route = CellRoute {
             allocator: allocator(),
             frames,
         };
-        self.hub.seat(&MODEL.into(), seat);
+        self.hub.set_route(&MODEL.into(), route);
         self.pump();
     }
 
--- a/crates/trestlewalk/src/demo/demo_world.rs
+++ b/crates/trestlewalk/src/demo/demo_world.rs
@@ -280,7 +280,7 @@
     async fn wait_version(&self, entry: &DemoEntry, version: u64) {
         let started = time::Instant::now();
         while started.elapsed() < WAIT_LIMIT {
-            let board = entry.map.get::<flow::TableBoard>();
+            let board = entry.map.get::<flow::CurrentTable>();
             let table = board.and_then(|board| board.table());
             if table.is_some_and(|table| table.version >= version) {
                 return;
--- a/crates/trestlewalk/src/entry/allocator_maker.rs
+++ b/crates/trestlewalk/src/entry/allocator_maker.rs
@@ -2,7 +2,7 @@
 
 use {
     admit::CellAllocator,
-    flow::{PolicyMaker, UpstreamBoard, limit_share::zone_limit},
+    flow::{PolicyFactory, UpstreamRegistry, limit_share::zone_limit},
     kernel::{ModelId, ZoneId},
     plat::InstanceKind,
     std::{collections::BTreeSet, sync::Arc},
@@ -11,19 +11,19 @@
 
 /// Makes allocators that draw from a seed.
 pub struct AllocatorMaker {
-    board: Arc<UpstreamBoard>,
+    board: Arc<UpstreamRegistry>,
     seed: u64,
     zone: ZoneId,
 }
 
 impl AllocatorMaker {
     /// A maker whose allocators draw from `seed`.
-    pub fn new(board: Arc<UpstreamBoard>, seed: u64, zone: ZoneId) -> Self {
+    pub fn new(board: Arc<UpstreamRegistry>, seed: u64, zone: ZoneId) -> Self {
         Self { board, seed, zone }
     }
 }
 
-impl PolicyMaker for AllocatorMaker {
+impl PolicyFactory for AllocatorMaker {
     type Policy = CellAllocator;
 
     fn make(&self, _: &ModelId) -> CellAllocator {
@@ -32,7 +32,7 @@
 
     /// The zones are those in which the list names engines of the model, live or not, so that a zone that is cut off
     /// keeps to its part and no other takes it.
-    fn cell_part(&self, model: &ModelId, table: &WorkTable) -> WorkTable {
+    fn table_for_cell(&self, model: &ModelId, table: &WorkTable) -> WorkTable {
         let map = self.board.snapshot();
         let engines = map.values().filter(|entry| {
             entry.record.kind != InstanceKind::Plain && entry.record.model.as_ref() == Some(model)
--- a/crates/trestlewalk/src/entry/control_work.rs
+++ b/crates/trestlewalk/src/entry/control_work.rs
@@ -10,7 +10,7 @@
         run_error::PeersSnafu,
     },
     flow::{
-        AllocatorSeats, CELL_TAG, CellTable, GrantRouter, LoadPoller, SessionHost, StreamSweeper,
+        AllocatorTracker, CELL_TAG, CellTable, GrantRouter, LoadPoller, SessionHost, StreamSweeper,
     },
     kernel::InstanceId,
     peer::{ListedMember, MemberSettings, PeerDriver},
@@ -129,8 +129,8 @@
     router: Arc<GrantRouter>,
 ) {
     let zone = &parts.identity.zone;
-    let seats = AllocatorSeats::builder()
-        .board(base.board.clone())
+    let seats = AllocatorTracker::builder()
+        .registry(base.board.clone())
         .cells(cells.clone())
         .endpoint(base.endpoint.clone())
         .hub(base.hub.clone())
@@ -140,14 +140,14 @@
         .zone(zone.clone())
         .build();
     let poller = LoadPoller::builder()
-        .board(base.board.clone())
+        .registry(base.board.clone())
         .cells(cells.clone())
         .engine(base.engine.clone())
         .interval(LOAD_INTERVAL)
         .zone(zone.clone())
         .build();
     let sweeper = StreamSweeper::builder()
-        .board(base.board.clone())
+        .registry(base.board.clone())
         .canceller(base.canceller())
         .cells(cells.clone())
         .engine(base.engine.clone())
--- a/crates/trestlewalk/src/entry/limit_shares.rs
+++ b/crates/trestlewalk/src/entry/limit_shares.rs
@@ -1,7 +1,7 @@
 //! Keeps the limits of plain rows split over the instances that live.
 
 use {
-    flow::{PlainLimiter, ShareView, TableBoard},
+    flow::{CurrentTable, PlainLimiter, ShareView},
     kernel::ZoneId,
     peer::{MemberView, PeerDriver},
     plat::{InstanceKind, InstanceRecord},
@@ -21,7 +21,7 @@
     /// The platform's list, which names the availability zones that have instances.
     pub list: watch::Receiver<Vec<InstanceRecord>>,
     /// The table in force.
-    pub tables: Arc<TableBoard>,
+    pub tables: Arc<CurrentTable>,
     /// The own availability zone.
     pub zone: ZoneId,
 }
--- a/crates/trestlewalk/src/entry/list_poller.rs
+++ b/crates/trestlewalk/src/entry/list_poller.rs
@@ -1,7 +1,7 @@
 //! Reads the platform's list of instances.
 
 use {
-    flow::UpstreamBoard,
+    flow::UpstreamRegistry,
     plat::{InstanceList, InstanceRecord},
     std::{sync::Arc, time::Duration},
     tokio::{
@@ -12,7 +12,7 @@
 
 /// Reads the list and shows it to the other parts. While the platform is down the last list stays.
 pub struct ListPoller<P> {
-    board: Arc<UpstreamBoard>,
+    board: Arc<UpstreamRegistry>,
     interval: Duration,
     list: watch::Sender<Vec<InstanceRecord>>,
     platform: P,
@@ -21,7 +21,7 @@
 impl<P: InstanceList> ListPoller<P> {
     /// A poller that shows upstreams on the board, and the whole list to `list`'s receivers.
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        board: Arc<UpstreamRegistry>,
         interval: Duration,
         list: watch::Sender<Vec<InstanceRecord>>,
         platform: P,
--- a/crates/trestlewalk/src/entry/member_watch.rs
+++ b/crates/trestlewalk/src/entry/member_watch.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{admin::ReadyBoard, entry::AllocatorMaker},
-    flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamBoard},
+    flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamRegistry},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, UpstreamId, ZoneId},
     peer::{ListedMember, MemberNews, MemberState, PeerDriver},
     plat::{InstanceKind, InstanceRecord, InstanceState},
@@ -34,7 +34,7 @@
 
 /// The membership as the request path sees it.
 pub struct MemberWatch {
-    board: Arc<UpstreamBoard>,
+    board: Arc<UpstreamRegistry>,
     driver: Arc<PeerDriver>,
     lost: RankedLock<LostLives>,
     zone: ZoneId,
@@ -42,7 +42,7 @@
 
 impl MemberWatch {
     /// A watch over a running membership.
-    pub fn new(board: Arc<UpstreamBoard>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
+    pub fn new(board: Arc<UpstreamRegistry>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
         let lost = RankedLock::new(LockRank::Members, LostLives::default());
         Self {
             board,
--- a/crates/trestlewalk/src/entry/path_base.rs
+++ b/crates/trestlewalk/src/entry/path_base.rs
@@ -10,8 +10,8 @@
     door::{AdmissionGate, DoorDefaults, DoorLimits, DoorShared},
     engine::CompletionEngine,
     flow::{
-        CellHub, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView, StreamCanceller,
-        TableBoard, UpstreamBoard,
+        CellHub, CurrentTable, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView,
+        StreamCanceller, UpstreamRegistry,
     },
     kernel::{CloseSignal, WorkerPool},
     peer::{PeerBook, PeerEndpoint, PeerError},
@@ -43,7 +43,7 @@
 /// Parts that are shared by the request path and the control work around it.
 pub struct PathBase {
     /// The known upstreams.
-    pub board: Arc<UpstreamBoard>,
+    pub board: Arc<UpstreamRegistry>,
     /// The links to other instances.
     pub endpoint: PeerEndpoint,
     /// The engines' client.
@@ -61,7 +61,7 @@
     /// The background work.
     pub pool: WorkerPool,
     /// The table in force.
-    pub tables: Arc<TableBoard>,
+    pub tables: Arc<CurrentTable>,
 }
 
 impl PathBase {
@@ -76,7 +76,7 @@
         let platform = make_platform(settings)?;
         let health = PlatformHealth::new(platform.counts()).context(MetricsSnafu)?;
         let base = Self {
-            board: Arc::new(UpstreamBoard::new(fixed_upstreams(settings))),
+            board: Arc::new(UpstreamRegistry::new(fixed_upstreams(settings))),
             endpoint: bind_endpoint(parts)?,
             engine: make_engine(settings),
             health: Arc::new(health),
@@ -93,7 +93,7 @@
             metrics: Arc::new(FlowMetrics::new().context(MetricsSnafu)?),
             platform,
             pool: parts.pool.clone(),
-            tables: Arc::new(TableBoard::new()),
+            tables: Arc::new(CurrentTable::new()),
         };
         parts.map.insert(base.health.clone());
         parts.map.insert(base.board.clone());
@@ -123,14 +123,14 @@
     ) -> DoorShared<CompletionEngine> {
         let settings = &parts.settings;
         let plain = PlainCaller::builder()
-            .board(self.board.clone())
+            .registry(self.board.clone())
             .connect(CONNECT_TIMEOUT)
             .first_byte(settings.limits.first_byte)
             .seed(parts.identity.incarnation)
             .zone(parts.identity.zone.clone())
             .build();
         let flow = FlowShared {
-            board: self.board.clone(),
+            registry: self.board.clone(),
             canceller: self.canceller(),
             cut,
             engine: self.engine.clone(),
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -11,7 +11,7 @@
         run_error::PeersSnafu,
     },
     door::{AdmissionGate, DoorServer},
-    flow::TableBoard,
+    flow::CurrentTable,
     kernel::CloseSignal,
     peer::PeerEndpoint,
     snafu::ResultExt,
@@ -78,7 +78,7 @@
 
     /// Which table is in force.
     pub fn source(parts: &EntryParts) -> Arc<impl StatusSource + use<>> {
-        let board = parts.map.get::<TableBoard>().unwrap_or_default();
+        let board = parts.map.get::<CurrentTable>().unwrap_or_default();
         let identity = &parts.identity;
         Arc::new(BoardStatus {
             board,
--- a/crates/trestlewalk/src/entry/table_driver.rs
+++ b/crates/trestlewalk/src/entry/table_driver.rs
@@ -6,7 +6,7 @@
         entry::{PlatformHealth, PlatformSample},
     },
     bytes::Bytes,
-    flow::TableBoard,
+    flow::CurrentTable,
     kernel::{InstanceId, LockRank, RankedLock, TableVersion, WorkerPool, ZoneId, unix_time},
     peer::{MemberNews, PeerDriver, PeerError, TableMark, peer_error::GarbledSnafu},
     plat::{EditOrigin, PollAction, PollEvent, PollPlan, RowStore, TableRepository},
@@ -38,7 +38,7 @@
 
 /// Keeps the table in force.
 pub struct TableDriver<S> {
-    board: Arc<TableBoard>,
+    board: Arc<CurrentTable>,
     head_changed: Notify,
     health: Arc<PlatformHealth>,
     instance: InstanceId,
@@ -54,7 +54,7 @@
     /// A driver without a table, which blocks `ready` until it has one.
     #[builder]
     pub fn new(
-        board: Arc<TableBoard>,
+        board: Arc<CurrentTable>,
         health: Arc<PlatformHealth>,
         instance: InstanceId,
         plan: PollPlan,
@@ -347,7 +347,7 @@
 /// Answers the admin server.
 pub struct BoardStatus {
     /// The table in force.
-    pub board: Arc<TableBoard>,
+    pub board: Arc<CurrentTable>,
     /// Whether the platform is heard.
     pub health: Option<Arc<PlatformHealth>>,
     /// This instance.
--- a/crates/trestlewalk/tests/table_driver.rs
+++ b/crates/trestlewalk/tests/table_driver.rs
@@ -1,7 +1,7 @@
 //! The driver of the table over a store in memory: what it reads, and what it tells of the platform.
 
 use {
-    flow::TableBoard,
+    flow::CurrentTable,
     kernel::{LockRank, RankedLock, WorkerPool},
     plat::{
         EditOrigin, EditRequest, PlatError, PollPlan, PollSettings, RowStore, StoredRow,
@@ -95,7 +95,7 @@
     let rows = CountedRows::new();
     let editor = TableRepository::new(rows.beside());
     let first = edit(&editor, 1).await;
-    let board = Arc::new(TableBoard::new());
+    let board = Arc::new(CurrentTable::new());
     let pool = WorkerPool::new();
     let driver = TableDriver::builder()
         .board(board.clone())
@@ -148,7 +148,7 @@
     PollPlan::new(Instant::now(), "gijon".into(), "gijon-1".into(), settings)
 }
 
-async fn wait_version(board: &TableBoard, version: u64) {
+async fn wait_version(board: &CurrentTable, version: u64) {
     let end = Instant::now() + WAIT_LIMIT;
     while board
         .entry()
