--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,56 +1,59 @@
-//! Readings of the store that instances pass on to each other, so that its load does not grow with their number.
+//! Shares what instances read from the platform's store, so that the load on the store does not
+//! grow with the number of instances.
 //!
-//! In each availability zone one instance reads the list of upstreams and the routes; the others ask it and get what
-//! changed. Nobody is set aside: [`ReaderPlan`] says who reads, for each instance by itself, also while the store refuses, is
-//! silent, or all start together. [`SharedSource`] is an [`OperatorSource`](relay::OperatorSource), so that its user does not
-//! know where a reading came from. Instances know each other from a directory in the store ([`MemberDirectory`]) and from
-//! the questions that they ask each other.
+//! In each availability zone one instance, the reader, reads the list of upstreams and the routes.
+//! The others request updates from it and get only what changed. No instance is configured as the
+//! reader: [`ReaderElection`] decides on each instance independently which one it is, also while
+//! the store refuses, is silent, or all instances start together. [`SharedSource`] implements
+//! [`OperatorSource`](relay::OperatorSource), so its caller does not know whether an update came
+//! from the store or from a peer. Instances discover each other from a directory in the store
+//! ([`MemberDirectory`]) and from the requests they receive.
 
-pub mod awaited_answer;
 pub mod directory_view;
 pub mod list_digest;
 pub mod list_journal;
 pub mod list_mirror;
-pub mod member_board;
 pub mod member_directory;
+pub mod member_registry;
 pub mod member_row;
-pub mod reader_plan;
-pub mod reader_rest;
-pub mod report_follower;
+pub mod peer_cooldown;
+pub mod pending_request;
+pub mod reader_election;
 pub mod report_journal;
+pub mod report_watcher;
 pub mod shared_source;
 pub mod spread_message;
 pub mod spread_server;
 pub mod spread_state;
 pub mod spread_times;
 pub mod store_probe;
-pub mod use_exchange;
-pub mod use_message;
-pub mod use_server;
+pub mod usage_exchange;
+pub mod usage_message;
+pub mod usage_server;
 
 pub use {
-    awaited_answer::AwaitedAnswer,
     directory_view::DirectoryView,
     list_digest::{ListDigest, PartNumber},
     list_journal::ListJournal,
     list_mirror::ListMirror,
-    member_board::MemberBoard,
     member_directory::MemberDirectory,
+    member_registry::MemberRegistry,
     member_row::MemberRow,
-    reader_plan::{AskerState, ReadStep, ReaderPlan, UsePartners},
-    reader_rest::ReaderRest,
-    report_follower::ReportFollower,
+    peer_cooldown::PeerCooldown,
+    pending_request::PendingRequest,
+    reader_election::{ReadStep, ReaderElection, RequesterState, UsagePeers},
     report_journal::{ReportJournal, ReportOrigin},
+    report_watcher::ReportWatcher,
     shared_source::SharedSource,
     spread_message::{
-        BookAge, BookCopy, HeldReply, ListChange, ListPart, PassedBook, ReadingMark, ReportNews,
-        SpreadNews, SpreadReply, SpreadRequest,
+        JournalPosition, ListChange, ListPart, ReportUpdate, RoutesAge, RoutesCopy, RoutesUpdate,
+        SpreadReply, SpreadRequest, SpreadUpdate, TimedReply,
     },
     spread_server::{SPREAD_TAG, SpreadServer},
     spread_state::{ReadFailure, SpreadState},
     spread_times::SpreadTimes,
     store_probe::StoreProbe,
-    use_exchange::UseExchange,
-    use_message::{UseCall, UseReply, UseSums},
-    use_server::{USE_TAG, UseBoard},
+    usage_exchange::UsageExchange,
+    usage_message::{UsageReply, UsageRequest, UsageSummary},
+    usage_server::{USAGE_TAG, UsageServer},
 };
--- a/crates/spread/src/list_digest.rs
+++ b/crates/spread/src/list_digest.rs
@@ -1,38 +1,41 @@
-//! The content of a list of upstreams, as digests of its parts. No I/O and no clock.
+//! Digests of a list of upstreams, one per part, to find the parts in which two lists differ. No
+//! I/O and no clock.
 
 use {
     kernel::{UpstreamId, seeded_rng},
     policy::UpstreamRecord,
 };
 
-/// How many parts a list has. With 3,000 upstreams a part has some 12 rows, 0.7 KB; the digests of all take 2 KB.
+/// Number of parts of a list. With 3,000 upstreams a part has about 12 rows (0.7 KB), and the
+/// digests of all parts take 2 KB.
 pub const LIST_PARTS: usize = 256;
-/// The seeds of the part that a row belongs to, and of the digest of a row.
+/// Seeds of the hashes that assign a row to a part and digest a row.
 const PART_SEED: u64 = 21;
 const ROW_SEED: u64 = 22;
 
-/// A part of a list by its number.
+/// Index of a part, below [`LIST_PARTS`].
 pub type PartNumber = u8;
 
-/// The digest of each part: the sum over its rows, whatever their order.
+/// One digest per part: the wrapping sum of its rows' digests, so the order of rows does not
+/// matter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListDigest {
     parts: Vec<u64>,
 }
 
 impl ListDigest {
-    /// A row joins the list.
+    /// Adds a row.
     pub fn add(&mut self, record: &UpstreamRecord) {
         let part = self.part_mut(&record.id);
         *part = part.wrapping_add(row_digest(record));
     }
 
-    /// The digest of each part, by its number.
+    /// Digests indexed by [`PartNumber`].
     pub fn parts(&self) -> &[u64] {
         &self.parts
     }
 
-    /// A row leaves the list.
+    /// Removes a row that was added before.
     pub fn remove(&mut self, record: &UpstreamRecord) {
         let part = self.part_mut(&record.id);
         *part = part.wrapping_sub(row_digest(record));
@@ -44,7 +47,7 @@
 }
 
 impl Default for ListDigest {
-    /// The digest of an empty list.
+    /// Digest of an empty list: zero for every part.
     fn default() -> Self {
         Self {
             parts: vec![0; LIST_PARTS],
@@ -52,14 +55,14 @@
     }
 }
 
-/// The part that an upstream belongs to.
+/// Part that an upstream is assigned to by the hash of its id.
 pub fn part_of(id: &UpstreamId) -> PartNumber {
-    // There are as many parts as the lowest byte has values.
+    // The lowest byte of the hash has as many values as there are parts.
     seeded_rng::mix(PART_SEED, id.as_bytes()).to_le_bytes()[0]
 }
 
 fn row_digest(record: &UpstreamRecord) -> u64 {
-    // Texts, numbers and addresses always have a binary form.
+    // Strings, numbers and addresses always serialise.
     let row = postcard::to_stdvec(record).unwrap_or_default();
     seeded_rng::mix(ROW_SEED, &row)
 }
--- a/crates/spread/src/list_journal.rs
+++ b/crates/spread/src/list_journal.rs
@@ -1,8 +1,9 @@
-//! The list of upstreams at its reader, with what it takes to tell others what changed. No I/O and no clock.
+//! The list of upstreams at a reader, with the change history needed to send others only what
+//! changed. No I/O and no clock.
 
 use {
     crate::{
-        ListChange, ListDigest, ListPart, PartNumber, ReadingMark,
+        JournalPosition, ListChange, ListDigest, ListPart, PartNumber,
         list_digest::{LIST_PARTS, part_of},
     },
     kernel::{Incarnation, UpstreamId},
@@ -10,35 +11,40 @@
     std::collections::BTreeMap,
 };
 
-/// How many removed upstreams are remembered. An asker that is behind by more compares the digests of its list.
-const REMOVED_LIMIT: usize = 1_000;
+/// Number of removed upstreams kept as tombstones. A requester that is behind by more compares the
+/// digests of its list.
+const MAX_TOMBSTONES: usize = 1_000;
 
-/// How many rows of differing parts go into one answer, each of some 55 bytes: 4 KB, which 100 askers at once get over a link
-/// of 200 Mbit/s in 16 ms. Lists of 3,000 upstreams are 165 KB each, 0.7 s for all: whoever has no news waits 0.2 s.
-const ANSWER_ROWS: usize = 64;
+/// Number of rows of differing parts after which an answer is closed. At about 55 bytes per row
+/// that is 4 KB, which 100 requesters at once receive over a 200 Mbit/s link in 16 ms. Whole lists
+/// of 3,000 upstreams would be 165 KB each and take 0.7 s for all, while an instance without an
+/// update waits only 0.2 s.
+const MAX_REPLY_ROWS: usize = 64;
 
 #[derive(Clone, Debug)]
 struct JournalRow {
-    /// None for one that is no longer listed.
+    /// `None` is a tombstone: the upstream is no longer listed.
     record: Option<UpstreamRecord>,
     revision: u64,
 }
 
-/// The list by part and id, each row with the revision of its last change.
+/// The list by part and id; each row has the revision of its last change.
 #[derive(Clone, Debug)]
 pub struct ListJournal {
     digest: ListDigest,
-    /// Askers that know of no later revision compare digests.
+    /// Revision of the newest discarded tombstone. Requesters at an older revision compare digests.
     floor: u64,
-    mark: ReadingMark,
+    position: JournalPosition,
     rows: BTreeMap<(PartNumber, UpstreamId), JournalRow>,
 }
 
 impl ListJournal {
-    /// What an asker has to change whose list has this mark, or else these digests of its parts. One that told a mark alone,
-    /// which means nothing here, gets an answer without parts and tells its digests then.
-    pub fn change_since(&self, have: Option<ReadingMark>, digests: &[u64]) -> ListChange {
-        let known = have.filter(|have| have.life == self.mark.life && have.revision >= self.floor);
+    /// The change that brings a requester's list up to date, given its position in this journal or
+    /// else the digests of its parts. A requester that sent only a position that is unknown here,
+    /// such as one of another incarnation, gets an answer without parts and sends its digests next.
+    pub fn change_since(&self, have: Option<JournalPosition>, digests: &[u64]) -> ListChange {
+        let known =
+            have.filter(|have| have.life == self.position.life && have.revision >= self.floor);
         let Some(known) = known else {
             return match have.is_some() && digests.is_empty() {
                 true => ListChange::Parts {
@@ -62,29 +68,29 @@
         ListChange::Changes { changed, gone }
     }
 
-    /// The digest of the list.
+    /// Digest of the current list.
     pub fn digest(&self) -> &ListDigest {
         &self.digest
     }
 
-    /// The state of the list.
-    pub fn mark(&self) -> ReadingMark {
-        self.mark
+    /// Current position. The revision changes only when the list does.
+    pub fn position(&self) -> JournalPosition {
+        self.position
     }
 
-    /// A list that was never read, of this life of the reader.
+    /// An empty journal of this incarnation of the reader.
     pub fn new(life: Incarnation) -> Self {
         Self {
             digest: ListDigest::default(),
             floor: 0,
-            mark: ReadingMark { life, revision: 0 },
+            position: JournalPosition { life, revision: 0 },
             rows: BTreeMap::new(),
         }
     }
 
-    /// Takes a reading in.
-    pub fn take(&mut self, records: &[UpstreamRecord]) {
-        let revision = self.mark.revision + 1;
+    /// Replaces the list by what was read from the store.
+    pub fn apply(&mut self, records: &[UpstreamRecord]) {
+        let revision = self.position.revision + 1;
         let mut differs = false;
         let mut before = std::mem::take(&mut self.rows);
         for record in records {
@@ -114,12 +120,12 @@
             self.rows.insert(key, row);
         }
         if differs {
-            self.mark.revision = revision;
+            self.position.revision = revision;
         }
-        self.forget_removed();
+        self.prune_tombstones();
     }
 
-    /// The first parts of which the asker has another digest, as many as one answer has room for.
+    /// The first parts whose digest differs from the requester's, up to the size of one answer.
     fn differing_parts(&self, digests: &[u64]) -> ListChange {
         let mut parts = Vec::new();
         let mut count = 0;
@@ -130,7 +136,7 @@
             if own == digests.get(index).copied().unwrap_or_default() {
                 continue;
             }
-            if count >= ANSWER_ROWS {
+            if count >= MAX_REPLY_ROWS {
                 return ListChange::Parts {
                     is_last: false,
                     parts,
@@ -146,15 +152,15 @@
         }
     }
 
-    /// Forgets the removals that are longest ago.
-    fn forget_removed(&mut self) {
+    /// Discards the oldest tombstones beyond [`MAX_TOMBSTONES`].
+    fn prune_tombstones(&mut self) {
         let removed = self.rows.values().filter(|row| row.record.is_none());
         let mut revisions: Vec<u64> = removed.map(|row| row.revision).collect();
-        if revisions.len() <= REMOVED_LIMIT {
+        if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        self.floor = revisions[revisions.len() - REMOVED_LIMIT - 1];
+        self.floor = revisions[revisions.len() - MAX_TOMBSTONES - 1];
         let floor = self.floor;
         self.rows
             .retain(|_, row| row.record.is_some() || row.revision > floor);
--- a/crates/spread/src/list_mirror.rs
+++ b/crates/spread/src/list_mirror.rs
@@ -1,26 +1,34 @@
-//! The list of upstreams at an instance that gets it from a reader. No I/O and no clock.
+//! A copy of a reader's list of upstreams, kept up to date by the changes it sends. No I/O and no
+//! clock.
 
 use {
-    crate::{ListChange, ListDigest, ListPart, PartNumber, ReadingMark, list_digest::part_of},
+    crate::{JournalPosition, ListChange, ListDigest, ListPart, PartNumber, list_digest::part_of},
     kernel::{InstanceId, UpstreamId},
     policy::UpstreamRecord,
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The reader's list as far as it was told.
+/// The copy, as far as the reader has sent its list.
 #[derive(Clone, Debug, Default)]
 pub struct ListMirror {
     digest: ListDigest,
-    /// Whose list it is, and its state; none while parts of it are still to come. Two readers that started at the same moment
-    /// have the same number of their life, so a mark alone does not tell their lists apart.
-    from: Option<(InstanceId, ReadingMark)>,
+    /// The reader that the list came from and its position there; `None` while parts are missing.
+    /// The position alone does not identify a list: two readers that started at the same moment
+    /// have the same incarnation number.
+    from: Option<(InstanceId, JournalPosition)>,
     rows: BTreeMap<(PartNumber, UpstreamId), UpstreamRecord>,
 }
 
 impl ListMirror {
-    /// Takes a change in that a reader gave. Gives whether the list is whole, and has this state.
+    /// Applies a change from a reader. Returns whether the list is now complete and at the given
+    /// position.
     #[must_use]
-    pub fn apply(&mut self, reader: InstanceId, change: ListChange, mark: ReadingMark) -> bool {
+    pub fn apply(
+        &mut self,
+        reader: InstanceId,
+        change: ListChange,
+        position: JournalPosition,
+    ) -> bool {
         self.from = None;
         match change {
             ListChange::Changes { changed, gone } => {
@@ -33,7 +41,7 @@
             }
             ListChange::Parts { is_last, parts } => {
                 for part in parts {
-                    self.keep_only(&part);
+                    self.retain_part(&part);
                     for record in part.records {
                         self.insert(record);
                     }
@@ -43,30 +51,31 @@
                 }
             }
         }
-        self.from = Some((reader, mark));
+        self.from = Some((reader, position));
         true
     }
 
-    /// The digest of the list.
+    /// Digest of the copy.
     pub fn digest(&self) -> &ListDigest {
         &self.digest
     }
 
-    /// The state of the list as this reader knows it; none if it came from another one.
-    pub fn mark(&self, reader: &InstanceId) -> Option<ReadingMark> {
-        let (from, mark) = self.from.as_ref()?;
-        (from == reader).then_some(*mark)
+    /// Position of the list in this reader's journal; `None` if the list came from another reader.
+    pub fn position(&self, reader: &InstanceId) -> Option<JournalPosition> {
+        let (from, position) = self.from.as_ref()?;
+        (from == reader).then_some(*position)
     }
 
-    /// What a reader is told of this list: its state there, or else the digests of its parts.
-    pub fn known_at(&self, reader: &InstanceId) -> (Option<ReadingMark>, Vec<u64>) {
-        match self.mark(reader) {
-            Some(mark) => (Some(mark), Vec::new()),
+    /// What to send a reader with a request: the position in its journal, or else the digests of
+    /// the parts.
+    pub fn known_state(&self, reader: &InstanceId) -> (Option<JournalPosition>, Vec<u64>) {
+        match self.position(reader) {
+            Some(position) => (Some(position), Vec::new()),
             None => (None, self.digest.parts().to_vec()),
         }
     }
 
-    /// The list.
+    /// All rows, ordered by part and id.
     pub fn records(&self) -> Vec<UpstreamRecord> {
         self.rows.values().cloned().collect()
     }
@@ -81,8 +90,8 @@
         self.rows.insert(key, record);
     }
 
-    /// Removes the rows of a part that it no longer has.
-    fn keep_only(&mut self, part: &ListPart) {
+    /// Removes the rows of a part that are not in the received one.
+    fn retain_part(&mut self, part: &ListPart) {
         let first = (part.number, UpstreamId::from(""));
         let rows = self.rows.range(first..);
         let rows = rows.take_while(|((number, _), _)| *number == part.number);
--- a/crates/spread/src/member_board.rs
+++ b/crates/spread/src/member_registry.rs
@@ -1,7 +1,7 @@
 //! The instances as one of them knows them, wherever that has to be known.
 
 use {
-    crate::{DirectoryView, MemberRow, ReaderPlan, ReportOrigin, SpreadState},
+    crate::{DirectoryView, MemberRow, ReaderElection, ReportOrigin, SpreadState},
     kernel::{InstanceId, RankedLock, steady_clock},
     peer::PeerBook,
     policy::AgedReport,
@@ -10,22 +10,22 @@
     tokio::sync::watch,
 };
 
-/// Keeps plan, state, addresses and the size of the zone in step. Clones share all.
+/// Keeps election, state, addresses and the size of the zone in step. Clones share all.
 #[derive(Clone, Debug)]
-pub struct MemberBoard {
+pub struct MemberRegistry {
     /// Where they answer.
-    pub book: PeerBook,
+    pub addresses: PeerBook,
     /// The instance itself.
     pub own: MemberRow,
     /// Who reads.
-    pub plan: Arc<RankedLock<ReaderPlan>>,
+    pub election: Arc<RankedLock<ReaderElection>>,
     /// What is told to others.
     pub state: Arc<watch::Sender<SpreadState>>,
     /// How many the zone has.
     pub zone_size: ZoneSize,
 }
 
-impl MemberBoard {
+impl MemberRegistry {
     /// An instance has asked: it is one of the zone, if it says so.
     pub fn add(&self, card: &MemberRow) {
         if card.zone != self.own.zone {
@@ -41,10 +41,15 @@
     }
 
     /// Takes reports of ended upstreams in; whether any was new.
-    pub fn learn(&self, reports: &[AgedReport], origin: ReportOrigin, now: Instant) -> bool {
+    pub fn merge_reports(
+        &self,
+        reports: &[AgedReport],
+        origin: ReportOrigin,
+        now: Instant,
+    ) -> bool {
         let mut is_news = false;
         self.state.send_if_modified(|state| {
-            is_news = state.reports.take(reports, origin, now);
+            is_news = state.reports.apply(reports, origin, now);
             is_news
         });
         is_news
@@ -82,11 +87,13 @@
         }
         for member in &members {
             if member.instance != self.own.instance {
-                self.book.set(member.instance.clone(), member.address);
+                self.addresses.set(member.instance.clone(), member.address);
             }
         }
-        self.plan.lock().set_members(&listed, steady_clock::now());
-        self.state.send_modify(|state| state.take_members(members));
+        self.election
+            .lock()
+            .set_members(&listed, steady_clock::now());
+        self.state.send_modify(|state| state.apply_members(members));
     }
 
     /// The members of the own zone.
--- a/crates/spread/src/member_row.rs
+++ b/crates/spread/src/member_row.rs
@@ -38,15 +38,15 @@
     }
 
     /// Its score in the order of readers: those of the greatest capacity are first, and rendezvous hashing orders those that
-    /// differ by less than two. A reader has the whole list from the store in each period, and all others ask it: with
+    /// differ by less than two. A reader has the last_full_request list from the store in each period, and all others ask it: with
     /// 3,000 upstreams the store's answer has 750 KB, which a link of 10 Mbit/s takes 0.6 s for.
     pub fn score(&self) -> f64 {
         f64::from(self.capacity.max(1).ilog2()) + self.draw()
     }
 
-    /// How early it makes itself known when the whole system starts for the first time, by weighted rendezvous hashing: the
+    /// How early it makes itself known when the last_full_request system starts for the first time, by weighted rendezvous hashing: the
     /// first of many alike is early by their number, so that their calls lie apart.
-    pub(crate) fn earliness(&self) -> f64 {
+    pub(crate) fn start_priority(&self) -> f64 {
         self.capacity.max(1) as f64 / -self.draw().ln()
     }
 
--- a/crates/spread/src/reader_rest.rs
+++ b/crates/spread/src/peer_cooldown.rs
@@ -1,22 +1,22 @@
-//! How long a reader that gave no answer is passed over.
+//! How long an instance that did not answer is skipped.
 
 use std::time::{Duration, Instant};
 
-/// A span in which a reader is not asked.
+/// A period during which an instance is not sent requests.
 #[derive(Clone, Copy, Debug)]
-pub struct ReaderRest {
-    /// Its length.
+pub struct PeerCooldown {
+    /// Length of the period; the next one is derived from it.
     pub span: Duration,
     until: Instant,
 }
 
-impl ReaderRest {
-    /// Whether the reader may be asked again.
+impl PeerCooldown {
+    /// Whether the instance may be asked again.
     pub fn is_over(&self, now: Instant) -> bool {
         now >= self.until
     }
 
-    /// A rest that begins now.
+    /// Starts a cooldown of the given length at `now`.
     pub fn new(span: Duration, now: Instant) -> Self {
         Self {
             span,
--- a/crates/spread/src/report_journal.rs
+++ b/crates/spread/src/report_journal.rs
@@ -1,9 +1,11 @@
-//! The reports of upstreams that ended under requests, as an instance passes them on. No I/O and no clock.
+//! Crash reports (upstreams that ended while they ran a request) as an instance passes them on. No
+//! I/O and no clock.
 //!
-//! They go to the store and back, and from instance to instance as well: the store may be down while requests end upstreams.
+//! Reports travel through the store and also directly between instances, since the store may be
+//! down while requests crash upstreams.
 
 use {
-    crate::{ReadingMark, ReportNews},
+    crate::{JournalPosition, ReportUpdate},
     kernel::{Incarnation, UpstreamId},
     policy::{AgedReport, CrashMark, CrashReport, RequestFingerprint},
     std::{
@@ -12,99 +14,101 @@
     },
 };
 
-/// How long an instance goes on telling those that it asks what it has not from the store: a few questions, since whom it
-/// asks changes while the store answers few.
-const TELL_UP: Duration = Duration::from_secs(5);
+/// How long a report that did not come from the store is included in requests to the reader. This
+/// covers several requests, since the reader may change while the store answers only a few
+/// instances.
+const FORWARD_WINDOW: Duration = Duration::from_secs(5);
 
-/// How long an instance that reads the store waits for whoever found something out to write it.
-const STORE_PATIENCE: Duration = Duration::from_millis(500);
+/// How long a reader waits for the instance that found a crash to write the report before writing
+/// it itself.
+const WRITE_GRACE: Duration = Duration::from_millis(500);
 
-/// Where a report came from.
+/// Source of a report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportOrigin {
-    /// From this instance or another one.
+    /// Found by this instance or received from another one.
     Instance,
-    /// From the store.
+    /// Read from the store.
     Store,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct JournalRow {
-    /// Whether the store has it.
+    /// Whether the store is known to have it.
     is_stored: bool,
-    /// When it was learned; told on until a while after that.
-    learned: Instant,
+    /// When this instance learned of it. It is forwarded for [`FORWARD_WINDOW`] from then on.
+    learned_at: Instant,
     mark: CrashMark,
     origin: ReportOrigin,
     revision: u64,
     since: Instant,
 }
 
-/// The reports, each with the revision of its last change.
+/// Known reports; each has the revision of its last change.
 #[derive(Clone, Debug)]
 pub struct ReportJournal {
-    counts_for: Duration,
-    mark: ReadingMark,
+    retention: Duration,
+    position: JournalPosition,
     rows: BTreeMap<(RequestFingerprint, UpstreamId), JournalRow>,
 }
 
 impl ReportJournal {
-    /// Drops the reports that no longer count; gives them.
-    pub fn forget(&mut self, now: Instant) -> Vec<CrashReport> {
-        let counts_for = self.counts_for;
-        let mut gone = Vec::new();
+    /// Removes and returns the reports that are older than the retention.
+    pub fn expire(&mut self, now: Instant) -> Vec<CrashReport> {
+        let retention = self.retention;
+        let mut expired = Vec::new();
         self.rows.retain(|(fingerprint, upstream), row| {
-            let is_old = now.saturating_duration_since(row.since) >= counts_for;
-            if is_old {
-                gone.push(CrashReport {
+            let is_expired = now.saturating_duration_since(row.since) >= retention;
+            if is_expired {
+                expired.push(CrashReport {
                     fingerprint: *fingerprint,
                     mark: row.mark,
                     upstream: upstream.clone(),
                 });
             }
-            !is_old
+            !is_expired
         });
-        gone
+        expired
     }
 
-    /// Whether there is something that one with this state has not.
-    pub fn has_news(&self, have: Option<ReadingMark>) -> bool {
-        match have.filter(|have| have.life == self.mark.life) {
-            Some(have) => self.mark.revision > have.revision,
+    /// Whether an instance at this position lacks a report.
+    pub fn has_updates(&self, have: Option<JournalPosition>) -> bool {
+        match have.filter(|have| have.life == self.position.life) {
+            Some(have) => self.position.revision > have.revision,
             None => !self.rows.is_empty(),
         }
     }
 
-    /// The state of the journal.
-    pub fn mark(&self) -> ReadingMark {
-        self.mark
+    /// Current position.
+    pub fn position(&self) -> JournalPosition {
+        self.position
     }
 
-    /// An empty journal of this life of the instance; a report counts for so long.
-    pub fn new(life: Incarnation, counts_for: Duration) -> Self {
+    /// An empty journal of this incarnation; reports expire after `retention`.
+    pub fn new(life: Incarnation, retention: Duration) -> Self {
         Self {
-            counts_for,
-            mark: ReadingMark { life, revision: 0 },
+            retention,
+            position: JournalPosition { life, revision: 0 },
             rows: BTreeMap::new(),
         }
     }
 
-    /// What one with this state has not.
-    pub fn news_since(&self, have: Option<ReadingMark>, now: Instant) -> ReportNews {
-        let have = have.filter(|have| have.life == self.mark.life);
+    /// The reports that an instance at this position lacks.
+    pub fn updates_since(&self, have: Option<JournalPosition>, now: Instant) -> ReportUpdate {
+        let have = have.filter(|have| have.life == self.position.life);
         let have = have.map_or(0, |have| have.revision);
         let is_new = |row: &JournalRow| row.revision > have;
-        ReportNews {
-            mark: self.mark,
-            reports: self.aged(is_new, now),
+        ReportUpdate {
+            position: self.position,
+            reports: self.aged_reports(is_new, now),
         }
     }
 
-    /// Takes reports in; whether any was new.
-    pub fn take(&mut self, reports: &[AgedReport], origin: ReportOrigin, now: Instant) -> bool {
-        let revision = self.mark.revision + 1;
+    /// Merges reports; returns whether any of them was new.
+    pub fn apply(&mut self, reports: &[AgedReport], origin: ReportOrigin, now: Instant) -> bool {
+        let revision = self.position.revision + 1;
         for AgedReport { age, report } in reports {
-            if *age >= self.counts_for {
+            if *age >= self.retention {
                 continue;
             }
             let since = now.checked_sub(*age).unwrap_or(now);
@@ -112,14 +116,14 @@
             let known = self.rows.get(&key).copied();
             if let Some(known) = known.filter(|known| known.mark >= report.mark) {
                 if origin == ReportOrigin::Store && known.mark == report.mark {
-                    self.note_stored(&key);
+                    self.mark_row_stored(&key);
                 }
                 continue;
             }
-            self.mark.revision = revision;
+            self.position.revision = revision;
             let row = JournalRow {
                 is_stored: origin == ReportOrigin::Store,
-                learned: now,
+                learned_at: now,
                 mark: report.mark,
                 origin,
                 revision,
@@ -127,42 +131,47 @@
             };
             self.rows.insert(key, row);
         }
-        self.mark.revision == revision
+        self.position.revision == revision
     }
 
-    /// What the instance that is asked may not know.
-    pub fn to_tell(&self, now: Instant) -> Vec<AgedReport> {
-        let is_fresh = |row: &JournalRow| {
+    /// Recent reports that the reader may not have, to be sent with a request.
+    pub fn to_forward(&self, now: Instant) -> Vec<AgedReport> {
+        let is_recent = |row: &JournalRow| {
             row.origin == ReportOrigin::Instance
-                && now.saturating_duration_since(row.learned) < TELL_UP
+                && now.saturating_duration_since(row.learned_at) < FORWARD_WINDOW
         };
-        self.aged(is_fresh, now)
+        self.aged_reports(is_recent, now)
     }
 
-    /// What the store lacks although it was learned a while ago: whoever found it out may not be able to write.
+    /// Reports that the store still lacks after [`WRITE_GRACE`]: the instance that found the crash
+    /// may be unable to write.
     pub fn unstored(&self, now: Instant) -> Vec<CrashReport> {
         let is_due = |row: &JournalRow| {
-            !row.is_stored && now.saturating_duration_since(row.learned) >= STORE_PATIENCE
+            !row.is_stored && now.saturating_duration_since(row.learned_at) >= WRITE_GRACE
         };
-        let reports = self.aged(is_due, now).into_iter();
+        let reports = self.aged_reports(is_due, now).into_iter();
         reports.map(|aged| aged.report).collect()
     }
 
-    /// The store has taken reports.
-    pub fn stored(&mut self, reports: &[CrashReport]) {
+    /// Marks reports as stored.
+    pub fn mark_stored(&mut self, reports: &[CrashReport]) {
         for report in reports {
-            self.note_stored(&(report.fingerprint, report.upstream.clone()));
+            self.mark_row_stored(&(report.fingerprint, report.upstream.clone()));
         }
     }
 
-    fn note_stored(&mut self, key: &(RequestFingerprint, UpstreamId)) {
+    fn mark_row_stored(&mut self, key: &(RequestFingerprint, UpstreamId)) {
         if let Some(row) = self.rows.get_mut(key) {
             row.is_stored = true;
         }
     }
 
-    fn aged(&self, wanted: impl Fn(&JournalRow) -> bool, now: Instant) -> Vec<AgedReport> {
-        let rows = self.rows.iter().filter(|(_, row)| wanted(row));
+    fn aged_reports(
+        &self,
+        is_wanted: impl Fn(&JournalRow) -> bool,
+        now: Instant,
+    ) -> Vec<AgedReport> {
+        let rows = self.rows.iter().filter(|(_, row)| is_wanted(row));
         let reports = rows.map(|((fingerprint, upstream), row)| AgedReport {
             age: now.saturating_duration_since(row.since),
             report: CrashReport {
--- a/crates/spread/src/shared_source.rs
+++ b/crates/spread/src/shared_source.rs
@@ -1,14 +1,14 @@
 //! The operators' routes and the list of upstreams, from the store or from an instance that has read it.
 
-mod asking;
 mod joining;
-mod passing;
+mod requesting;
+mod route_sharing;
 
 use {
     crate::{
-        DirectoryView, ListMirror, MemberBoard, MemberDirectory, MemberRow, ReadFailure, ReadStep,
-        ReaderPlan, ReadingMark, ReportFollower, ReportOrigin, SPREAD_TAG, SpreadServer,
-        SpreadState, SpreadTimes, USE_TAG, UseBoard, UseExchange,
+        DirectoryView, JournalPosition, ListMirror, MemberDirectory, MemberRegistry, MemberRow,
+        ReadFailure, ReadStep, ReaderElection, ReportOrigin, ReportWatcher, SPREAD_TAG,
+        SpreadServer, SpreadState, SpreadTimes, USAGE_TAG, UsageExchange, UsageServer,
     },
     kernel::{InstanceId, LockRank, RankedLock, WorkerPool, steady_clock},
     peer::{PeerEndpoint, PeerKeys},
@@ -30,9 +30,9 @@
 };
 
 /// The pause after an instance that has no news, or old ones: it looks for new ones with pauses of this length itself.
-const NO_NEWS_PAUSE: Duration = Duration::from_millis(300);
+const NO_UPDATE_DELAY: Duration = Duration::from_millis(300);
 /// The pause after an instance that gave no answer.
-const FAILED_PAUSE: Duration = Duration::from_millis(20);
+const NO_ANSWER_DELAY: Duration = Duration::from_millis(20);
 
 /// A source that asks the zone's reader first, and the store where that gives no answer.
 #[derive(Debug)]
@@ -42,43 +42,43 @@
     counts: RelayCounts,
     directory: MemberDirectory<S>,
     endpoint: PeerEndpoint,
-    follower: Arc<ReportFollower<S>>,
+    report_watcher: Arc<ReportWatcher<S>>,
     /// As of when the routes in force are known to be the newest.
     freshness: BookFreshness,
-    /// Whether the whole system starts for the first time.
+    /// Whether the last_full_request system starts for the first time.
     first_start: bool,
     /// None before the directory was read.
     join: RankedLock<Option<JoinState>>,
     keys: PeerKeys,
-    members: MemberBoard,
+    members: MemberRegistry,
     mirror: RankedLock<ListMirror>,
     reader: ReaderRole,
     /// Whose reports this instance has, and up to where. Two readers may have the same number of their life.
-    report_mark: RankedLock<Option<(InstanceId, ReadingMark)>>,
+    report_position: RankedLock<Option<(InstanceId, JournalPosition)>>,
     /// When the next reading may begin; none for at once.
-    rest_end: RankedLock<Option<Instant>>,
+    cooldown_end: RankedLock<Option<Instant>>,
     store: Arc<S>,
     times: SpreadTimes,
 }
 
 /// How a question to another instance ended.
 #[derive(Debug)]
-enum AskEnd {
+enum RequestOutcome {
     /// It answered with what it knows.
-    News(UpstreamReading),
+    Update(UpstreamReading),
     /// It gave no answer, or none that helps: go on.
     NoAnswer(SourceError),
     /// It has no news, and is waited for.
-    NoNews(SourceError),
+    NoUpdate(SourceError),
     /// It answered with a part of its list.
-    Part,
+    Partial,
 }
 
 /// The directory as this life of the instance has read it.
 #[derive(Debug)]
 struct JoinState {
-    /// When it was read or tried last.
-    tried: Instant,
+    /// When it was read or tried_at last.
+    tried_at: Instant,
     view: DirectoryView,
 }
 
@@ -103,16 +103,16 @@
         times: SpreadTimes,
         zone_size: ZoneSize,
     ) -> Self {
-        let plan = ReaderPlan::new(own.instance.clone(), own.zone.clone(), times);
+        let election = ReaderElection::new(own.instance.clone(), own.zone.clone(), times);
         let (state, _) = watch::channel(SpreadState::new(
             endpoint.incarnation(),
             own.zone.clone(),
             quarantine,
         ));
-        let members = MemberBoard {
-            book: endpoint.book().clone(),
+        let members = MemberRegistry {
+            addresses: endpoint.book().clone(),
             own: own.clone(),
-            plan: Arc::new(RankedLock::new(LockRank::Members, plan)),
+            election: Arc::new(RankedLock::new(LockRank::Members, election)),
             state: Arc::new(state),
             zone_size,
         };
@@ -124,34 +124,34 @@
             times,
         };
         pool.spawn(server.run(endpoint.register(SPREAD_TAG)));
-        let uses = UseBoard::new(endpoint.incarnation(), members.clone(), quotas);
-        pool.spawn(uses.clone().serve(endpoint.register(USE_TAG)));
-        pool.spawn(UseExchange::new(uses, endpoint.clone()).run());
-        let follower = Arc::new(ReportFollower {
+        let uses = UsageServer::new(endpoint.incarnation(), members.clone(), quotas);
+        pool.spawn(uses.clone().serve(endpoint.register(USAGE_TAG)));
+        pool.spawn(UsageExchange::new(uses, endpoint.clone()).run());
+        let report_watcher = Arc::new(ReportWatcher {
             after: RankedLock::new(LockRank::Readings, None),
-            has_begun: AtomicBool::new(false),
-            read_limit: times.read_limit,
+            has_started: AtomicBool::new(false),
+            read_timeout: times.read_timeout,
             state: members.state.clone(),
             store: store.clone(),
             wait: report_wait,
         });
-        pool.spawn(follower.clone().run());
-        pool.spawn(follower.clone().write_missing());
+        pool.spawn(report_watcher.clone().run());
+        pool.spawn(report_watcher.clone().write_missing());
         Self {
             changed,
             counts,
             directory: MemberDirectory::new(directory_store, own),
             endpoint,
             first_start,
-            follower,
+            report_watcher,
             freshness,
             join: RankedLock::new(LockRank::Samples, None),
             keys,
             members,
             mirror: RankedLock::new(LockRank::Readings, ListMirror::default()),
             reader,
-            report_mark: RankedLock::new(LockRank::Readings, None),
-            rest_end: RankedLock::new(LockRank::Readings, None),
+            report_position: RankedLock::new(LockRank::Readings, None),
+            cooldown_end: RankedLock::new(LockRank::Readings, None),
             store,
             times,
         }
@@ -159,34 +159,34 @@
 }
 
 impl<S: OperatorSource + RowStore> SharedSource<S> {
-    fn note_failure(&self, failure: ReadFailure) {
+    fn record_failure(&self, failure: ReadFailure) {
         self.members
             .state
-            .send_modify(|state| state.note_failure(failure, steady_clock::now()));
+            .send_modify(|state| state.record_failure(failure, steady_clock::now()));
     }
 
     /// Reads the list from the store, and the directory when it is time.
     async fn read_store(&self) -> Result<UpstreamReading, SourceError> {
         let began = steady_clock::now();
-        let reason = self.members.plan.lock().reason();
-        let reading = limited(self.times.read_limit, self.store.read_upstreams(reason));
-        let (reading, ()) = tokio::join!(reading, self.follower.begin());
+        let reason = self.members.election.lock().call_reason();
+        let reading = with_timeout(self.times.read_timeout, self.store.read_upstreams(reason));
+        let (reading, ()) = tokio::join!(reading, self.report_watcher.read_first());
         let now = steady_clock::now();
         let mut reading = match reading {
             Ok(reading) => reading,
             Err(error) => {
-                self.members.plan.lock().store_failed(now);
-                self.note_failure(match now >= began + self.times.read_limit {
-                    true => ReadFailure::Late,
+                self.members.election.lock().record_store_failure(now);
+                self.record_failure(match now >= began + self.times.read_timeout {
+                    true => ReadFailure::TimedOut,
                     false => ReadFailure::Refused,
                 });
                 return Err(error);
             }
         };
-        self.members.plan.lock().store_read(began);
+        self.members.election.lock().record_store_read(began);
         self.members
             .state
-            .send_modify(|state| state.take_list(&reading, began));
+            .send_modify(|state| state.apply_store_list(&reading, began));
         reading.as_of = Some(began);
         reading.waited = true;
         self.refresh(now, true).await;
@@ -194,14 +194,14 @@
     }
 
     /// The next reading begins after a rest, since the last answer had no news, or old ones; not beyond the turn of this instance.
-    fn rest_until(&self, turn: Option<Instant>) {
-        let end = steady_clock::now() + NO_NEWS_PAUSE;
-        *self.rest_end.lock() = Some(turn.map_or(end, |turn| turn.min(end)));
+    fn start_cooldown(&self, turn: Option<Instant>) {
+        let end = steady_clock::now() + NO_UPDATE_DELAY;
+        *self.cooldown_end.lock() = Some(turn.map_or(end, |turn| turn.min(end)));
     }
 
     /// Waits for the end of a rest, unless something changes.
-    async fn end_rest(&self) {
-        let Some(end) = self.rest_end.lock().take() else {
+    async fn wait_cooldown(&self) {
+        let Some(end) = self.cooldown_end.lock().take() else {
             return;
         };
         tokio::select! {
@@ -215,17 +215,17 @@
         &self,
         answer: impl Future<Output = Result<T, PlatError>>,
     ) -> Result<T, SourceError> {
-        match time::timeout(self.times.read_limit, answer).await {
+        match time::timeout(self.times.read_timeout, answer).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(error)) => Err(silent(error.to_string())),
-            Err(_) => Err(silent("no answer in time")),
+            Ok(Err(error)) => Err(silent_error(error.to_string())),
+            Err(_) => Err(silent_error("no answer in time")),
         }
     }
 }
 
 impl<S: OperatorSource + RowStore> OperatorSource for SharedSource<S> {
     async fn drop_reports(&self, reports: &[CrashReport]) -> Result<(), SourceError> {
-        limited(self.times.read_limit, self.store.drop_reports(reports)).await
+        with_timeout(self.times.read_timeout, self.store.drop_reports(reports)).await
     }
 
     async fn watch_reports(
@@ -234,29 +234,36 @@
         wait: Duration,
     ) -> Result<ReportReading, SourceError> {
         let mut state = self.members.state.subscribe();
-        let life = state.borrow().reports.mark().life;
-        let have = after.map(|revision| ReadingMark { life, revision });
+        let life = state.borrow().reports.position().life;
+        let have = after.map(|revision| JournalPosition { life, revision });
         // Without news the same mark is asked for again.
-        let _ = time::timeout(wait, state.wait_for(|state| state.reports.has_news(have))).await;
-        let news = state.borrow().reports.news_since(have, steady_clock::now());
+        let _ = time::timeout(
+            wait,
+            state.wait_for(|state| state.reports.has_updates(have)),
+        )
+        .await;
+        let news = state
+            .borrow()
+            .reports
+            .updates_since(have, steady_clock::now());
         Ok(ReportReading {
-            next: Some(news.mark.revision),
+            next: Some(news.position.revision),
             reports: news.reports,
         })
     }
 
     async fn write_reports(&self, reports: &[CrashReport]) -> Result<(), SourceError> {
         let reports_now: Vec<AgedReport> = reports.iter().cloned().map(AgedReport::new).collect();
-        let is_news = self
-            .members
-            .learn(&reports_now, ReportOrigin::Instance, steady_clock::now());
+        let is_news =
+            self.members
+                .merge_reports(&reports_now, ReportOrigin::Instance, steady_clock::now());
         if is_news {
             // The instance that is asked learns them with the next question: that goes out at once.
             self.changed.notify_one();
         }
-        limited(self.times.read_limit, self.store.write_reports(reports)).await?;
+        with_timeout(self.times.read_timeout, self.store.write_reports(reports)).await?;
         self.members.state.send_if_modified(|state| {
-            state.reports.stored(reports);
+            state.reports.mark_stored(reports);
             false
         });
         Ok(())
@@ -264,35 +271,35 @@
 
     async fn read_book(&self, reason: CallReason) -> Result<BookReading, SourceError> {
         let mut state = self.members.state.subscribe();
-        let may_begin = |state: &SpreadState| state.reads_store || state.book.is_some();
+        let may_begin = |state: &SpreadState| state.reads_store || state.routes.is_some();
         // The sender lives as long as this.
         let _ = state.wait_for(may_begin).await;
-        if let Some(book) = self.passed_book() {
+        if let Some(book) = self.peer_routes() {
             return Ok(book);
         }
-        let reading = limited(self.times.read_limit, self.store.read_book(reason)).await?;
-        self.keep_book(&reading);
+        let reading = with_timeout(self.times.read_timeout, self.store.read_book(reason)).await?;
+        self.keep_routes(&reading);
         Ok(reading)
     }
 
     async fn read_upstreams(&self, _reason: CallReason) -> Result<UpstreamReading, SourceError> {
         if self.join.lock().is_none() {
-            self.join_paced().await?;
+            self.join_with_backoff().await?;
         }
-        self.end_rest().await;
+        self.wait_cooldown().await;
         let mut failed: Option<SourceError> = None;
         loop {
-            let step = self.members.plan.lock().choose(steady_clock::now());
-            self.reader.set(!matches!(step, ReadStep::Ask { .. }));
+            let step = self.members.election.lock().choose(steady_clock::now());
+            self.reader.set(!matches!(step, ReadStep::AskPeer { .. }));
             match step {
-                ReadStep::Ask {
-                    at_once,
+                ReadStep::AskPeer {
+                    is_immediate,
                     from,
                     limit,
                     turn,
                 } => {
                     let end = tokio::select! {
-                        end = self.ask(from, at_once, limit) => end,
+                        end = self.request_update(from, is_immediate, limit) => end,
                         () = self.changed.notified() => {
                             self.counts.note_peer_read("dropped");
                             continue;
@@ -303,30 +310,30 @@
                         }
                     };
                     match end {
-                        AskEnd::News(reading) => {
+                        RequestOutcome::Update(reading) => {
                             let now = steady_clock::now();
-                            if self.members.plan.lock().is_first(now) {
+                            if self.members.election.lock().is_first(now) {
                                 self.refresh(now, false).await;
                             }
-                            if self.members.plan.lock().is_stale(now) {
-                                self.rest_until(turn);
+                            if self.members.election.lock().is_stale(now) {
+                                self.start_cooldown(turn);
                             }
                             return Ok(reading);
                         }
-                        AskEnd::NoAnswer(error) => {
+                        RequestOutcome::NoAnswer(error) => {
                             failed = Some(error);
                             // One that starts as well may need a moment until it can answer.
-                            time::sleep(FAILED_PAUSE).await;
+                            time::sleep(NO_ANSWER_DELAY).await;
                         }
-                        AskEnd::NoNews(error) => {
-                            self.rest_until(turn);
+                        RequestOutcome::NoUpdate(error) => {
+                            self.start_cooldown(turn);
                             return Err(error);
                         }
                         // The rest is asked for.
-                        AskEnd::Part => {}
+                        RequestOutcome::Partial => {}
                     }
                 }
-                ReadStep::Pause(until) => {
+                ReadStep::Wait(until) => {
                     if let Some(error) = failed.take() {
                         return Err(error);
                     }
@@ -334,7 +341,7 @@
                     // Either way the next step is chosen anew.
                     let _ = time::timeout(left, self.changed.notified()).await;
                 }
-                ReadStep::Store => match self.read_store().await {
+                ReadStep::ReadStore => match self.read_store().await {
                     Ok(reading) => return Ok(reading),
                     Err(error) => failed = Some(error),
                 },
@@ -349,10 +356,10 @@
     ) -> Result<BookNews, SourceError> {
         let reads_store = self.members.state.borrow().reads_store;
         if !reads_store {
-            return Ok(self.await_passed(after, wait).await);
+            return Ok(self.wait_for_routes(after, wait).await);
         }
         let watching = self.store.watch_book(after, wait);
-        let watching = limited(wait + self.times.read_limit, watching);
+        let watching = with_timeout(wait + self.times.read_timeout, watching);
         let mut state = self.members.state.subscribe();
         let news = tokio::select! {
             news = watching => news?,
@@ -362,7 +369,7 @@
             }
         };
         match &news {
-            BookNews::Changed(reading) => self.keep_book(reading),
+            BookNews::Changed(reading) => self.keep_routes(reading),
             BookNews::Unchanged(_, Some(as_of)) => self.note_unchanged(*as_of),
             BookNews::HistoryLost | BookNews::Unchanged(_, None) => {}
         }
@@ -379,17 +386,17 @@
 }
 
 /// What the store answers within a time.
-async fn limited<T>(
+async fn with_timeout<T>(
     limit: Duration,
     answer: impl Future<Output = Result<T, SourceError>>,
 ) -> Result<T, SourceError> {
     match time::timeout(limit, answer).await {
         Ok(outcome) => outcome,
-        Err(_) => Err(silent("no answer in time")),
+        Err(_) => Err(silent_error("no answer in time")),
     }
 }
 
-fn silent(detail: impl Into<String>) -> SourceError {
+fn silent_error(detail: impl Into<String>) -> SourceError {
     SilentSnafu {
         detail: detail.into(),
     }
--- a/crates/spread/src/shared_source/joining.rs
+++ b/crates/spread/src/shared_source/joining.rs
@@ -1,7 +1,7 @@
 //! How an instance joins the directory, and keeps it.
 
 use {
-    super::{JoinState, SharedSource, silent},
+    super::{JoinState, SharedSource, silent_error},
     crate::{DirectoryView, MemberRow},
     kernel::{InstanceId, steady_clock},
     peer::KeyAuthority,
@@ -14,33 +14,33 @@
     tokio::time,
 };
 
-/// When the whole system starts for the first time nobody knows of the others and nobody serves yet. The instances make
+/// When the last_full_request system starts for the first time nobody knows of the others and nobody serves yet. The instances make
 /// their first calls one after the other within this time, those first that are to read, so that all others find them.
 const FIRST_START_SPREAD: Duration = Duration::from_secs(3);
-/// [`MemberRow::earliness`] lies between these, whatever machines there are.
-const EARLINESS_BOUNDS: (f64, f64) = (1e2, 1e8);
+/// [`MemberRow::start_priority`] lies between these, whatever machines there are.
+const START_PRIORITY_BOUNDS: (f64, f64) = (1e2, 1e8);
 
 impl<S: OperatorSource + RowStore> SharedSource<S> {
     /// Becomes one of the instances, with growing pauses while the store does not answer.
-    pub(super) async fn join_paced(&self) -> Result<(), SourceError> {
-        let due = self.members.plan.lock().store_due();
+    pub(super) async fn join_with_backoff(&self) -> Result<(), SourceError> {
+        let due = self.members.election.lock().next_store_call();
         if let Some(due) = due {
             time::sleep(due.saturating_duration_since(steady_clock::now())).await;
         }
         let joined = self.join().await;
-        let mut plan = self.members.plan.lock();
+        let mut election = self.members.election.lock();
         match joined {
-            Ok(()) => plan.joined(),
-            Err(_) => plan.store_failed(steady_clock::now()),
+            Ok(()) => election.record_joined(),
+            Err(_) => election.record_store_failure(steady_clock::now()),
         }
-        drop(plan);
+        drop(election);
         joined
     }
 
     /// Becomes one of the instances: reads who they are and the key that all trust, or founds both.
     pub(super) async fn join(&self) -> Result<(), SourceError> {
         if self.first_start {
-            time::sleep(first_start_pause(&self.members.own)).await;
+            time::sleep(first_start_delay(&self.members.own)).await;
         }
         let view = self.within(self.directory.read()).await?;
         let own = vec![self.members.own.clone()];
@@ -54,20 +54,20 @@
             }
             (None, _) => {
                 let authority = KeyAuthority::new().map(|authority| authority.private_key());
-                let authority = authority.map_err(|error| silent(error.to_string()))?;
+                let authority = authority.map_err(|error| silent_error(error.to_string()))?;
                 self.within(self.directory.write(view, own, &authority))
                     .await?
             }
         };
-        self.take_view(view, &[]);
+        self.apply_view(view, &[]);
         Ok(())
     }
 
     /// Reads the directory when it is time, and writes what has changed in the own zone. The first of a zone whose list comes
     /// from another zone does so when something has changed, those that read the store in a period as well.
     pub(super) async fn refresh(&self, now: Instant, in_period: bool) {
-        let silent = self.members.plan.lock().silent(now);
-        let Some(known) = self.take_refresh(now, in_period, !silent.is_empty()) else {
+        let silent = self.members.election.lock().silent_members(now);
+        let Some(known) = self.claim_refresh(now, in_period, !silent.is_empty()) else {
             return;
         };
         let view = match self.within(self.directory.read()).await {
@@ -77,7 +77,7 @@
                 return;
             }
         };
-        self.take_view(view.clone(), &silent);
+        self.apply_view(view.clone(), &silent);
         let members = self.members.zone_members();
         let listed = view.zones.get(&self.members.own.zone);
         let is_listed =
@@ -90,13 +90,13 @@
             .within(self.directory.write(view, members, &authority))
             .await
         {
-            Ok(view) => self.take_view(view, &silent),
+            Ok(view) => self.apply_view(view, &silent),
             Err(error) => tracing::info!(%error, "the directory can't be written"),
         }
     }
 
     /// Whether the directory is to be read now; if so, gives the key that is known, and the next time is set.
-    pub(super) fn take_refresh(
+    pub(super) fn claim_refresh(
         &self,
         now: Instant,
         in_period: bool,
@@ -113,19 +113,19 @@
         }
         let period = match is_listed {
             true => self.times.directory_period,
-            false => self.times.directory_settle,
+            false => self.times.directory_debounce,
         };
-        if now < join.tried + period {
+        if now < join.tried_at + period {
             return None;
         }
-        join.tried = now;
+        join.tried_at = now;
         join.view.authority.clone()
     }
 
     /// Takes a reading of the directory in.
-    pub(super) fn take_view(&self, view: DirectoryView, silent: &[InstanceId]) {
+    pub(super) fn apply_view(&self, view: DirectoryView, silent: &[InstanceId]) {
         let next = JoinState {
-            tried: steady_clock::now(),
+            tried_at: steady_clock::now(),
             view: view.clone(),
         };
         let before = self.join.lock().replace(next);
@@ -150,9 +150,9 @@
     }
 }
 
-/// How long one instance waits when the whole system starts for the first time.
-fn first_start_pause(own: &MemberRow) -> Duration {
-    let (least, most) = EARLINESS_BOUNDS;
-    let share = (own.earliness().clamp(least, most) / least).ln() / (most / least).ln();
+/// How long one instance waits when the last_full_request system starts for the first time.
+fn first_start_delay(own: &MemberRow) -> Duration {
+    let (least, most) = START_PRIORITY_BOUNDS;
+    let share = (own.start_priority().clamp(least, most) / least).ln() / (most / least).ln();
     FIRST_START_SPREAD.mul_f64(1.0 - share)
 }
--- /dev/null
+++ b/crates/spread/src/shared_source/requesting.rs
@@ -0,0 +1,211 @@
+//! How an instance asks another one for its next reading, and takes it in.
+
+use {
+    super::{RequestOutcome, SharedSource, silent_error},
+    crate::{
+        JournalPosition, ReadFailure, ReportOrigin, ReportUpdate, RequesterState, RoutesAge,
+        RoutesUpdate, SPREAD_TAG, SpreadReply, SpreadRequest, SpreadUpdate, TimedReply,
+    },
+    kernel::{InstanceId, steady_clock},
+    plat::RowStore,
+    relay::{OperatorSource, UpstreamReading},
+    std::time::{Duration, Instant},
+    tokio::time,
+};
+
+impl<S: OperatorSource + RowStore> SharedSource<S> {
+    /// Asks an instance for its next reading, as often as there are further parts of its list; each has the time limit.
+    pub(super) async fn request_update(
+        &self,
+        from: InstanceId,
+        is_immediate: bool,
+        limit: Duration,
+    ) -> RequestOutcome {
+        let mut is_immediate = is_immediate;
+        loop {
+            let end = self.request_once(from.clone(), is_immediate, limit).await;
+            if !matches!(end, RequestOutcome::Partial) {
+                return end;
+            }
+            is_immediate = true;
+        }
+    }
+
+    async fn request_once(
+        &self,
+        from: InstanceId,
+        is_immediate: bool,
+        limit: Duration,
+    ) -> RequestOutcome {
+        let request = self.build_request(&from, is_immediate);
+        let asked = steady_clock::now();
+        let asking = self.endpoint.call(&from, SPREAD_TAG, &request);
+        let answer = match time::timeout(limit, asking).await {
+            Ok(Ok(answer)) => Ok(answer),
+            Ok(Err(error)) => Err(error.to_string()),
+            Err(_) => Err("no answer in time".to_owned()),
+        };
+        let reply = answer.and_then(|answer| {
+            postcard::from_bytes::<TimedReply>(&answer).map_err(|error| error.to_string())
+        });
+        let now = steady_clock::now();
+        let TimedReply { held, reply } = match reply {
+            Ok(reply) => reply,
+            Err(detail) => {
+                self.note_no_answer(&from, &detail, now);
+                self.endpoint.forget(&from);
+                self.members.election.lock().record_no_answer(&from, now);
+                return RequestOutcome::NoAnswer(silent_error(detail));
+            }
+        };
+        self.counts.note_peer_read("answered");
+        let transit = now.saturating_duration_since(asked + held);
+        match reply {
+            SpreadReply::Update(update) => match self.apply_update(from, *update, transit) {
+                Some(reading) => RequestOutcome::Update(reading),
+                None => RequestOutcome::Partial,
+            },
+            SpreadReply::NoUpdate {
+                age,
+                reports,
+                routes,
+            } => {
+                self.apply_routes(*routes, transit, now);
+                self.apply_reports(&from, reports, now);
+                let mut election = self.members.election.lock();
+                let goes_on = election.record_no_update(&from, age, now);
+                drop(election);
+                let error = silent_error(format!("{from} has no update"));
+                if goes_on {
+                    return RequestOutcome::NoAnswer(error);
+                }
+                self.record_failure(ReadFailure::NoUpdate);
+                RequestOutcome::NoUpdate(error)
+            }
+        }
+    }
+
+    /// Counts and logs that an instance gave no answer, with how long it was waited for.
+    fn note_no_answer(&self, from: &InstanceId, detail: &str, now: Instant) {
+        self.counts.note_peer_read("failed");
+        let election = self.members.election.lock();
+        tracing::info!(
+            reader = %from,
+            detail,
+            questions = election.pending_attempts(from),
+            waited_ms = election.waited(from, now).as_millis() as u64,
+            "no reading from another instance"
+        );
+    }
+
+    pub(super) fn build_request(&self, to: &InstanceId, is_immediate: bool) -> Vec<u8> {
+        let election = self.members.election.lock();
+        let RequesterState {
+            has_skipped_readers,
+            reads_store,
+        } = election.requester_state(steady_clock::now());
+        let is_refused = election.is_refused();
+        let waited = election.waited(to, steady_clock::now());
+        let update_age = election.update_age(steady_clock::now());
+        drop(election);
+        let mirror = self.mirror.lock();
+        let (list, list_digests) = mirror.known_state(to);
+        drop(mirror);
+        let reports_position = self.reports_position(to);
+        let state = self.members.state.borrow();
+        let request = SpreadRequest {
+            is_immediate,
+            routes: state.routes.as_ref().map(|(book, _)| book.version),
+            member: self.members.own.clone(),
+            is_refused,
+            list,
+            list_digests,
+            members: state.members_digest(),
+            update_age,
+            has_skipped_readers,
+            reads_store,
+            reports: state.reports.to_forward(steady_clock::now()),
+            reports_position,
+            waited,
+        };
+        // Texts, numbers and addresses always have a binary form.
+        postcard::to_stdvec(&request).unwrap_or_default()
+    }
+
+    /// Takes a reading of another instance in; none while parts of its list are still to come. Routes and members count at once.
+    pub(super) fn apply_update(
+        &self,
+        from: InstanceId,
+        update: SpreadUpdate,
+        transit: Duration,
+    ) -> Option<UpstreamReading> {
+        let now = steady_clock::now();
+        let read = update.read_at(transit, now);
+        if let Some(members) = update.members {
+            self.members.replace(members);
+        }
+        self.apply_reports(&from, update.reports, now);
+        let mut mirror = self.mirror.lock();
+        if !mirror.apply(from.clone(), update.list, update.position) {
+            drop(mirror);
+            self.members.election.lock().record_partial_update(&from);
+            self.apply_routes(update.routes, transit, now);
+            return None;
+        }
+        let records = mirror.records();
+        let digest = mirror.digest().clone();
+        drop(mirror);
+        let mut election = self.members.election.lock();
+        election.record_update(&from, read);
+        if let Some(age) = update.refused {
+            election.record_reader_refused(&from, age, now);
+        }
+        drop(election);
+        let reading = UpstreamReading {
+            as_of: Some(read),
+            faults: Vec::new(),
+            passed_on: true,
+            records,
+            version: update.version,
+            waited: true,
+        };
+        self.members
+            .state
+            .send_modify(|state| state.apply_peer_list(&reading, read, &digest));
+        self.apply_routes(update.routes, transit, now);
+        Some(reading)
+    }
+
+    /// Takes routes of another instance in; what it tells of their age is older by its transit.
+    fn apply_routes(&self, routes: RoutesUpdate, transit: Duration, now: Instant) {
+        let RoutesUpdate { age, copy } = routes;
+        if age.is_none() && copy.is_none() {
+            return;
+        }
+        self.members.state.send_modify(|state| {
+            if let Some((book, version)) = copy {
+                state.apply_routes(book.into_book(), version, None);
+            }
+            let Some(RoutesAge { age, version }) = age else {
+                return;
+            };
+            if let Some(as_of) = now.checked_sub(age + transit) {
+                state.note_current_routes(version, as_of);
+                self.freshness.note(version, as_of);
+            }
+        });
+    }
+
+    pub(super) fn reports_position(&self, of: &InstanceId) -> Option<JournalPosition> {
+        let known = self.report_position.lock();
+        let (from, mark) = known.as_ref()?;
+        (from == of).then_some(*mark)
+    }
+
+    /// Takes reports of the instance that was asked in.
+    pub(super) fn apply_reports(&self, from: &InstanceId, update: ReportUpdate, now: Instant) {
+        *self.report_position.lock() = Some((from.clone(), update.position));
+        self.members
+            .merge_reports(&update.reports, ReportOrigin::Instance, now);
+    }
+}
--- a/crates/spread/src/shared_source/passing.rs
+++ b/crates/spread/src/shared_source/route_sharing.rs
@@ -11,14 +11,17 @@
 
 impl<S: OperatorSource + RowStore> SharedSource<S> {
     /// Waits for routes that another instance has read, or until this one reads the store itself.
-    pub(super) async fn await_passed(&self, after: StoreVersion, wait: Duration) -> BookNews {
+    pub(super) async fn wait_for_routes(&self, after: StoreVersion, wait: Duration) -> BookNews {
         let mut state = self.members.state.subscribe();
-        let is_over = |state: &SpreadState| state.reads_store || state.book_after(after).is_some();
+        let is_over =
+            |state: &SpreadState| state.reads_store || state.routes_after(after).is_some();
         let waiting = time::timeout(wait, state.wait_for(is_over)).await;
         let Ok(Ok(state)) = waiting else {
             return BookNews::Unchanged(after, None);
         };
-        let newer = state.book_after(after).and_then(|_| state.book_reading());
+        let newer = state
+            .routes_after(after)
+            .and_then(|_| state.routes_reading());
         match newer {
             Some(reading) => BookNews::Changed(Box::new(reading)),
             None => BookNews::Unchanged(after, None),
@@ -26,31 +29,31 @@
     }
 
     /// The routes that are known already, while another instance reads for this one.
-    pub(super) fn passed_book(&self) -> Option<BookReading> {
+    pub(super) fn peer_routes(&self) -> Option<BookReading> {
         let state = self.members.state.borrow();
-        state.book_reading().filter(|_| !state.reads_store)
+        state.routes_reading().filter(|_| !state.reads_store)
     }
 
     /// Keeps routes that the store gave, to pass them on.
-    pub(super) fn keep_book(&self, reading: &BookReading) {
+    pub(super) fn keep_routes(&self, reading: &BookReading) {
         let Some(book) = reading.book.clone() else {
             return;
         };
         self.members
             .state
-            .send_modify(|state| state.take_book(book, reading.version, reading.as_of));
+            .send_modify(|state| state.apply_routes(book, reading.version, reading.as_of));
     }
 
     /// The routes that are known were the newest at a moment. It goes along with the next reading, unless they were not known to
     /// be for long.
     pub(super) fn note_unchanged(&self, as_of: Instant) {
         self.members.state.send_if_modified(|state| {
-            let version = state.book.as_ref().map(|(book, _)| book.version);
-            let before = state.news_count;
+            let version = state.routes.as_ref().map(|(book, _)| book.version);
+            let before = state.update_count;
             if let Some(version) = version {
-                state.note_newest(version, as_of);
+                state.note_current_routes(version, as_of);
             }
-            state.news_count > before
+            state.update_count > before
         });
     }
 }
--- a/crates/spread/src/spread_server.rs
+++ b/crates/spread/src/spread_server.rs
@@ -2,7 +2,8 @@
 
 use {
     crate::{
-        AskerState, HeldReply, MemberBoard, ReportOrigin, SpreadRequest, SpreadState, SpreadTimes,
+        MemberRegistry, ReportOrigin, RequesterState, SpreadRequest, SpreadState, SpreadTimes,
+        TimedReply,
     },
     bytes::Bytes,
     kernel::{WorkerPool, steady_clock},
@@ -23,7 +24,7 @@
     /// Rung when what this instance does next changes by a call.
     pub changed: Arc<Notify>,
     /// The instances; learns of each asker.
-    pub members: MemberBoard,
+    pub members: MemberRegistry,
     /// Runs one task a call.
     pub pool: WorkerPool,
     /// How long a call is held.
@@ -39,9 +40,9 @@
                 continue;
             };
             let request = match postcard::from_bytes::<SpreadRequest>(&body) {
-                Ok(request) if request.card.instance == from.instance => request,
+                Ok(request) if request.member.instance == from.instance => request,
                 Ok(request) => {
-                    tracing::warn!(instance = %from.instance, card = %request.card.instance, "an instance asks as another one");
+                    tracing::warn!(instance = %from.instance, card = %request.member.instance, "an instance asks as another one");
                     continue;
                 }
                 Err(error) => {
@@ -49,28 +50,28 @@
                     continue;
                 }
             };
-            self.take(request, reply);
+            self.handle(request, reply);
         }
     }
 
-    fn take(&self, request: SpreadRequest, reply: CallReply) {
-        self.members.add(&request.card);
+    fn handle(&self, request: SpreadRequest, reply: CallReply) {
+        self.members.add(&request.member);
         let now = steady_clock::now();
         if self
             .members
-            .learn(&request.reports, ReportOrigin::Instance, now)
+            .merge_reports(&request.reports, ReportOrigin::Instance, now)
         {
             self.changed.notify_one();
         }
-        let asker = AskerState {
-            passed_over: request.passed_over,
-            reads: request.reads,
+        let asker = RequesterState {
+            has_skipped_readers: request.has_skipped_readers,
+            reads_store: request.reads_store,
         };
-        let mut plan = self.members.plan.lock();
-        if plan.asked(&request.card, asker, steady_clock::now()) {
+        let mut election = self.members.election.lock();
+        if election.record_request(&request.member, asker, steady_clock::now()) {
             self.changed.notify_one();
         }
-        drop(plan);
+        drop(election);
         let state = self.members.state.subscribe();
         let times = self.times;
         self.pool.spawn(async move {
@@ -90,18 +91,19 @@
 ) -> Option<Bytes> {
     let mut state = state;
     let began = steady_clock::now();
-    let before = state.borrow().news_count;
-    let is_news = |state: &SpreadState| state.has_news(request, before, times, steady_clock::now());
-    let hold = times.answer_hold.saturating_sub(request.waited);
+    let before = state.borrow().update_count;
+    let is_news =
+        |state: &SpreadState| state.has_updates(request, before, times, steady_clock::now());
+    let hold = times.max_hold.saturating_sub(request.waited);
     let waiting = time::timeout(hold, state.wait_for(is_news)).await;
     if let Ok(Err(_)) = waiting {
         return None;
     }
     drop(waiting);
     let now = steady_clock::now();
-    let reply = HeldReply {
+    let reply = TimedReply {
         held: now.saturating_duration_since(began),
-        reply: state.borrow().answer(request, times.stale, now),
+        reply: state.borrow().answer(request, times.max_staleness, now),
     };
     // Texts, numbers and times always have a binary form.
     Some(Bytes::from(postcard::to_stdvec(&reply).ok()?))
--- a/crates/spread/src/store_probe.rs
+++ b/crates/spread/src/store_probe.rs
@@ -9,11 +9,11 @@
 };
 
 /// The pause after the first failure; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(300);
 /// The longest pause: the store's return is noticed within this and its jitter, which is in the bound on configuration.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// The share of a pause by which instances that failed together are spread.
-const JITTER: f64 = 0.3;
+const JITTER_FRACTION: f64 = 0.3;
 /// The seed of the jitter.
 const JITTER_SEED: u64 = 6;
 
@@ -30,18 +30,18 @@
 
 impl StoreProbe {
     /// A call failed.
-    pub fn fail(&mut self, now: Instant) {
-        let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
+    pub fn record_failure(&mut self, now: Instant) {
+        let doubled = INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures.min(8));
         self.failures += 1;
         self.failed = Some(now);
         let key = format!("{} {}", self.own, self.failures);
         let draw = seeded_rng::mix(JITTER_SEED, key.as_bytes()) as f64 / u64::MAX as f64;
-        let pause = doubled.min(LONGEST_PAUSE);
-        self.due = Some(now + pause.mul_f64(1.0 - JITTER * draw));
+        let pause = doubled.min(MAX_BACKOFF);
+        self.due = Some(now + pause.mul_f64(1.0 - JITTER_FRACTION * draw));
     }
 
     /// The store answered another instance a reading that began at a moment: an outage before it is over.
-    pub fn note_answer_to_others(&mut self, began: Instant) {
+    pub fn record_peer_success(&mut self, began: Instant) {
         if self.failed.is_some_and(|failed| began > failed) {
             self.failures = 0;
         }
@@ -69,12 +69,12 @@
     }
 
     /// When the next call is due; none for at once.
-    pub fn next(&self) -> Option<Instant> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.due
     }
 
     /// A call that began at a moment was answered.
-    pub fn succeed(&mut self, began: Instant) {
+    pub fn record_success(&mut self, began: Instant) {
         self.failures = 0;
         self.due = Some(began + self.period);
     }
--- a/crates/spread/src/use_server.rs
+++ b/crates/spread/src/usage_server.rs
@@ -1,7 +1,7 @@
 //! Takes what other instances tell of their customers' use.
 
 use {
-    crate::{MemberBoard, UseCall, UseReply, UseSums, use_message::FULL_REACH},
+    crate::{MemberRegistry, UsageReply, UsageRequest, UsageSummary, usage_message::FULL_REACH},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, steady_clock},
     peer::{PeerIdentity, PeerIncoming, ProtocolTag},
     policy::{UseLedger, UseTeller, UseTotals},
@@ -11,28 +11,28 @@
 };
 
 /// Calls about use.
-pub const USE_TAG: ProtocolTag = 0x41;
+pub const USAGE_TAG: ProtocolTag = 0x41;
 
 /// The sums of one instance, and what they are made of. Clones share them.
 #[derive(Clone, Debug)]
-pub struct UseBoard {
+pub struct UsageServer {
     /// Whom this instance tells; none while it is the first of its zone.
-    pub first: Arc<RankedLock<Option<InstanceId>>>,
+    pub aggregator: Arc<RankedLock<Option<InstanceId>>>,
     /// What was told.
     pub ledger: Arc<RankedLock<UseLedger>>,
     /// This life of the instance.
     pub life: Incarnation,
     /// The instances.
-    pub members: MemberBoard,
+    pub members: MemberRegistry,
     /// The quotas.
     pub quotas: QuotaDesk,
 }
 
-impl UseBoard {
+impl UsageServer {
     /// A board that was told nothing.
-    pub fn new(life: Incarnation, members: MemberBoard, quotas: QuotaDesk) -> Self {
+    pub fn new(life: Incarnation, members: MemberRegistry, quotas: QuotaDesk) -> Self {
         Self {
-            first: Arc::new(RankedLock::new(LockRank::Samples, None)),
+            aggregator: Arc::new(RankedLock::new(LockRank::Samples, None)),
             ledger: Arc::new(RankedLock::new(LockRank::Readings, UseLedger::default())),
             life,
             members,
@@ -41,14 +41,14 @@
     }
 
     /// What the instance itself has used.
-    pub fn own(&self) -> UseTotals {
+    pub fn own_totals(&self) -> UseTotals {
         let table = self.quotas.table.lock();
         let own = table.own().map(|(customer, own)| (customer.clone(), own));
         own.collect()
     }
 
     /// What is in the buckets that are low.
-    pub fn rooms(&self) -> UseTotals {
+    pub fn low_bucket_levels(&self) -> UseTotals {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
         table.low_rooms(now)
@@ -61,7 +61,7 @@
             let PeerIncoming::Call { body, from, reply } = incoming else {
                 continue;
             };
-            let call = match postcard::from_bytes::<UseCall>(&body) {
+            let call = match postcard::from_bytes::<UsageRequest>(&body) {
                 Ok(call) => call,
                 Err(error) => {
                     tracing::warn!(instance = %from.instance, %error, "a call about use can't be read");
@@ -76,18 +76,21 @@
         }
     }
 
-    fn answer(&self, from: PeerIdentity, call: &UseCall) -> UseReply {
+    fn answer(&self, from: PeerIdentity, call: &UsageRequest) -> UsageReply {
         let now = steady_clock::now();
-        let first = self.first.lock().clone();
+        let first = self.aggregator.lock().clone();
         if let Some(first) = first.filter(|_| call.zone.is_some()) {
-            return UseReply::Ask(first);
+            return UsageReply::Redirect(first);
         }
         let teller = UseTeller {
             instance: from.instance,
             life: from.incarnation,
         };
-        self.quotas.table.lock().note_rooms(&call.rooms, now);
-        let own = self.own();
+        self.quotas
+            .table
+            .lock()
+            .note_rooms(&call.bucket_levels, now);
+        let own = self.own_totals();
         let mut ledger = self.ledger.lock();
         let totals = match &call.zone {
             Some(zone) => {
@@ -107,21 +110,21 @@
         let assumed = ledger.assumed_of(told);
         let all_assumed = ledger.assumed_of(totals.keys());
         drop(ledger);
-        // The rooms that go back are those after what was told.
+        // The bucket_levels that go back are those after what was told.
         let mut table = self.quotas.table.lock();
         table.note_others(&others, &assumed, now);
         drop(table);
-        UseReply::Sums(self.sums(call, totals, &all_assumed))
+        UsageReply::Summary(self.summary(call, totals, &all_assumed))
     }
 
-    fn sums(&self, call: &UseCall, totals: UseTotals, assumed: &UseTotals) -> UseSums {
+    fn summary(&self, call: &UsageRequest, totals: UseTotals, assumed: &UseTotals) -> UsageSummary {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
-        let mut sums = UseSums {
+        let mut summary = UsageSummary {
             is_settled: table.is_settled(now),
             life: self.life,
             reach: (table.reach() * FULL_REACH) as u8,
-            ..UseSums::default()
+            ..UsageSummary::default()
         };
         let mut is_pressed = false;
         for row in &call.rows {
@@ -129,25 +132,25 @@
         }
         for (customer, total) in totals {
             if call
-                .wanted
+                .customers
                 .as_ref()
-                .is_some_and(|wanted| !wanted.contains(&customer))
+                .is_some_and(|customers| !customers.contains(&customer))
             {
                 continue;
             }
             if let Some(room) = table.told_room(&customer, now) {
-                sums.rooms.insert(customer.clone(), room as i64);
+                summary.bucket_levels.insert(customer.clone(), room as i64);
             }
             if let Some(assumed) = assumed.get(&customer).filter(|assumed| **assumed != 0) {
-                sums.assumed.insert(customer.clone(), *assumed);
+                summary.assumed.insert(customer.clone(), *assumed);
             }
-            sums.totals.insert(customer, total);
+            summary.totals.insert(customer, total);
         }
         drop(table);
         if is_pressed {
             // Others are to know soon as well.
             self.quotas.pressed.notify_one();
         }
-        sums
+        summary
     }
 }
--- a/crates/spread/tests/fleet_fuzz.rs
+++ b/crates/spread/tests/fleet_fuzz.rs
@@ -14,7 +14,7 @@
 const ZONES: usize = 3;
 const EACH: usize = 20;
 /// Calls to the store that a zone makes in any second, at most: the reader's own in its period, one probe, the tries of
-/// early readers and of deputies. The start of all adds one question each to the directory, which the model has not.
+/// early readers and of standbys. The start of all adds one question each to the directory, which the model has not.
 const CALLS_A_ZONE_AND_SECOND: usize = 12;
 /// How old the news of an instance may be that the store answers: an edit has to be in force after 2 s, and a reading of the
 /// routes follows that of the list.
@@ -114,7 +114,7 @@
             model.run(Duration::from_millis(100));
             oldest = oldest.max(model.oldest_news());
         }
-        // An upstream that leaves gets no new work after two seconds; each further reader that is refused costs a deputy's
+        // An upstream that leaves gets no new work after two seconds; each further reader that is refused costs a standby's
         // turn.
         let most = Duration::from_millis(1_500) + Duration::from_millis(500) * refused as u32;
         assert!(oldest < most, "{refused}: {oldest:?}");
@@ -376,7 +376,7 @@
     assert!(most <= CALLS_A_ZONE_AND_SECOND, "{most} calls in a second");
 }
 
-/// A deputy goes back to its reader, which has newer news: it does not wait for the next ones.
+/// A standby goes back to its reader, which has newer news: it does not wait for the next ones.
 #[test]
 fn newer_news_are_not_held_back() {
     let mut model = calm();
--- a/crates/spread/tests/fleet_model/mod.rs
+++ b/crates/spread/tests/fleet_model/mod.rs
@@ -7,9 +7,9 @@
     policy::{AgedReport, CrashMark, CrashReport, FingerprintParts, RequestFingerprint},
     relay::{RouteBook, UpstreamReading},
     spread::{
-        AskerState, ListDigest, MemberRow, ReadFailure, ReadStep, ReaderPlan, ReadingMark,
-        ReportJournal, ReportNews, ReportOrigin, SpreadReply, SpreadRequest, SpreadState,
-        SpreadTimes,
+        JournalPosition, ListDigest, MemberRow, ReadFailure, ReadStep, ReaderElection,
+        ReportJournal, ReportOrigin, ReportUpdate, RequesterState, SpreadReply, SpreadRequest,
+        SpreadState, SpreadTimes,
     },
     std::{
         collections::VecDeque,
@@ -25,7 +25,7 @@
 /// The pause of the driver after an error.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
 /// The pause of the driver after an instance that has no news, unless the turn of the asker comes sooner.
-const NO_NEWS_PAUSE: Duration = Duration::from_millis(300);
+const NO_UPDATE_DELAY: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreMode {
@@ -78,14 +78,14 @@
 #[derive(Debug)]
 struct Question {
     arrived: Option<u64>,
-    at_once: bool,
+    is_immediate: bool,
     began: Instant,
     is_refused: bool,
     limit: Duration,
-    news_age: Option<Duration>,
+    update_age: Option<Duration>,
     reports: Vec<AgedReport>,
-    reports_known: Option<ReadingMark>,
-    state: AskerState,
+    reports_position: Option<JournalPosition>,
+    state: RequesterState,
     /// Which life of which instance it went to.
     to: (usize, u32),
     /// When it ends without an answer, since it is this instance's turn.
@@ -102,22 +102,22 @@
     heard: u64,
     is_woken: bool,
     life: u32,
-    plan: ReaderPlan,
+    election: ReaderElection,
     /// Whose reports it has, and up to where.
-    report_mark: Option<(InstanceId, ReadingMark)>,
+    report_position: Option<(InstanceId, JournalPosition)>,
     row: MemberRow,
     starts: Option<Instant>,
     state: SpreadState,
     store: (StoreMode, Instant),
     /// Up to where it has read the reports of the store.
-    store_mark: Option<ReadingMark>,
+    store_mark: Option<JournalPosition>,
     /// Reports that the store has not taken yet.
     unsent: Vec<AgedReport>,
     /// Since when it runs and the store answers it.
     well_since: Instant,
 }
 
-/// The whole.
+/// The last_full_request.
 #[derive(Debug)]
 pub struct FleetModel {
     /// When each call to the store was made, and by which zone.
@@ -142,7 +142,7 @@
         let now = Instant::now();
         let times = SpreadTimes::builder()
             .period(Duration::from_millis(900))
-            .read_limit(Duration::from_millis(700))
+            .read_timeout(Duration::from_millis(700))
             .build();
         let mut rows = Vec::new();
         for zone in 0..zones {
@@ -222,7 +222,7 @@
         let lasting: Vec<&CrashReport> = lasting.map(|(_, _, report)| report).collect();
         let living = self.nodes.iter().filter(|node| node.starts.is_none());
         let lacks = |node: &&Node| {
-            let known = node.state.reports.news_since(None, self.now).reports;
+            let known = node.state.reports.updates_since(None, self.now).reports;
             let known: Vec<CrashReport> = known.into_iter().map(|aged| aged.report).collect();
             !lasting.iter().all(|report| known.contains(report))
         };
@@ -265,9 +265,10 @@
         rows.sort();
         let found = living.find(|node| {
             let row = &self.rows[*node];
-            let mut plan = ReaderPlan::new(row.instance.clone(), row.zone.clone(), self.times);
-            plan.set_members(&rows, self.now);
-            plan.choose(self.now) == ReadStep::Store
+            let mut election =
+                ReaderElection::new(row.instance.clone(), row.zone.clone(), self.times);
+            election.set_members(&rows, self.now);
+            election.choose(self.now) == ReadStep::ReadStore
         });
         found.unwrap_or(first)
     }
@@ -327,7 +328,7 @@
         let reports = [AgedReport::new(report)];
         node.state
             .reports
-            .take(&reports, ReportOrigin::Instance, self.now);
+            .apply(&reports, ReportOrigin::Instance, self.now);
         node.is_woken = true;
         node.unsent.extend(reports);
     }
@@ -345,10 +346,10 @@
         let mut reports = std::mem::take(&mut node.unsent);
         if node.state.reads_store {
             let missing = node.state.reports.unstored(now);
-            node.state.reports.stored(&missing);
+            node.state.reports.mark_stored(&missing);
             reports.extend(missing.into_iter().map(AgedReport::new));
         }
-        self.store.take(&reports, ReportOrigin::Instance, now);
+        self.store.apply(&reports, ReportOrigin::Instance, now);
     }
 
     fn kill(&mut self, node: usize, down: Duration) {
@@ -402,9 +403,9 @@
     fn begin(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        match node.plan.choose(now) {
-            ReadStep::Ask {
-                at_once,
+        match node.election.choose(now) {
+            ReadStep::AskPeer {
+                is_immediate,
                 from,
                 limit,
                 turn,
@@ -417,28 +418,28 @@
                 let life = self.nodes[to].life;
                 self.questions += 1;
                 let node = &mut self.nodes[index];
-                let known = node.report_mark.as_ref();
+                let known = node.report_position.as_ref();
                 let known = known.filter(|(of, _)| *of == from).map(|(_, mark)| *mark);
                 node.doing = Doing::Asking(Question {
                     arrived: None,
-                    at_once,
+                    is_immediate,
                     began: now,
-                    is_refused: node.plan.is_refused(),
+                    is_refused: node.election.is_refused(),
                     limit,
-                    news_age: node.plan.news_age(now),
-                    reports: node.state.reports.to_tell(now),
-                    reports_known: known,
-                    state: node.plan.state(now),
+                    update_age: node.election.update_age(now),
+                    reports: node.state.reports.to_forward(now),
+                    reports_position: known,
+                    state: node.election.requester_state(now),
                     to: (to, life),
                     turn,
-                    waited: node.plan.waited(&from, now),
+                    waited: node.election.waited(&from, now),
                 });
             }
-            ReadStep::Pause(_) if std::mem::take(&mut node.failed) => {
+            ReadStep::Wait(_) if std::mem::take(&mut node.failed) => {
                 node.doing = Doing::Resting(now + ERROR_PAUSE);
             }
-            ReadStep::Pause(until) => node.doing = Doing::Pausing(until),
-            ReadStep::Store => self.begin_reading(index),
+            ReadStep::Wait(until) => node.doing = Doing::Pausing(until),
+            ReadStep::ReadStore => self.begin_reading(index),
         }
     }
 
@@ -458,7 +459,7 @@
         let (took, is_read) = match mode {
             StoreMode::Refuses => (TICK, false),
             StoreMode::Serves => (TICK, true),
-            StoreMode::Silent => (self.times.read_limit, false),
+            StoreMode::Silent => (self.times.read_timeout, false),
             StoreMode::Slow => (Duration::from_millis(240), true),
         };
         node.doing = Doing::Reading {
@@ -473,29 +474,29 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         if !is_read {
-            node.plan.store_failed(now);
-            let failure = match now >= began + self.times.read_limit {
-                true => ReadFailure::Late,
+            node.election.record_store_failure(now);
+            let failure = match now >= began + self.times.read_timeout {
+                true => ReadFailure::TimedOut,
                 false => ReadFailure::Refused,
             };
-            node.state.note_failure(failure, now);
+            node.state.record_failure(failure, now);
             node.failed = true;
             return;
         }
         node.failed = false;
-        node.plan.store_read(began);
+        node.election.record_store_read(began);
         let reading = UpstreamReading {
             version,
             ..UpstreamReading::default()
         };
-        node.state.take_list(&reading, began);
-        let news = self.store.news_since(node.store_mark, now);
-        node.store_mark = Some(news.mark);
+        node.state.apply_store_list(&reading, began);
+        let news = self.store.updates_since(node.store_mark, now);
+        node.store_mark = Some(news.position);
         node.state
             .reports
-            .take(&news.reports, ReportOrigin::Store, now);
-        node.state.take_book(RouteBook::default(), version, None);
-        node.hear(version);
+            .apply(&news.reports, ReportOrigin::Store, now);
+        node.state.apply_routes(RouteBook::default(), version, None);
+        node.set_version(version);
     }
 
     fn wait_answer(&mut self, index: usize, question: Question) {
@@ -515,13 +516,13 @@
         let node = &mut self.nodes[index];
         let from = &self.rows[to].instance;
         match reply {
-            Some(SpreadReply::News(news)) => {
+            Some(SpreadReply::Update(news)) => {
                 let read = now - news.age;
-                node.take_reports(from, &news.reports, now);
+                node.apply_reports(from, &news.reports, now);
                 node.failed = false;
-                node.plan.answered(from, read);
+                node.election.record_update(from, read);
                 if let Some(age) = news.refused {
-                    node.plan.reader_refused(from, age, now);
+                    node.election.record_reader_refused(from, age, now);
                 }
                 let reading = UpstreamReading {
                     version: news.version,
@@ -529,28 +530,28 @@
                 };
                 // The model has no upstreams.
                 node.state
-                    .take_passed(&reading, read, &ListDigest::default());
+                    .apply_peer_list(&reading, read, &ListDigest::default());
                 node.state
-                    .take_book(RouteBook::default(), news.version, None);
+                    .apply_routes(RouteBook::default(), news.version, None);
                 // An older reading than the one before is not taken.
                 if news.version >= node.heard {
-                    node.hear(news.version);
+                    node.set_version(news.version);
                 }
-                if node.plan.is_stale(now) {
-                    node.doing = Doing::Resting(rest_end(now, question.turn));
+                if node.election.is_stale(now) {
+                    node.doing = Doing::Resting(cooldown_end(now, question.turn));
                 }
             }
-            Some(SpreadReply::Unreadable { age, reports, .. }) => {
-                node.take_reports(from, &reports, now);
-                if node.plan.unreadable(from, age, now) {
+            Some(SpreadReply::NoUpdate { age, reports, .. }) => {
+                node.apply_reports(from, &reports, now);
+                if node.election.record_no_update(from, age, now) {
                     node.failed = true;
                     return;
                 }
-                node.state.note_failure(ReadFailure::NoNews, now);
-                node.doing = Doing::Resting(rest_end(now, question.turn));
+                node.state.record_failure(ReadFailure::NoUpdate, now);
+                node.doing = Doing::Resting(cooldown_end(now, question.turn));
             }
             None if now >= question.began + question.limit => {
-                node.plan.failed(from, now);
+                node.election.record_no_answer(from, now);
                 node.failed = true;
             }
             None => node.doing = Doing::Asking(question),
@@ -563,40 +564,40 @@
         let card = self.rows[index].clone();
         let node = &mut self.nodes[question.to.0];
         let before = *question.arrived.get_or_insert_with(|| {
-            node.is_woken |= node.plan.asked(&card, question.state, now);
-            node.state.news_count
+            node.is_woken |= node.election.record_request(&card, question.state, now);
+            node.state.update_count
         });
         let request = SpreadRequest {
-            at_once: question.at_once,
-            book: Some(0),
-            card,
+            is_immediate: question.is_immediate,
+            routes: Some(0),
+            member: card,
             is_refused: question.is_refused,
             list: None,
             list_digests: Vec::new(),
             members: 0,
-            news_age: question.news_age,
-            passed_over: question.state.passed_over,
-            reads: question.state.reads,
+            update_age: question.update_age,
+            has_skipped_readers: question.state.has_skipped_readers,
+            reads_store: question.state.reads_store,
             reports: question.reports.clone(),
-            reports_known: question.reports_known,
+            reports_position: question.reports_position,
             waited: question.waited,
         };
         node.is_woken |= node
             .state
             .reports
-            .take(&request.reports, ReportOrigin::Instance, now);
-        let hold = self.times.answer_hold.saturating_sub(question.waited);
+            .apply(&request.reports, ReportOrigin::Instance, now);
+        let hold = self.times.max_hold.saturating_sub(question.waited);
         let is_held = now < question.began + hold;
-        if is_held && !node.state.has_news(&request, before, &self.times, now) {
+        if is_held && !node.state.has_updates(&request, before, &self.times, now) {
             return None;
         }
-        Some(node.state.answer(&request, self.times.stale, now))
+        Some(node.state.answer(&request, self.times.max_staleness, now))
     }
 }
 
 /// Until when an instance rests after one without news, or with old ones.
-fn rest_end(now: Instant, turn: Option<Instant>) -> Instant {
-    let end = now + NO_NEWS_PAUSE;
+fn cooldown_end(now: Instant, turn: Option<Instant>) -> Instant {
+    let end = now + NO_UPDATE_DELAY;
     turn.map_or(end, |turn| turn.min(end))
 }
 
@@ -608,8 +609,8 @@
         now: Instant,
         life: u32,
     ) -> Self {
-        let mut plan = ReaderPlan::new(row.instance.clone(), row.zone.clone(), times);
-        plan.set_members(rows, now);
+        let mut election = ReaderElection::new(row.instance.clone(), row.zone.clone(), times);
+        election.set_members(rows, now);
         Self {
             doing: Doing::Idle,
             failed: false,
@@ -617,8 +618,8 @@
             heard: 0,
             is_woken: false,
             life,
-            plan,
-            report_mark: None,
+            election,
+            report_position: None,
             row: row.clone(),
             starts: None,
             state: SpreadState::new(u64::from(life), row.zone.clone(), QUARANTINE),
@@ -629,14 +630,14 @@
         }
     }
 
-    fn take_reports(&mut self, from: &InstanceId, news: &ReportNews, now: Instant) {
-        self.report_mark = Some((from.clone(), news.mark));
+    fn apply_reports(&mut self, from: &InstanceId, news: &ReportUpdate, now: Instant) {
+        self.report_position = Some((from.clone(), news.position));
         self.state
             .reports
-            .take(&news.reports, ReportOrigin::Instance, now);
+            .apply(&news.reports, ReportOrigin::Instance, now);
     }
 
-    fn hear(&mut self, version: u64) {
+    fn set_version(&mut self, version: u64) {
         assert!(version >= self.heard, "{} goes back", self.row.instance);
         self.heard = version;
     }
--- a/crates/spread/tests/list_journal.rs
+++ b/crates/spread/tests/list_journal.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// The mirror asks until it has the whole list. Gives the parts that went over, each answer with its own.
+/// The mirror asks until it has the last_full_request list. Gives the parts that went over, each answer with its own.
 fn catch_up(
     mirror: &mut ListMirror,
     reader: &InstanceId,
@@ -31,12 +31,12 @@
 ) -> Vec<Vec<ListPart>> {
     let mut answers = Vec::new();
     loop {
-        let (mark, digests) = mirror.known_at(reader);
-        let change = journal.change_since(mark, &digests);
+        let (position, digests) = mirror.known_state(reader);
+        let change = journal.change_since(position, &digests);
         if let ListChange::Parts { parts, .. } = &change {
             answers.push(parts.clone());
         }
-        if mirror.apply(reader.clone(), change, journal.mark()) {
+        if mirror.apply(reader.clone(), change, journal.position()) {
             return answers;
         }
     }
@@ -98,12 +98,12 @@
                 Step::Read(states) => {
                     let there = states.iter().enumerate().filter(|(_, state)| **state > 0);
                     list = there.map(|(number, state)| record(number, *state == 2)).collect();
-                    journal.take(&list);
+                    journal.apply(&list);
                 }
                 Step::Restart => {
                     life += 1;
                     journal = ListJournal::new(life);
-                    journal.take(&list);
+                    journal.apply(&list);
                 }
             }
         }
@@ -113,11 +113,11 @@
 #[test]
 fn an_unchanged_list_costs_nothing() {
     let mut journal = ListJournal::new(1);
-    journal.take(&[record(1, false), record(2, false)]);
-    let mark = journal.mark();
-    journal.take(&[record(2, false), record(1, false)]);
-    assert_eq!(journal.mark(), mark);
-    let change = journal.change_since(Some(mark), &[]);
+    journal.apply(&[record(1, false), record(2, false)]);
+    let position = journal.position();
+    journal.apply(&[record(2, false), record(1, false)]);
+    assert_eq!(journal.position(), position);
+    let change = journal.change_since(Some(position), &[]);
     assert_eq!(
         change,
         ListChange::Changes {
@@ -132,16 +132,16 @@
     const ROUNDS: usize = 1_500;
     let mut journal = ListJournal::new(1);
     let kept = record(60_000, false);
-    journal.take(std::slice::from_ref(&kept));
+    journal.apply(std::slice::from_ref(&kept));
     let reader = InstanceId::from("reader-1");
     let mut mirror = ListMirror::default();
-    journal.take(&[kept.clone(), record(60_001, false)]);
+    journal.apply(&[kept.clone(), record(60_001, false)]);
     catch_up(&mut mirror, &reader, &journal);
     for number in 0..ROUNDS {
-        journal.take(&[kept.clone(), record(number, false)]);
+        journal.apply(&[kept.clone(), record(number, false)]);
     }
-    let late = journal.mark();
-    journal.take(std::slice::from_ref(&kept));
+    let late = journal.position();
+    journal.apply(std::slice::from_ref(&kept));
     assert!(!catch_up(&mut mirror, &reader, &journal).is_empty());
     assert_eq!(mirror.records(), [kept]);
     match journal.change_since(Some(late), &[]) {
@@ -156,10 +156,10 @@
     let reader = InstanceId::from("reader-1");
     let mut mirror = ListMirror::default();
     let mut journal = ListJournal::new(1);
-    journal.take(&[record(1, false), record(2, false)]);
+    journal.apply(&[record(1, false), record(2, false)]);
     catch_up(&mut mirror, &reader, &journal);
     let mut journal = ListJournal::new(2);
-    journal.take(&[record(1, false)]);
+    journal.apply(&[record(1, false)]);
     catch_up(&mut mirror, &reader, &journal);
     assert_eq!(mirror.records(), [record(1, false)]);
 }
@@ -169,9 +169,9 @@
     const LIFE: u64 = 7;
     let mut first = ListJournal::new(LIFE);
     let mut second = ListJournal::new(LIFE);
-    first.take(&[record(1, false)]);
-    second.take(&[record(1, true)]);
-    assert_eq!(first.mark(), second.mark());
+    first.apply(&[record(1, false)]);
+    second.apply(&[record(1, true)]);
+    assert_eq!(first.position(), second.position());
     let mut mirror = ListMirror::default();
     for (name, journal) in [("reader-1", &first), ("reader-2", &second)] {
         let reader = InstanceId::from(name);
@@ -180,14 +180,14 @@
     assert_eq!(mirror.records(), [record(1, true)]);
 }
 
-/// A zone of 100 instances whose reader ends, before 3,000 upstreams. Sent whole, the list is 165 KB for each of the others,
+/// A zone of 100 instances whose reader ends, before 3,000 upstreams. Sent last_full_request, the list is 165 KB for each of the others,
 /// and 16 MB for the one that takes the reader's place: 0.7 s on 200 Mbit/s, 13 s on 10. They wait 0.2 s for an answer, and
 /// each asks the next one then, which is as busy.
 #[test]
 fn whoever_takes_the_place_of_a_reader_sends_what_differs() {
     let mut records: Vec<_> = (0..3_000).map(|number| record(number, false)).collect();
     let mut first = ListJournal::new(1);
-    first.take(&records);
+    first.apply(&records);
     let mut mirror = ListMirror::default();
     catch_up(&mut mirror, &"reader-1".into(), &first);
     // The next one has read the list since, and three upstreams are leaving.
@@ -195,7 +195,7 @@
         records[number].leaving = true;
     }
     let mut second = ListJournal::new(2);
-    second.take(&records);
+    second.apply(&records);
     let answers = catch_up(&mut mirror, &"reader-2".into(), &second);
     assert_eq!(mirror.records().len(), 3_000);
     assert_eq!(sorted(mirror.records()), sorted(records));
@@ -215,7 +215,7 @@
 fn one_that_has_nothing_gets_the_list_in_small_answers() {
     let records: Vec<_> = (0..3_000).map(|number| record(number, false)).collect();
     let mut journal = ListJournal::new(1);
-    journal.take(&records);
+    journal.apply(&records);
     let mut mirror = ListMirror::default();
     let answers = catch_up(&mut mirror, &"reader-1".into(), &journal);
     assert_eq!(sorted(mirror.records()), sorted(records));
--- a/crates/spread/tests/reader_plan.rs
+++ b/crates/spread/tests/reader_plan.rs
@@ -3,7 +3,7 @@
 use {
     kernel::{InstanceId, ZoneId},
     proptest::{prelude::*, test_runner::RngSeed},
-    spread::{AskerState, MemberRow, ReadStep, ReaderPlan, SpreadTimes},
+    spread::{MemberRow, ReadStep, ReaderElection, RequesterState, SpreadTimes},
     std::time::{Duration, Instant},
 };
 
@@ -32,52 +32,52 @@
 fn times() -> SpreadTimes {
     let period = Duration::from_millis(900);
     let times = SpreadTimes::builder().period(period);
-    times.read_limit(Duration::from_millis(700)).build()
+    times.read_timeout(Duration::from_millis(700)).build()
 }
 
-fn plan(own: &InstanceId, members: &[InstanceId], now: Instant) -> ReaderPlan {
-    let mut plan = ReaderPlan::new(own.clone(), ZoneId::from("gijon"), times());
-    plan.set_members(&rows(members), now);
-    plan
+fn election(own: &InstanceId, members: &[InstanceId], now: Instant) -> ReaderElection {
+    let mut election = ReaderElection::new(own.clone(), ZoneId::from("gijon"), times());
+    election.set_members(&rows(members), now);
+    election
 }
 
-/// The plan of the one instance of a zone, and the name of the one of another zone.
-fn beside_another_zone(now: Instant) -> (ReaderPlan, InstanceId) {
+/// The election of the one instance of a zone, and the name of the one of another zone.
+fn beside_another_zone(now: Instant) -> (ReaderElection, InstanceId) {
     let own = InstanceId::from("front-1");
     let elsewhere = InstanceId::from("front-2");
-    let mut plan = ReaderPlan::new(own.clone(), ZoneId::from("gijon"), times());
+    let mut election = ReaderElection::new(own.clone(), ZoneId::from("gijon"), times());
     let other = MemberRow {
         zone: ZoneId::from("ferrol"),
         ..row(&elsewhere, 1)
     };
-    plan.set_members(&[row(&own, 1), other], now);
-    (plan, elsewhere)
+    election.set_members(&[row(&own, 1), other], now);
+    (election, elsewhere)
 }
 
 /// Whom an instance asks; none when it reads the store, or has read it just now.
-fn asked(plan: &mut ReaderPlan, now: Instant) -> Option<InstanceId> {
-    match plan.choose(now) {
-        ReadStep::Ask { from, .. } => Some(from),
-        ReadStep::Pause(_) | ReadStep::Store => None,
+fn asked(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
+    match election.choose(now) {
+        ReadStep::AskPeer { from, .. } => Some(from),
+        ReadStep::Wait(_) | ReadStep::ReadStore => None,
     }
 }
 
 /// The same, and what it reads from the store is there at once.
-fn turn(plan: &mut ReaderPlan, now: Instant) -> Option<InstanceId> {
-    let step = plan.choose(now);
-    if step == ReadStep::Store {
-        plan.store_read(now);
+fn turn(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
+    let step = election.choose(now);
+    if step == ReadStep::ReadStore {
+        election.record_store_read(now);
     }
     match step {
-        ReadStep::Ask { from, .. } => Some(from),
-        ReadStep::Pause(_) | ReadStep::Store => None,
+        ReadStep::AskPeer { from, .. } => Some(from),
+        ReadStep::Wait(_) | ReadStep::ReadStore => None,
     }
 }
 
 /// What one that gets no answer from those before it says.
-const IN_NEED: AskerState = AskerState {
-    passed_over: true,
-    reads: false,
+const IN_NEED: RequesterState = RequesterState {
+    has_skipped_readers: true,
+    reads_store: false,
 };
 
 #[test]
@@ -86,18 +86,18 @@
     let members = names(30);
     let mut readers = Vec::new();
     let mut reader_of = Vec::new();
-    let mut at_once = 0;
+    let mut readers_at_start = 0;
     for own in &members {
-        let mut plan = plan(own, &members, now);
-        if turn(&mut plan, now).is_none() {
-            at_once += 1;
+        let mut election = election(own, &members, now);
+        if turn(&mut election, now).is_none() {
+            readers_at_start += 1;
         }
-        match asked(&mut plan, now) {
+        match asked(&mut election, now) {
             Some(reader) => reader_of.push(reader),
             None => readers.push(own.clone()),
         }
     }
-    assert_eq!(at_once, 3, "so many read at their start");
+    assert_eq!(readers_at_start, 3, "so many read at their start");
     assert_eq!(readers.len(), 1);
     assert!(reader_of.iter().all(|reader| *reader == readers[0]));
 }
@@ -113,14 +113,14 @@
     let mut readers: Vec<InstanceId> = Vec::new();
     for zone in 0..ZONES {
         let zone = ZoneId::from(format!("zone-{zone}"));
-        let mut plan = ReaderPlan::new(members[1].clone(), zone.clone(), times());
+        let mut election = ReaderElection::new(members[1].clone(), zone.clone(), times());
         let ranked = members.iter().enumerate();
         let rows = ranked.map(|(index, name)| MemberRow {
             zone: zone.clone(),
             ..row(name, capacity(index))
         });
-        plan.set_members(&rows.collect::<Vec<_>>(), now);
-        readers.extend(asked(&mut plan, now));
+        election.set_members(&rows.collect::<Vec<_>>(), now);
+        readers.extend(asked(&mut election, now));
     }
     assert_eq!(readers.len(), ZONES, "a small one asks in each zone");
     for large in members.iter().step_by(10) {
@@ -135,8 +135,8 @@
 #[test]
 fn an_instance_that_knows_no_other_reads_for_itself() {
     let own = InstanceId::from("front-1");
-    let mut plan = ReaderPlan::new(own, ZoneId::from("gijon"), times());
-    assert_eq!(plan.choose(Instant::now()), ReadStep::Store);
+    let mut election = ReaderElection::new(own, ZoneId::from("gijon"), times());
+    assert_eq!(election.choose(Instant::now()), ReadStep::ReadStore);
 }
 
 #[test]
@@ -144,12 +144,12 @@
     let now = Instant::now();
     let members = names(9);
     for own in &members {
-        let mut unknown = plan(own, &members, now);
+        let mut unknown = election(own, &members, now);
         let before = unknown.choose(now);
         let others = members.iter().filter(|name| *name != own);
         unknown.set_members(&rows(&others.cloned().collect::<Vec<_>>()), now);
         match before {
-            ReadStep::Store => assert!(asked(&mut unknown, now).is_some()),
+            ReadStep::ReadStore => assert!(asked(&mut unknown, now).is_some()),
             before => assert_eq!(unknown.choose(now), before),
         }
     }
@@ -160,14 +160,14 @@
     let now = Instant::now();
     let members = names(3);
     let followers = members.iter().filter_map(|own| {
-        let mut plan = plan(own, &members, now);
-        asked(&mut plan, now).map(|reader| (plan, reader))
+        let mut election = election(own, &members, now);
+        asked(&mut election, now).map(|reader| (election, reader))
     });
-    for (mut plan, reader) in followers {
-        plan.failed(&reader, now);
-        assert_ne!(asked(&mut plan, now), Some(reader.clone()));
-        plan.store_read(now);
-        assert_eq!(asked(&mut plan, now + 6 * SECOND), Some(reader));
+    for (mut election, reader) in followers {
+        election.record_no_answer(&reader, now);
+        assert_ne!(asked(&mut election, now), Some(reader.clone()));
+        election.record_store_read(now);
+        assert_eq!(asked(&mut election, now + 6 * SECOND), Some(reader));
     }
 }
 
@@ -176,19 +176,28 @@
 fn a_question_in_place_of_another_has_what_is_left_of_its_time() {
     let now = Instant::now();
     let members = names(3);
-    let (mut plan, first, _) = second_of(&members, now);
-    plan.answered(&first, now);
-    let limit = |plan: &mut ReaderPlan, now: Instant| match plan.choose(now) {
-        ReadStep::Ask { from, limit, .. } if from == first => limit,
+    let (mut election, first, _) = second_of(&members, now);
+    election.record_update(&first, now);
+    let limit = |election: &mut ReaderElection, now: Instant| match election.choose(now) {
+        ReadStep::AskPeer { from, limit, .. } if from == first => limit,
         step => panic!("{step:?}"),
     };
-    let whole = limit(&mut plan, now);
+    let last_full_request = limit(&mut election, now);
     let pause = Duration::from_millis(500);
-    assert_eq!(limit(&mut plan, now + pause), whole - pause);
-    assert_eq!(limit(&mut plan, now + 2 * pause), whole - 2 * pause);
-    assert_eq!(limit(&mut plan, now + whole), Duration::ZERO);
-    plan.answered(&first, now + whole);
-    assert_eq!(limit(&mut plan, now + whole), whole);
+    assert_eq!(limit(&mut election, now + pause), last_full_request - pause);
+    assert_eq!(
+        limit(&mut election, now + 2 * pause),
+        last_full_request - 2 * pause
+    );
+    assert_eq!(
+        limit(&mut election, now + last_full_request),
+        Duration::ZERO
+    );
+    election.record_update(&first, now + last_full_request);
+    assert_eq!(
+        limit(&mut election, now + last_full_request),
+        last_full_request
+    );
 }
 
 #[test]
@@ -196,27 +205,27 @@
     let now = Instant::now();
     let members = names(3);
     for own in &members {
-        let mut plan = plan(own, &members, now);
-        let Some(reader) = asked(&mut plan, now) else {
+        let mut election = election(own, &members, now);
+        let Some(reader) = asked(&mut election, now) else {
             continue;
         };
         let other = members.iter().find(|name| *name != own && **name != reader);
         let other = row(other.unwrap(), 1);
         let is_before = {
-            let mut at_other = plan_without(&other.instance, &reader, &members, now);
+            let mut at_other = election_without(&other.instance, &reader, &members, now);
             asked(&mut at_other, now).as_ref() != Some(own)
         };
         if is_before {
             continue;
         }
-        assert!(!plan.asked(&other, AskerState::default(), now));
-        assert_eq!(asked(&mut plan, now), Some(reader.clone()));
-        assert!(plan.asked(&other, IN_NEED, now));
-        assert_eq!(plan.choose(now), ReadStep::Store);
-        plan.answered(&reader, now);
-        assert_eq!(asked(&mut plan, now), Some(reader.clone()));
-        assert_eq!(plan.choose(now + 2 * SECOND), ReadStep::Store);
-        assert_eq!(asked(&mut plan, now + 4 * SECOND), Some(reader));
+        assert!(!election.record_request(&other, RequesterState::default(), now));
+        assert_eq!(asked(&mut election, now), Some(reader.clone()));
+        assert!(election.record_request(&other, IN_NEED, now));
+        assert_eq!(election.choose(now), ReadStep::ReadStore);
+        election.record_update(&reader, now);
+        assert_eq!(asked(&mut election, now), Some(reader.clone()));
+        assert_eq!(election.choose(now + 2 * SECOND), ReadStep::ReadStore);
+        assert_eq!(asked(&mut election, now + 4 * SECOND), Some(reader));
     }
 }
 
@@ -225,22 +234,22 @@
     let now = Instant::now();
     let members = names(3);
     for own in &members {
-        let mut plan = plan(own, &members, now);
-        turn(&mut plan, now);
-        let is_reader = asked(&mut plan, now).is_none();
-        assert!(plan.silent(now + 12 * SECOND).is_empty());
+        let mut election = election(own, &members, now);
+        turn(&mut election, now);
+        let is_reader = asked(&mut election, now).is_none();
+        assert!(election.silent_members(now + 12 * SECOND).is_empty());
         let others: Vec<InstanceId> = members
             .iter()
             .filter(|name| *name != own)
             .cloned()
             .collect();
-        plan.asked(
+        election.record_request(
             &row(&others[0], 1),
-            AskerState::default(),
+            RequesterState::default(),
             now + 30 * SECOND,
         );
-        plan.choose(now + 16 * SECOND);
-        let silent = plan.silent(now + 16 * SECOND);
+        election.choose(now + 16 * SECOND);
+        let silent = election.silent_members(now + 16 * SECOND);
         match is_reader {
             true => assert_eq!(silent, [others[1].clone()]),
             false => assert!(silent.is_empty()),
@@ -248,35 +257,35 @@
     }
 }
 
-/// A plan whose first reader has answered, and then gives no answer.
-fn plan_without(
+/// A election whose first reader has answered, and then gives no answer.
+fn election_without(
     own: &InstanceId,
     first: &InstanceId,
     members: &[InstanceId],
     now: Instant,
-) -> ReaderPlan {
-    let mut plan = plan(own, members, now);
-    plan.answered(first, now);
-    plan.failed(first, now);
-    plan
+) -> ReaderElection {
+    let mut election = election(own, members, now);
+    election.record_update(first, now);
+    election.record_no_answer(first, now);
+    election
 }
 
-/// The plan of the second member to read, where the first has died, and the names of both.
-fn second_of(members: &[InstanceId], now: Instant) -> (ReaderPlan, InstanceId, InstanceId) {
-    let mut plans = members.iter().map(|own| plan(own, members, now));
-    let first = plans.position(|mut plan| asked(&mut plan, now).is_none());
+/// The election of the second member to read, where the first has died, and the names of both.
+fn second_of(members: &[InstanceId], now: Instant) -> (ReaderElection, InstanceId, InstanceId) {
+    let mut elections = members.iter().map(|own| election(own, members, now));
+    let first = elections.position(|mut election| asked(&mut election, now).is_none());
     let first = members[first.expect("one of them reads")].clone();
     for own in members.iter().filter(|own| **own != first) {
-        let plan = plan_without(own, &first, members, now);
+        let election = election_without(own, &first, members, now);
         let mut others = members
             .iter()
             .filter(|other| *other != own && **other != first);
         let is_second = others.all(|other| {
-            let mut at_other = plan_without(other, &first, members, now);
+            let mut at_other = election_without(other, &first, members, now);
             asked(&mut at_other, now).as_ref() == Some(own)
         });
         if is_second {
-            return (plan, first, own.clone());
+            return (election, first, own.clone());
         }
     }
     panic!("nobody reads in place of the first");
@@ -287,19 +296,19 @@
     let start = Instant::now();
     for is_asked in [false, true] {
         let members = names(3);
-        let (mut plan, first, own) = second_of(&members, start);
+        let (mut election, first, own) = second_of(&members, start);
         let third = members.iter().find(|name| **name != first && **name != own);
         let third = third.expect("one that asks");
         let mut removed = Vec::new();
         for second in 0..100 {
             let now = start + second * SECOND;
             if is_asked {
-                plan.asked(&row(third, 1), IN_NEED, now);
+                election.record_request(&row(third, 1), IN_NEED, now);
             }
-            if let Some(reader) = turn(&mut plan, now) {
-                plan.failed(&reader, now);
+            if let Some(reader) = turn(&mut election, now) {
+                election.record_no_answer(&reader, now);
             }
-            removed = plan.silent(now);
+            removed = election.silent_members(now);
         }
         assert!(removed.contains(&first), "asked by others: {is_asked}");
         assert_eq!(removed.contains(third), !is_asked);
@@ -310,16 +319,16 @@
 fn a_reader_that_answered_keeps_its_row_however_long_another_serves() {
     let start = Instant::now();
     let members = names(3);
-    let (mut plan, first, _) = second_of(&members, start);
+    let (mut election, first, _) = second_of(&members, start);
     for second in 0..100 {
         let now = start + second * SECOND;
         for other in members.iter().filter(|other| **other != first) {
-            plan.asked(&row(other, 1), IN_NEED, now);
+            election.record_request(&row(other, 1), IN_NEED, now);
         }
-        if let Some(reader) = turn(&mut plan, now) {
-            plan.answered(&reader, now);
+        if let Some(reader) = turn(&mut election, now) {
+            election.record_update(&reader, now);
         }
-        assert!(plan.silent(now).is_empty());
+        assert!(election.silent_members(now).is_empty());
     }
 }
 
@@ -329,17 +338,17 @@
     let start = Instant::now();
     let members = names(20);
     for own in &members {
-        let mut plan = plan(own, &members, start);
+        let mut election = election(own, &members, start);
         let mut in_vain = 0;
         for second in 0..SECONDS {
             let now = start + second * SECOND;
-            match plan.choose(now) {
-                ReadStep::Ask { from, .. } => {
-                    plan.failed(&from, now);
+            match election.choose(now) {
+                ReadStep::AskPeer { from, .. } => {
+                    election.record_no_answer(&from, now);
                     in_vain += u32::from(second >= SECONDS / 2);
                 }
-                ReadStep::Pause(_) => {}
-                ReadStep::Store => plan.store_read(now),
+                ReadStep::Wait(_) => {}
+                ReadStep::ReadStore => election.record_store_read(now),
             }
         }
         // At most the others once in the longest rest, which is a minute.
@@ -350,21 +359,21 @@
 #[test]
 fn a_reader_whose_store_fails_probes_it_ever_less_and_asks_other_zones_meanwhile() {
     let start = Instant::now();
-    let (mut plan, elsewhere) = beside_another_zone(start);
+    let (mut election, elsewhere) = beside_another_zone(start);
     let mut probes = 0;
     let mut passed = 0;
     let mut now = start;
     while now < start + 10 * SECOND {
-        match plan.choose(now) {
-            ReadStep::Ask { from, .. } => {
+        match election.choose(now) {
+            ReadStep::AskPeer { from, .. } => {
                 assert_eq!(from, elsewhere);
-                plan.answered(&from, now);
+                election.record_update(&from, now);
                 passed += 1;
                 now += times().period;
             }
-            ReadStep::Pause(until) => now = until,
-            ReadStep::Store => {
-                plan.store_failed(now);
+            ReadStep::Wait(until) => now = until,
+            ReadStep::ReadStore => {
+                election.record_store_failure(now);
                 probes += 1;
             }
         }
@@ -379,19 +388,21 @@
     let members = names(40);
     let mut tries: Vec<Duration> = Vec::new();
     for own in &members {
-        let mut plan = plan(own, &members, start);
-        plan.store_read(start - SECOND);
-        let Some(reader) = asked(&mut plan, start) else {
+        let mut election = election(own, &members, start);
+        election.record_store_read(start - SECOND);
+        let Some(reader) = asked(&mut election, start) else {
             continue;
         };
-        plan.answered(&reader, start);
+        election.record_update(&reader, start);
         for step in 0..100 {
             let now = start + Duration::from_millis(100) * step;
-            match plan.choose(now) {
-                ReadStep::Ask { from, .. } => assert!(!plan.unreadable(&from, now - start, now)),
-                ReadStep::Pause(_) => {}
-                ReadStep::Store => {
-                    plan.store_failed(now);
+            match election.choose(now) {
+                ReadStep::AskPeer { from, .. } => {
+                    assert!(!election.record_no_update(&from, now - start, now))
+                }
+                ReadStep::Wait(_) => {}
+                ReadStep::ReadStore => {
+                    election.record_store_failure(now);
                     tries.push(now - start);
                 }
             }
@@ -410,33 +421,33 @@
 fn one_that_the_store_answers_reads_for_a_reader_that_it_does_not() {
     let now = Instant::now();
     let members = names(3);
-    let (mut deputy, reader, own) = second_of(&members, now);
-    let mut plan = plan(&reader, &members, now);
-    assert_eq!(plan.choose(now), ReadStep::Store);
-    plan.store_failed(now);
-    assert!(matches!(plan.choose(now), ReadStep::Pause(_)));
-    deputy.answered(&reader, now);
-    deputy.store_read(now);
-    let state = deputy.state(now);
-    assert!(state.reads);
-    assert!(plan.asked(&row(&own, 1), state, now));
-    assert_eq!(asked(&mut plan, now), Some(own));
-    assert!(deputy.asked(&row(&reader, 1), AskerState::default(), now));
+    let (mut standby, reader, own) = second_of(&members, now);
+    let mut election = election(&reader, &members, now);
+    assert_eq!(election.choose(now), ReadStep::ReadStore);
+    election.record_store_failure(now);
+    assert!(matches!(election.choose(now), ReadStep::Wait(_)));
+    standby.record_update(&reader, now);
+    standby.record_store_read(now);
+    let state = standby.requester_state(now);
+    assert!(state.reads_store);
+    assert!(election.record_request(&row(&own, 1), state, now));
+    assert_eq!(asked(&mut election, now), Some(own));
+    assert!(standby.record_request(&row(&reader, 1), RequesterState::default(), now));
     // It does not ask back while it is asked.
-    assert!(matches!(deputy.choose(now), ReadStep::Pause(_)));
-    assert_eq!(deputy.choose(now + SECOND), ReadStep::Store);
+    assert!(matches!(standby.choose(now), ReadStep::Wait(_)));
+    assert_eq!(standby.choose(now + SECOND), ReadStep::ReadStore);
     // Nobody has asked it for a while, and its news are new.
-    deputy.store_read(now + 4 * SECOND);
-    assert_eq!(asked(&mut deputy, now + 4 * SECOND), Some(reader));
+    standby.record_store_read(now + 4 * SECOND);
+    assert_eq!(asked(&mut standby, now + 4 * SECOND), Some(reader));
 }
 
 /// Customers' use is shared also with an instance of another zone that has no news of the store.
 #[test]
 fn one_without_news_still_takes_part_in_sharing_use() {
     let now = Instant::now();
-    let (mut plan, elsewhere) = beside_another_zone(now);
-    assert!(plan.unreadable(&elsewhere, SECOND, now));
-    let partners = plan.use_partners(now, |_| false);
+    let (mut election, elsewhere) = beside_another_zone(now);
+    assert!(election.record_no_update(&elsewhere, SECOND, now));
+    let partners = election.usage_peers(now, |_| false);
     assert_eq!(partners.zones, [(ZoneId::from("ferrol"), Some(elsewhere))]);
 }
 
@@ -464,7 +475,7 @@
     ) {
         let mut now = Instant::now();
         let members = names(count);
-        let mut plans: Vec<ReaderPlan> = members.iter().map(|own| plan(own, &members, now)).collect();
+        let mut elections: Vec<ReaderElection> = members.iter().map(|own| election(own, &members, now)).collect();
         let mut alive = vec![true; count];
         for (looks, index, pause) in steps {
             now += Duration::from_millis(pause);
@@ -476,7 +487,7 @@
             match step {
                 Step::Toggle(index) => alive[index] = !alive[index],
                 Step::Look(index) if alive[index] => {
-                    look(&mut plans, &members, &alive, index, now);
+                    look(&mut elections, &members, &alive, index, now);
                 }
                 Step::Look(_) => {}
             }
@@ -488,7 +499,7 @@
             reads = 0;
             for index in 0..count {
                 if alive[index] {
-                    reads += usize::from(look(&mut plans, &members, &alive, index, now));
+                    reads += usize::from(look(&mut elections, &members, &alive, index, now));
                 }
             }
         }
@@ -496,7 +507,7 @@
         prop_assert!(living().count() == 0 || reads >= 1, "nobody reads");
         // One that was the first and died is tried again now and then, by each on its own.
         let first_lives = living().any(|index| {
-            let mut fresh = plan(&members[index], &members, now);
+            let mut fresh = election(&members[index], &members, now);
             asked(&mut fresh, now).is_none()
         });
         prop_assert!(!first_lives || reads == 1, "{reads} read");
@@ -505,7 +516,7 @@
 
 /// One reading of an instance, as its driver makes it: whether it read the store.
 fn look(
-    plans: &mut [ReaderPlan],
+    elections: &mut [ReaderElection],
     members: &[InstanceId],
     alive: &[bool],
     index: usize,
@@ -514,23 +525,23 @@
     const MOST_IN_VAIN: usize = 4;
     let mut in_vain = 0;
     loop {
-        let from = match plans[index].choose(now) {
-            ReadStep::Ask { from, .. } => from,
+        let from = match elections[index].choose(now) {
+            ReadStep::AskPeer { from, .. } => from,
             // It has read a moment ago.
-            ReadStep::Pause(_) => return true,
-            ReadStep::Store => {
-                plans[index].store_read(now);
+            ReadStep::Wait(_) => return true,
+            ReadStep::ReadStore => {
+                elections[index].record_store_read(now);
                 return true;
             }
         };
         let at = members.iter().position(|name| *name == from).unwrap();
         if alive[at] {
-            let state = plans[index].state(now);
-            plans[at].asked(&row(&members[index], 1), state, now);
-            plans[index].answered(&from, now);
+            let state = elections[index].requester_state(now);
+            elections[at].record_request(&row(&members[index], 1), state, now);
+            elections[index].record_update(&from, now);
             return false;
         }
-        plans[index].failed(&from, now);
+        elections[index].record_no_answer(&from, now);
         in_vain += 1;
         assert!(in_vain <= MOST_IN_VAIN, "{in_vain} calls in vain");
     }
--- a/crates/spread/tests/report_journal.rs
+++ b/crates/spread/tests/report_journal.rs
@@ -29,31 +29,37 @@
 fn an_asker_gets_what_it_lacks_once() {
     let now = Instant::now();
     let mut journal = ReportJournal::new(7, COUNTS_FOR);
-    assert!(!journal.has_news(None));
-    assert!(journal.take(
+    assert!(!journal.has_updates(None));
+    assert!(journal.apply(
         &[aged("i-1", CrashMark::Early, 0)],
         ReportOrigin::Instance,
         now
     ));
-    let first = journal.news_since(None, now);
+    let first = journal.updates_since(None, now);
     assert_eq!(first.reports.len(), 1);
-    assert!(!journal.has_news(Some(first.mark)));
-    assert!(!journal.take(
+    assert!(!journal.has_updates(Some(first.position)));
+    assert!(!journal.apply(
         &[aged("i-1", CrashMark::Late, 0)],
         ReportOrigin::Instance,
         now
     ));
-    assert!(journal.take(
+    assert!(journal.apply(
         &[aged("i-1", CrashMark::Cleared, 0)],
         ReportOrigin::Instance,
         now
     ));
-    let second = journal.news_since(Some(first.mark), now);
+    let second = journal.updates_since(Some(first.position), now);
     assert_eq!(second.reports, [aged("i-1", CrashMark::Cleared, 0)]);
     // Another life of the one asked has counted anew.
     let other = ReportJournal::new(8, COUNTS_FOR);
-    assert!(!other.has_news(Some(second.mark)));
-    assert_eq!(journal.news_since(Some(other.mark()), now).reports.len(), 1);
+    assert!(!other.has_updates(Some(second.position)));
+    assert_eq!(
+        journal
+            .updates_since(Some(other.position()), now)
+            .reports
+            .len(),
+        1
+    );
 }
 
 #[test]
@@ -65,17 +71,17 @@
         aged("i-1", CrashMark::Early, 0),
         aged("i-2", CrashMark::Early, 0),
     );
-    journal.take(std::slice::from_ref(&told), ReportOrigin::Instance, now);
-    journal.take(&[stored], ReportOrigin::Store, now);
-    assert_eq!(journal.to_tell(now), std::slice::from_ref(&told));
-    assert_eq!(journal.to_tell(now + Duration::from_secs(5)), []);
+    journal.apply(std::slice::from_ref(&told), ReportOrigin::Instance, now);
+    journal.apply(&[stored], ReportOrigin::Store, now);
+    assert_eq!(journal.to_forward(now), std::slice::from_ref(&told));
+    assert_eq!(journal.to_forward(now + Duration::from_secs(5)), []);
     assert_eq!(journal.unstored(now), []);
     assert_eq!(journal.unstored(later), std::slice::from_ref(&told.report));
-    journal.take(std::slice::from_ref(&told), ReportOrigin::Store, later);
+    journal.apply(std::slice::from_ref(&told), ReportOrigin::Store, later);
     assert_eq!(journal.unstored(later), []);
     // Whatever else is found out of it has to be written again.
     let cleared = aged("i-1", CrashMark::Cleared, 0);
-    journal.take(
+    journal.apply(
         std::slice::from_ref(&cleared),
         ReportOrigin::Instance,
         later,
@@ -85,7 +91,7 @@
         journal.unstored(last),
         std::slice::from_ref(&cleared.report)
     );
-    journal.stored(&[cleared.report]);
+    journal.mark_stored(&[cleared.report]);
     assert_eq!(journal.unstored(last), []);
 }
 
@@ -94,16 +100,16 @@
     let now = Instant::now();
     let second = Duration::from_secs(1);
     let mut journal = ReportJournal::new(7, COUNTS_FOR);
-    journal.take(
+    journal.apply(
         &[aged("i-1", CrashMark::Early, 590)],
         ReportOrigin::Instance,
         now,
     );
-    let told = journal.news_since(None, now + second);
+    let told = journal.updates_since(None, now + second);
     assert_eq!(told.reports, [aged("i-1", CrashMark::Early, 591)]);
-    assert_eq!(journal.forget(now + 9 * second), []);
-    assert_eq!(journal.forget(now + 10 * second).len(), 1);
-    let is_news = journal.take(
+    assert_eq!(journal.expire(now + 9 * second), []);
+    assert_eq!(journal.expire(now + 10 * second).len(), 1);
+    let is_news = journal.apply(
         &[aged("i-1", CrashMark::Early, 600)],
         ReportOrigin::Instance,
         now,
--- a/crates/spread/tests/spread_state.rs
+++ b/crates/spread/tests/spread_state.rs
@@ -13,9 +13,9 @@
 
 fn request() -> SpreadRequest {
     SpreadRequest {
-        at_once: false,
-        book: Some(0),
-        card: MemberRow {
+        is_immediate: false,
+        routes: Some(0),
+        member: MemberRow {
             address: ([127, 0, 0, 1], 7_000).into(),
             capacity: 1,
             instance: "front-2".into(),
@@ -25,11 +25,11 @@
         list: None,
         list_digests: Vec::new(),
         members: 0,
-        news_age: Some(Duration::ZERO),
-        passed_over: false,
-        reads: false,
+        update_age: Some(Duration::ZERO),
+        has_skipped_readers: false,
+        reads_store: false,
         reports: Vec::new(),
-        reports_known: None,
+        reports_position: None,
         waited: Duration::ZERO,
     }
 }
@@ -40,18 +40,18 @@
     let zone: ZoneId = "gijon".into();
     let times = SpreadTimes::builder()
         .period(Duration::from_millis(900))
-        .read_limit(Duration::from_millis(700))
+        .read_timeout(Duration::from_millis(700))
         .build();
     let mut state = SpreadState::new(1, zone, Duration::from_secs(600));
-    state.take_book(RouteBook::default(), 3, Some(start));
-    let before = state.news_count;
+    state.apply_routes(RouteBook::default(), 3, Some(start));
+    let before = state.update_count;
     // An ordinary answer to a watch goes along with the next reading.
     let soon = start + Duration::from_secs(1);
-    state.note_newest(0, soon);
-    assert!(!state.has_news(&request(), before, &times, soon));
+    state.note_current_routes(0, soon);
+    assert!(!state.has_updates(&request(), before, &times, soon));
     let late = soon + Duration::from_secs(4);
-    state.note_newest(0, late);
-    assert!(state.has_news(&request(), before, &times, late));
+    state.note_current_routes(0, late);
+    assert!(state.has_updates(&request(), before, &times, late));
 }
 
 /// An edit that one zone has read just before the store fell silent: the readers of the others ask it, which has no news of the
@@ -61,34 +61,34 @@
     let start = Instant::now();
     let times = SpreadTimes::builder()
         .period(Duration::from_millis(900))
-        .read_limit(Duration::from_millis(700))
+        .read_timeout(Duration::from_millis(700))
         .build();
     let mut state = SpreadState::new(1, "gijon".into(), Duration::from_secs(600));
     let edited = RouteBook::new(2, Vec::new(), Vec::new(), CallerLimits::default());
-    state.take_book(edited, 3, Some(start));
+    state.apply_routes(edited, 3, Some(start));
     let from_elsewhere = SpreadRequest {
-        book: Some(1),
-        card: MemberRow {
+        routes: Some(1),
+        member: MemberRow {
             zone: "ferrol".into(),
-            ..request().card
+            ..request().member
         },
         is_refused: true,
         ..request()
     };
     let knows_it = SpreadRequest {
-        book: Some(2),
+        routes: Some(2),
         ..from_elsewhere.clone()
     };
-    let before = state.news_count;
+    let before = state.update_count;
     // Whoever starts is not sent away as long as the store may still answer.
-    assert!(!state.has_news(&from_elsewhere, before, &times, start));
+    assert!(!state.has_updates(&from_elsewhere, before, &times, start));
     let late = start + Duration::from_secs(3);
-    state.note_failure(ReadFailure::Late, late);
-    assert!(state.has_news(&from_elsewhere, before, &times, late));
-    assert!(!state.has_news(&knows_it, before, &times, late));
-    let told = |asker: &SpreadRequest| match state.answer(asker, times.stale, late) {
-        SpreadReply::Unreadable { book, .. } => book,
-        SpreadReply::News(news) => panic!("{news:?}"),
+    state.record_failure(ReadFailure::TimedOut, late);
+    assert!(state.has_updates(&from_elsewhere, before, &times, late));
+    assert!(!state.has_updates(&knows_it, before, &times, late));
+    let told = |asker: &SpreadRequest| match state.answer(asker, times.max_staleness, late) {
+        SpreadReply::NoUpdate { routes, .. } => routes,
+        SpreadReply::Update(news) => panic!("{news:?}"),
     };
     let (copy, version) = told(&from_elsewhere).copy.expect("the routes");
     assert_eq!((copy.into_book().version, version), (2, 3));
@@ -124,22 +124,22 @@
     ];
     for (reader, version, record) in told {
         let mut journal = ListJournal::new(2);
-        journal.take(std::slice::from_ref(&record));
+        journal.apply(std::slice::from_ref(&record));
         let reader = InstanceId::from(reader);
-        let change = journal.change_since(mirror.mark(&reader), mirror.digest().parts());
-        assert!(mirror.apply(reader, change, journal.mark()));
+        let change = journal.change_since(mirror.position(&reader), mirror.digest().parts());
+        assert!(mirror.apply(reader, change, journal.position()));
         let reading = UpstreamReading {
             records: mirror.records(),
             version,
             ..UpstreamReading::default()
         };
-        state.take_passed(&reading, start, mirror.digest());
+        state.apply_peer_list(&reading, start, mirror.digest());
     }
-    let SpreadReply::News(news) = state.answer(&request(), Duration::from_secs(2), start) else {
+    let SpreadReply::Update(news) = state.answer(&request(), Duration::from_secs(2), start) else {
         panic!("there is news");
     };
     let mut passed = ListMirror::default();
-    assert!(passed.apply("front-1".into(), news.list, news.mark));
+    assert!(passed.apply("front-1".into(), news.list, news.position));
     assert_eq!(passed.records(), [upstream(false)]);
 }
 
@@ -148,10 +148,10 @@
 fn news_that_were_long_on_their_way_are_as_old_as_that() {
     let start = Instant::now();
     let mut state = SpreadState::new(1, "gijon".into(), Duration::from_secs(600));
-    state.take_list(&UpstreamReading::default(), start);
+    state.apply_store_list(&UpstreamReading::default(), start);
     let second = Duration::from_secs(1);
     let reply = state.answer(&request(), 2 * second, start + second);
-    let SpreadReply::News(news) = reply else {
+    let SpreadReply::Update(news) = reply else {
         panic!("{reply:?}");
     };
     let way = 3 * second;
--- a/crates/trestlewalk/src/entry/relay_process.rs
+++ b/crates/trestlewalk/src/entry/relay_process.rs
@@ -274,7 +274,7 @@
     };
     let times = SpreadTimes::builder()
         .period(platform.list_poll)
-        .read_limit(platform.timeout)
+        .read_timeout(platform.timeout)
         .build();
     let shared = SharedSource::builder()
         .counts(core.counts.clone())
