--- a/crates/relay/src/stream_flow/prefill.rs
+++ b/crates/relay/src/stream_flow/prefill.rs
@@ -112,7 +112,11 @@
 
     /// A prompt was read in so long, with `ahead` tokens to read there.
     fn note_pace(&self, engine: &UpstreamId, ahead: u64, took: Duration, now: Instant) {
-let noted=self.core.upstreams.lock().note_prefill(engine,ahead,took,now);
+        let noted = self
+            .core
+            .upstreams
+            .lock()
+            .note_prefill(engine, ahead, took, now);
         if let Some(pace) = noted {
             let alone = pace.unqueued(self.request.prompt_tokens());
             self.core.note_prefill(&self.service, alone, took);
