--- a/crates/trestlewalk/src/admin.rs
+++ b/crates/trestlewalk/src/admin.rs
@@ -3,13 +3,13 @@
 pub mod admin_reply;
 pub mod admin_server;
 pub mod admin_state;
-pub mod ready_board;
+pub mod readiness_state;
 pub mod table_status;
 
 pub use {
     admin_reply::ReadyReply,
     admin_server::AdminServer,
     admin_state::AdminState,
-    ready_board::ReadyBoard,
+    readiness_state::ReadinessState,
     table_status::{StatusSource, TableStatus},
 };
--- a/crates/trestlewalk/src/admin/admin_server.rs
+++ b/crates/trestlewalk/src/admin/admin_server.rs
@@ -38,9 +38,9 @@
     /// Starts to answer at `listener`.
     pub fn start<S: StatusSource>(listener: TcpListener, state: AdminState<S>) -> Self {
         let signal = CloseSignal::new();
-        let raised = signal.clone();
+        let shutdown = signal.clone();
         let server = axum::serve(listener, admin_router(state))
-            .with_graceful_shutdown(async move { raised.raised().await });
+            .with_graceful_shutdown(async move { shutdown.raised().await });
         let task = tokio::spawn(async move {
             if let Err(error) = server.await {
                 tracing::error!(%error, "the admin server ended");
@@ -52,32 +52,32 @@
 
 fn admin_router<S: StatusSource>(state: AdminState<S>) -> Router {
     Router::new()
-        .route("/dump", get(dump_state::<S>))
-        .route("/live", get(tell_live))
-        .route("/metrics", get(show_metrics::<S>))
-        .route("/ready", get(tell_ready::<S>))
-        .route("/table", get(tell_table::<S>))
+        .route("/dump", get(get_dump::<S>))
+        .route("/live", get(get_live))
+        .route("/metrics", get(get_metrics::<S>))
+        .route("/ready", get(get_ready::<S>))
+        .route("/table", get(get_table::<S>))
         .with_state(state)
 }
 
-async fn dump_state<S: StatusSource>(State(state): State<AdminState<S>>) -> Json<Value> {
+async fn get_dump<S: StatusSource>(State(state): State<AdminState<S>>) -> Json<Value> {
     Json(PluginEntry::dump_all(&state.map))
 }
 
-async fn show_metrics<S: StatusSource>(State(state): State<AdminState<S>>) -> Response {
+async fn get_metrics<S: StatusSource>(State(state): State<AdminState<S>>) -> Response {
     match TextEncoder::new().encode_to_string(&state.registry.gather()) {
         Ok(text) => ([(CONTENT_TYPE, METRICS_TYPE)], text).into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
     }
 }
 
-async fn tell_live() -> Json<Value> {
+async fn get_live() -> Json<Value> {
     Json(json!({ "live": true }))
 }
 
-async fn tell_ready<S: StatusSource>(State(state): State<AdminState<S>>) -> Response {
+async fn get_ready<S: StatusSource>(State(state): State<AdminState<S>>) -> Response {
     let reasons: BTreeMap<Arc<str>, Arc<str>> = state
-        .board
+        .readiness
         .reasons()
         .into_iter()
         .map(|(condition, reason)| (Arc::from(condition), reason))
@@ -90,6 +90,6 @@
     (status, Json(ReadyReply { ready, reasons })).into_response()
 }
 
-async fn tell_table<S: StatusSource>(State(state): State<AdminState<S>>) -> Json<TableStatus> {
+async fn get_table<S: StatusSource>(State(state): State<AdminState<S>>) -> Json<TableStatus> {
     Json(state.source.table_status())
 }
--- a/crates/trestlewalk/src/admin/admin_state.rs
+++ b/crates/trestlewalk/src/admin/admin_state.rs
@@ -1,7 +1,7 @@
 //! What the admin server answers from.
 
 use {
-    crate::admin::{ReadyBoard, StatusSource},
+    crate::admin::{ReadinessState, StatusSource},
     kernel::StateMap,
     prometheus::Registry,
     std::sync::Arc,
@@ -11,7 +11,7 @@
 #[derive(bon::Builder)]
 pub struct AdminState<S> {
     /// Whether the instance is ready.
-    pub board: Arc<ReadyBoard>,
+    pub readiness: Arc<ReadinessState>,
     /// What plug-ins dump.
     pub map: StateMap,
     /// The metrics.
@@ -23,7 +23,7 @@
 impl<S: StatusSource> Clone for AdminState<S> {
     fn clone(&self) -> Self {
         Self {
-            board: self.board.clone(),
+            readiness: self.readiness.clone(),
             map: self.map.clone(),
             registry: self.registry.clone(),
             source: self.source.clone(),
--- a/crates/trestlewalk/src/admin/ready_board.rs
+++ b/crates/trestlewalk/src/admin/readiness_state.rs
@@ -13,11 +13,11 @@
 
 /// The conditions that keep the instance from being ready. Each part sets its own by name.
 #[derive(Debug)]
-pub struct ReadyBoard {
+pub struct ReadinessState {
     reasons: RankedLock<BTreeMap<ReadyCondition, Arc<str>>>,
 }
 
-impl ReadyBoard {
+impl ReadinessState {
     /// Says why a condition does not hold, in place of an earlier reason.
     pub fn block(&self, condition: ReadyCondition, reason: impl Into<Arc<str>>) {
         let reason = reason.into();
@@ -63,7 +63,7 @@
     }
 }
 
-impl Default for ReadyBoard {
+impl Default for ReadinessState {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/trestlewalk/src/demo.rs
+++ b/crates/trestlewalk/src/demo.rs
@@ -4,13 +4,13 @@
 pub mod day_report;
 pub mod day_run;
 pub mod demo_call;
-pub mod demo_world;
-pub mod world_plan;
+pub mod demo_system;
+pub mod system_plan;
 
 pub use {
     day_plan::{DayArrival, DayPlan, DayWork},
     day_report::{CallOutcome, DayReport},
     day_run::run_day,
     demo_call::DemoCaller,
-    demo_world::DemoWorld,
+    demo_system::DemoSystem,
 };
--- a/crates/trestlewalk/src/demo/day_plan.rs
+++ b/crates/trestlewalk/src/demo/day_plan.rs
@@ -60,7 +60,7 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut arrivals = Vec::new();
         for work in WORKS {
-            draw_work(&mut random, length, work, &mut arrivals);
+            draw_arrivals(&mut random, length, work, &mut arrivals);
         }
         arrivals.sort_by_key(|arrival| arrival.at);
         for (number, arrival) in arrivals.iter_mut().enumerate() {
@@ -71,7 +71,7 @@
 }
 
 /// Draws arrivals at the peak rate and keeps the share that the time of day asks for.
-fn draw_work(
+fn draw_arrivals(
     random: &mut Pcg64Mcg,
     length: Duration,
     work: DayWork,
--- a/crates/trestlewalk/src/demo/day_report.rs
+++ b/crates/trestlewalk/src/demo/day_report.rs
@@ -44,7 +44,7 @@
 
 /// The requests of one row.
 #[derive(Debug, Default)]
-struct RowTally {
+struct RowStats {
     answered: u64,
     between: Option<Histogram<u64>>,
     failed: u64,
@@ -58,7 +58,7 @@
 pub struct DayReport {
     /// Why requests failed, with counts.
     pub failures: BTreeMap<String, u64>,
-    rows: BTreeMap<String, RowTally>,
+    rows: BTreeMap<String, RowStats>,
 }
 
 impl DayReport {
@@ -93,7 +93,7 @@
     }
 }
 
-impl RowTally {
+impl RowStats {
     fn note_times(&mut self, times: &CallTimes) {
         self.answered += 1;
         record(&mut self.first, times.first);
--- a/crates/trestlewalk/src/demo/day_run.rs
+++ b/crates/trestlewalk/src/demo/day_run.rs
@@ -7,8 +7,8 @@
             day_plan::{DayArrival, DayPlan},
             day_report::{CallOutcome, DayReport},
             demo_call::DemoCaller,
-            demo_world::DemoWorld,
-            world_plan::{NOON_EDIT, TABLE},
+            demo_system::DemoSystem,
+            system_plan::{NOON_EDIT, TABLE},
         },
     },
     flow::FlowMetrics,
@@ -17,26 +17,26 @@
 };
 
 /// The engine that ends in the afternoon.
-const LOST_ENGINE: &str = "santander-glaze-llm-decode-2";
+const KILLED_ENGINE: &str = "santander-glaze-llm-decode-2";
 /// How often progress is shown.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(3);
 
 /// What happens beside the requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum DayMark {
+enum DayEvent {
     Afternoon,
     Noon,
 }
 
-/// Runs a day in a world.
+/// Runs a day in a system.
 ///
 /// # Errors
 ///
 /// The edit at noon is refused.
-pub async fn run_day(world: &mut DemoWorld, plan: DayPlan) -> Result<DayReport, RunError> {
+pub async fn run_day(system: &mut DemoSystem, plan: DayPlan) -> Result<DayReport, RunError> {
     let total = plan.arrivals.len();
     let length = plan.length;
-    let addresses: Vec<_> = world
+    let addresses: Vec<_> = system
         .entries
         .iter()
         .map(|entry| entry.line.callers)
@@ -44,16 +44,16 @@
     let (outcomes, mut receiver) = mpsc::unbounded_channel();
     let day = tokio::spawn(send_all(plan, addresses, outcomes));
     let mut report = DayReport::default();
-    let mut marks = vec![
-        (length.mul_f64(0.7), DayMark::Afternoon),
-        (length.mul_f64(0.5), DayMark::Noon),
+    let mut events = vec![
+        (length.mul_f64(0.7), DayEvent::Afternoon),
+        (length.mul_f64(0.5), DayEvent::Noon),
     ];
     let started = Instant::now();
     let mut done = 0;
     let mut progress = time::interval(PROGRESS_INTERVAL);
     progress.tick().await;
     loop {
-        let next_mark = marks.last().map_or(Duration::MAX, |mark| mark.0);
+        let next_event_at = events.last().map_or(Duration::MAX, |event| event.0);
         tokio::select! {
             outcome = receiver.recv() => {
                 let Some((work, outcome)) = outcome else {
@@ -63,20 +63,20 @@
                 done += 1;
             }
             _ = progress.tick() => println!("{:>3} s: {done} of {total} requests done", started.elapsed().as_secs()),
-            () = wait_until(started, next_mark) => {
-                if let Some((_, mark)) = marks.pop() {
-                    pass_mark(world, mark).await?;
+            () = wait_until(started, next_event_at) => {
+                if let Some((_, event)) = events.pop() {
+                    trigger_event(system, event).await?;
                 }
             }
         }
     }
     let _ = day.await;
-    note_wasted(world, &mut report);
+    note_wasted(system, &mut report);
     Ok(report)
 }
 
-fn note_wasted(world: &DemoWorld, report: &mut DayReport) {
-    for entry in &world.entries {
+fn note_wasted(system: &DemoSystem, report: &mut DayReport) {
+    for entry in &system.entries {
         let Some(metrics) = entry.map.get::<FlowMetrics>() else {
             continue;
         };
@@ -86,15 +86,17 @@
     }
 }
 
-async fn pass_mark(world: &mut DemoWorld, mark: DayMark) -> Result<(), RunError> {
-    match mark {
-        DayMark::Afternoon => {
-            println!("afternoon: the engine {LOST_ENGINE} dies");
-            world.kill_engine(LOST_ENGINE).await;
+async fn trigger_event(system: &mut DemoSystem, event: DayEvent) -> Result<(), RunError> {
+    match event {
+        DayEvent::Afternoon => {
+            println!("afternoon: the engine {KILLED_ENGINE} dies");
+            system.kill_engine(KILLED_ENGINE).await;
         }
-        DayMark::Noon => {
+        DayEvent::Noon => {
             println!("noon: the operator gives kiln-log rank 9 and limit 12");
-            let times = world.edit(&TABLE.replace(NOON_EDIT.0, NOON_EDIT.1)).await?;
+            let times = system
+                .edit(&TABLE.replace(NOON_EDIT.0, NOON_EDIT.1))
+                .await?;
             for (zone, elapsed) in times {
                 println!("  in force in {zone} after {} ms", elapsed.as_millis());
             }
--- a/crates/trestlewalk/src/demo/demo_call.rs
+++ b/crates/trestlewalk/src/demo/demo_call.rs
@@ -4,7 +4,7 @@
     crate::demo::{
         day_plan::DayArrival,
         day_report::{CallOutcome, CallTimes},
-        world_plan::SPREAD,
+        system_plan::LENGTH_SPREAD,
     },
     bytes::Bytes,
     engine::{
@@ -54,7 +54,7 @@
         if arrival.work.max_tokens == 0 {
             return read_plain(response, started).await;
         }
-        let length = fake::expected_length(&prompt, arrival.work.max_tokens, SPREAD);
+        let length = fake::expected_length(&prompt, arrival.work.max_tokens, LENGTH_SPREAD);
         read_stream(
             response,
             started,
--- a/crates/trestlewalk/src/demo/demo_world.rs
+++ b/crates/trestlewalk/src/demo/demo_system.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         RunError,
-        demo::world_plan::{
+        demo::system_plan::{
             DECODE_ENGINES, MODELS, SERVICES, TABLE, ZONES, engine_settings, list_record,
             service_settings,
         },
@@ -29,8 +29,8 @@
 };
 
 /// How often a condition is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the world may take to get ready, or an edit to come into force.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long the system may take to get ready, or an edit to come into force.
 const WAIT_LIMIT: Duration = Duration::from_secs(15);
 
 /// One entry instance of the demonstration.
@@ -44,8 +44,8 @@
     pub zone: &'static str,
 }
 
-/// The running world.
-pub struct DemoWorld {
+/// The running system.
+pub struct DemoSystem {
     engines: BTreeMap<String, StandInEngine>,
     /// The entry instances, one an availability zone.
     pub entries: Vec<DemoEntry>,
@@ -54,7 +54,7 @@
     services: Vec<StandInService>,
 }
 
-impl DemoWorld {
+impl DemoSystem {
     /// Closes the entry instances gracefully, then the stand-ins.
     pub async fn close(self) -> u64 {
         let mut cut = 0;
@@ -81,7 +81,7 @@
         let committed = time::Instant::now();
         let mut times = Vec::new();
         for entry in &self.entries {
-            self.wait_version(entry, version).await;
+            self.wait_for_version(entry, version).await;
             times.push((entry.zone, committed.elapsed()));
         }
         Ok(times)
@@ -109,7 +109,7 @@
             .address(format!("http://{}", platform.address()))
             .build()
             .context(PlatformSnafu)?;
-        let mut world = Self {
+        let mut system = Self {
             engines: BTreeMap::new(),
             entries: Vec::new(),
             platform,
@@ -117,15 +117,15 @@
             services: Vec::new(),
         };
         for zone in ZONES {
-            world.start_engines(zone).await?;
-            world.start_services(zone).await?;
+            system.start_engines(zone).await?;
+            system.start_services(zone).await?;
         }
-        world.commit(TABLE).await?;
-        world.start_entries().await?;
-        for entry in &world.entries {
-            world.wait_version(entry, 1).await;
+        system.commit(TABLE).await?;
+        system.start_entries().await?;
+        for entry in &system.entries {
+            system.wait_for_version(entry, 1).await;
         }
-        Ok(world)
+        Ok(system)
     }
 
     /// Prompt tokens read by all engines, and of them those that led to no answer, as the engines count them.
@@ -277,7 +277,7 @@
         Ok(())
     }
 
-    async fn wait_version(&self, entry: &DemoEntry, version: u64) {
+    async fn wait_for_version(&self, entry: &DemoEntry, version: u64) {
         let started = time::Instant::now();
         while started.elapsed() < WAIT_LIMIT {
             let board = entry.map.get::<flow::TableBoard>();
@@ -285,7 +285,7 @@
             if table.is_some_and(|table| table.version >= version) {
                 return;
             }
-            time::sleep(LOOK_INTERVAL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/trestlewalk/src/demo/world_plan.rs
+++ b/crates/trestlewalk/src/demo/system_plan.rs
@@ -16,7 +16,7 @@
 /// Decode engines of each model in each availability zone.
 pub const DECODE_ENGINES: usize = 2;
 /// How the lengths of answers spread.
-pub const SPREAD: LengthSpread = LengthSpread { least_share: 0.4 };
+pub const LENGTH_SPREAD: LengthSpread = LengthSpread { least_share: 0.4 };
 
 /// The table at the start of the day.
 pub const TABLE: &str = "\
@@ -44,7 +44,7 @@
         .decode_base(Duration::from_millis(6))
         .decode_places(20)
         .decode_slope(Duration::from_micros(400))
-        .length_spread(SPREAD)
+        .length_spread(LENGTH_SPREAD)
         .models(vec![model.into()])
         .name(Arc::from(name))
         .role(role)
--- a/crates/trestlewalk/src/entry/allocator_maker.rs
+++ b/crates/trestlewalk/src/entry/allocator_factory.rs
@@ -10,20 +10,20 @@
 };
 
 /// Makes allocators that draw from a seed.
-pub struct AllocatorMaker {
+pub struct AllocatorFactory {
     board: Arc<UpstreamBoard>,
     seed: u64,
     zone: ZoneId,
 }
 
-impl AllocatorMaker {
+impl AllocatorFactory {
     /// A maker whose allocators draw from `seed`.
     pub fn new(board: Arc<UpstreamBoard>, seed: u64, zone: ZoneId) -> Self {
         Self { board, seed, zone }
     }
 }
 
-impl PolicyMaker for AllocatorMaker {
+impl PolicyMaker for AllocatorFactory {
     type Policy = CellAllocator;
 
     fn make(&self, _: &ModelId) -> CellAllocator {
--- a/crates/trestlewalk/src/entry/bounded_log.rs
+++ b/crates/trestlewalk/src/entry/bounded_log.rs
@@ -11,9 +11,9 @@
 };
 
 /// How many lines wait at most: some seconds of a burst in which every request fails, about 2 MB.
-const LINES_LIMIT: usize = 4_096;
+const QUEUED_LINES_LIMIT: usize = 4_096;
 /// From one look at the count of lost lines to the next.
-const LOOK_PERIOD: Duration = Duration::from_secs(5);
+const LOST_CHECK_PERIOD: Duration = Duration::from_secs(5);
 
 /// The log of a process. Lines that wait are written when it is closed.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// Sends the log lines of this process to standard output, as JSON. A second call changes nothing.
     pub fn start(log: &LogSettings) -> Self {
         let (writer, guard) = NonBlockingBuilder::default()
-            .buffered_lines_limit(LINES_LIMIT)
+            .buffered_lines_limit(QUEUED_LINES_LIMIT)
             .lossy(true)
             .finish(io::stdout());
         let lost = writer.error_counter();
@@ -51,13 +51,13 @@
     pub fn watch(&self) -> impl Future<Output = ()> + Send + 'static {
         let lost = self.lost.clone();
         async move {
-            let mut told = 0;
+            let mut reported = 0;
             loop {
-                time::sleep(LOOK_PERIOD).await;
+                time::sleep(LOST_CHECK_PERIOD).await;
                 let count = lost.dropped_lines();
-                if count > told {
-                    tracing::warn!(lost = count - told, total = count, "log lines lost");
-                    told = count;
+                if count > reported {
+                    tracing::warn!(lost = count - reported, total = count, "log lines lost");
+                    reported = count;
                 }
             }
         }
--- a/crates/trestlewalk/src/entry/control_work.rs
+++ b/crates/trestlewalk/src/entry/control_tasks.rs
@@ -4,8 +4,8 @@
     crate::{
         RunError,
         entry::{
-            AllocatorMaker, EntryParts, EntryPlatform, LimitShares, ListPoller, MemberWatch,
-            PathBase, TableDriver, TableShare,
+            AllocatorFactory, EntryParts, EntryPlatform, ListPoller, MemberWatch, PathComponents,
+            ShareUpdater, TableDriver, TableExchange,
         },
         run_error::PeersSnafu,
     },
@@ -31,16 +31,16 @@
 const MEMBERS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The cells whose allocator this instance is.
-type LocalCells = Arc<CellTable<AllocatorMaker, GrantRouter>>;
+type LocalCells = Arc<CellTable<AllocatorFactory, GrantRouter>>;
 /// The driver of the table.
-type LocalTable = Arc<TableDriver<EntryPlatform>>;
+type LocalDriver = Arc<TableDriver<EntryPlatform>>;
 
 /// The running control work.
-pub struct ControlWork {
+pub struct ControlTasks {
     driver: Arc<PeerDriver>,
 }
 
-impl ControlWork {
+impl ControlTasks {
     /// Tells the other instances that this life is over.
     pub async fn close(self) {
         PeerDriver::clone(&self.driver).close().await;
@@ -56,36 +56,40 @@
     /// # Errors
     ///
     /// The socket for peers is gone.
-    pub fn start(base: &PathBase, parts: &EntryParts) -> Result<Self, RunError> {
-        let table = make_table(base, parts);
-        let driver = Arc::new(start_members(base, parts, &table)?);
+    pub fn start(components: &PathComponents, parts: &EntryParts) -> Result<Self, RunError> {
+        let table = make_table(components, parts);
+        let driver = Arc::new(start_members(components, parts, &table)?);
         parts.map.insert(driver.clone());
         let zone = parts.identity.zone.clone();
-        let watch = Arc::new(MemberWatch::new(base.board.clone(), driver.clone(), zone));
+        let watch = Arc::new(MemberWatch::new(
+            components.board.clone(),
+            driver.clone(),
+            zone,
+        ));
         let router = Arc::new(GrantRouter::new(
-            base.hub.clone(),
+            components.hub.clone(),
             parts.identity.instance.clone(),
         ));
-        let maker = AllocatorMaker::new(
-            base.board.clone(),
+        let factory = AllocatorFactory::new(
+            components.board.clone(),
             parts.identity.incarnation,
             parts.identity.zone.clone(),
         );
         let cells = CellTable::new(
-            base.tables.clone(),
-            maker,
-            base.pool.clone(),
+            components.tables.clone(),
+            factory,
+            components.pool.clone(),
             router.clone(),
         );
         let cells = Arc::new(cells);
-        start_cells(base, parts, &cells, &watch, router);
-        start_table(base, parts, &driver, &table);
-        start_watch(base, parts, &cells, &watch);
+        start_cells(components, parts, &cells, &watch, router);
+        start_table(components, parts, &driver, &table);
+        start_watch(components, parts, &cells, &watch);
         Ok(Self { driver })
     }
 }
 
-fn contacts(parts: &EntryParts) -> Vec<ListedMember> {
+fn seed_members(parts: &EntryParts) -> Vec<ListedMember> {
     let peers = parts.settings.peers.iter();
     let listed = peers.map(|peer| ListedMember {
         address: peer.address,
@@ -95,7 +99,7 @@
     listed.collect()
 }
 
-fn make_table(base: &PathBase, parts: &EntryParts) -> LocalTable {
+fn make_table(components: &PathComponents, parts: &EntryParts) -> LocalDriver {
     let settings = &parts.settings.platform;
     let identity = &parts.identity;
     let polling = PollSettings::builder()
@@ -110,19 +114,19 @@
         polling,
     );
     let driver = TableDriver::builder()
-        .board(base.tables.clone())
-        .health(base.health.clone())
+        .board(components.tables.clone())
+        .health(components.health.clone())
         .instance(identity.instance.clone())
         .plan(plan)
-        .pool(base.pool.clone())
-        .ready(parts.board.clone())
-        .repository(TableRepository::new(base.platform.clone()))
+        .pool(components.pool.clone())
+        .readiness(parts.readiness.clone())
+        .repository(TableRepository::new(components.platform.clone()))
         .build();
     Arc::new(driver)
 }
 
 fn start_cells(
-    base: &PathBase,
+    components: &PathComponents,
     parts: &EntryParts,
     cells: &LocalCells,
     watch: &Arc<MemberWatch>,
@@ -130,45 +134,47 @@
 ) {
     let zone = &parts.identity.zone;
     let seats = AllocatorSeats::builder()
-        .board(base.board.clone())
+        .board(components.board.clone())
         .cells(cells.clone())
-        .endpoint(base.endpoint.clone())
-        .hub(base.hub.clone())
+        .endpoint(components.endpoint.clone())
+        .hub(components.hub.clone())
         .instance(parts.identity.instance.clone())
         .members(watch.clone())
-        .pool(base.pool.clone())
+        .pool(components.pool.clone())
         .zone(zone.clone())
         .build();
     let poller = LoadPoller::builder()
-        .board(base.board.clone())
+        .board(components.board.clone())
         .cells(cells.clone())
-        .engine(base.engine.clone())
+        .engine(components.engine.clone())
         .interval(LOAD_INTERVAL)
         .zone(zone.clone())
         .build();
     let sweeper = StreamSweeper::builder()
-        .board(base.board.clone())
-        .canceller(base.canceller())
+        .board(components.board.clone())
+        .canceller(components.canceller())
         .cells(cells.clone())
-        .engine(base.engine.clone())
+        .engine(components.engine.clone())
         .interval(SWEEP_INTERVAL)
         .lives(watch.clone())
         .zone(zone.clone())
         .build();
-    let host = SessionHost::new(cells.clone(), base.pool.clone(), router);
-    let sessions = base.endpoint.register(CELL_TAG);
+    let host = SessionHost::new(cells.clone(), components.pool.clone(), router);
+    let sessions = components.endpoint.register(CELL_TAG);
     let tables = cells.clone();
-    base.pool.spawn(seats.run());
-    base.pool.spawn(poller.run());
-    base.pool.spawn(sweeper.run());
-    base.pool.spawn(host.run(sessions));
-    base.pool.spawn(async move { tables.run_tables().await });
+    components.pool.spawn(seats.run());
+    components.pool.spawn(poller.run());
+    components.pool.spawn(sweeper.run());
+    components.pool.spawn(host.run(sessions));
+    components
+        .pool
+        .spawn(async move { tables.run_tables().await });
 }
 
 fn start_members(
-    base: &PathBase,
+    components: &PathComponents,
     parts: &EntryParts,
-    table: &LocalTable,
+    table: &LocalDriver,
 ) -> Result<PeerDriver, RunError> {
     let heartbeat = &parts.settings.heartbeat;
     let settings = MemberSettings::builder()
@@ -178,11 +184,11 @@
         .gone_timeout(heartbeat.dead_after.saturating_sub(heartbeat.suspect_after))
         .build();
     PeerDriver::builder()
-        .contacts(contacts(parts))
-        .endpoint(base.endpoint.clone())
+        .contacts(seed_members(parts))
+        .endpoint(components.endpoint.clone())
         .maybe_advertise(parts.settings.listen.advertise)
         .settings(settings)
-        .source(Arc::new(TableShare {
+        .source(Arc::new(TableExchange {
             driver: table.clone(),
         }))
         .zone(parts.identity.zone.clone())
@@ -191,12 +197,21 @@
 }
 
 /// Starts what brings the table here.
-fn start_table(base: &PathBase, parts: &EntryParts, driver: &Arc<PeerDriver>, table: &LocalTable) {
-    table.join(driver.clone());
-    base.pool.spawn(table.clone().run_heads(driver.clone()));
-    base.pool.spawn(table.clone().run_news(driver.clone()));
-    base.pool.spawn(table.clone().run_ticks());
-    base.pool.spawn(follow_members(
+fn start_table(
+    components: &PathComponents,
+    parts: &EntryParts,
+    driver: &Arc<PeerDriver>,
+    table: &LocalDriver,
+) {
+    table.set_membership(driver.clone());
+    components
+        .pool
+        .spawn(table.clone().run_heads(driver.clone()));
+    components
+        .pool
+        .spawn(table.clone().run_updates(driver.clone()));
+    components.pool.spawn(table.clone().run_ticks());
+    components.pool.spawn(watch_members(
         driver.clone(),
         table.clone(),
         parts.identity.zone.to_string(),
@@ -204,29 +219,43 @@
 }
 
 /// Starts what the membership and the list of instances tell the rest.
-fn start_watch(base: &PathBase, parts: &EntryParts, cells: &LocalCells, watch: &Arc<MemberWatch>) {
+fn start_watch(
+    components: &PathComponents,
+    parts: &EntryParts,
+    cells: &LocalCells,
+    watch: &Arc<MemberWatch>,
+) {
     let (sender, list) = watch::channel(Vec::new());
     let interval = parts.settings.platform.list_poll;
-    let shares = LimitShares {
+    let updater = ShareUpdater {
         driver: watch.driver(),
-        limiter: base.limiter.clone(),
+        limiter: components.limiter.clone(),
         list: list.clone(),
-        tables: base.tables.clone(),
+        tables: components.tables.clone(),
         zone: parts.identity.zone.clone(),
     };
-    base.pool.spawn(shares.run());
-    let poller = ListPoller::new(base.board.clone(), interval, sender, base.platform.clone());
-    base.pool.spawn(poller.run());
-    base.pool.spawn(watch.clone().run_list(list));
-    base.pool.spawn(watch.clone().run_marks());
-    base.pool
-        .spawn(watch.clone().run_news(cells.clone(), base.hub.clone()));
-    base.pool
-        .spawn(watch.clone().run_state(parts.board.clone()));
+    components.pool.spawn(updater.run());
+    let poller = ListPoller::new(
+        components.board.clone(),
+        interval,
+        sender,
+        components.platform.clone(),
+    );
+    components.pool.spawn(poller.run());
+    components.pool.spawn(watch.clone().run_list(list));
+    components.pool.spawn(watch.clone().run_marks());
+    components.pool.spawn(
+        watch
+            .clone()
+            .run_updates(cells.clone(), components.hub.clone()),
+    );
+    components
+        .pool
+        .spawn(watch.clone().run_state(parts.readiness.clone()));
 }
 
 /// Tells the polling plan which instances of the own availability zone live.
-async fn follow_members(driver: Arc<PeerDriver>, table: LocalTable, zone: String) {
+async fn watch_members(driver: Arc<PeerDriver>, table: LocalDriver, zone: String) {
     let mut ticks = time::interval(MEMBERS_INTERVAL);
     loop {
         ticks.tick().await;
--- a/crates/trestlewalk/src/entry/entry_parts.rs
+++ b/crates/trestlewalk/src/entry/entry_parts.rs
@@ -1,7 +1,7 @@
 //! What every part of an entry instance shares.
 
 use {
-    crate::{admin::ReadyBoard, entry::EntryIdentity, settings::EntrySettings},
+    crate::{admin::ReadinessState, entry::EntryIdentity, settings::EntrySettings},
     kernel::{StateMap, WorkerPool},
     prometheus::Registry,
     std::{sync::Arc, time::SystemTime},
@@ -11,7 +11,7 @@
 #[derive(Clone)]
 pub struct EntryParts {
     /// Whether the instance is ready.
-    pub board: Arc<ReadyBoard>,
+    pub readiness: Arc<ReadinessState>,
     /// Which life of which instance this is.
     pub identity: Arc<EntryIdentity>,
     /// The state that plug-ins dump.
@@ -25,17 +25,17 @@
 }
 
 impl EntryParts {
-    /// The parts of a life that starts at `now`; the state map has the board, the identity and the settings.
+    /// The parts of a life that starts at `now`; the state map has the readiness, the identity and the settings.
     pub fn new(settings: EntrySettings, now: SystemTime) -> Self {
-        let board = Arc::new(ReadyBoard::new());
+        let readiness = Arc::new(ReadinessState::new());
         let identity = Arc::new(EntryIdentity::new(&settings, now));
         let settings = Arc::new(settings);
         let map = StateMap::new();
-        map.insert(board.clone());
+        map.insert(readiness.clone());
         map.insert(identity.clone());
         map.insert(settings.clone());
         Self {
-            board,
+            readiness,
             identity,
             map,
             pool: WorkerPool::new(),
--- a/crates/trestlewalk/src/entry/entry_process.rs
+++ b/crates/trestlewalk/src/entry/entry_process.rs
@@ -11,7 +11,7 @@
 use {
     crate::{
         RunError,
-        admin::{AdminServer, AdminState, ready_board::CLOSING_CONDITION},
+        admin::{AdminServer, AdminState, readiness_state::CLOSING_CONDITION},
         entry::{
             CloseReport, CloseSteps, EntryParts, EntrySockets, ProcessSignals, ReadyLine,
             RequestPath,
@@ -43,7 +43,7 @@
     pub async fn close(self) -> CloseReport {
         let steps = CloseSteps::new(self.parts.settings.limits.close);
         self.parts
-            .board
+            .readiness
             .block(CLOSING_CONDITION, "this instance is closing");
         let report = steps
             .run("request path", self.path.close(steps.left()))
@@ -70,12 +70,12 @@
         let second_signal = settings.limits.second_signal;
         let (process, line, _) = Self::start(settings).await?;
         line.print()?;
-        signals.next().await;
+        signals.wait_close().await;
         tracing::info!("closing");
         let gate = process.path.gate();
         let report = tokio::select! {
             report = process.close() => report,
-            () = second_signal_heard(&mut signals, second_signal) => {
+            () = wait_second_signal(&mut signals, second_signal) => {
                 let count = gate.open() as u64;
                 return CutByCloseSnafu { cause: "a second signal", count }.fail();
             }
@@ -109,7 +109,7 @@
         };
         PluginEntry::register_metrics(&parts.map, &parts.registry);
         let state = AdminState::builder()
-            .board(parts.board.clone())
+            .readiness(parts.readiness.clone())
             .map(parts.map.clone())
             .registry(parts.registry.clone())
             .source(RequestPath::source(&parts))
@@ -133,9 +133,9 @@
         .build()
 }
 
-async fn second_signal_heard(signals: &mut ProcessSignals, second_signal: SecondSignal) {
+async fn wait_second_signal(signals: &mut ProcessSignals, second_signal: SecondSignal) {
     match second_signal {
         SecondSignal::Ignored => std::future::pending().await,
-        SecondSignal::Immediate => signals.next().await,
+        SecondSignal::Immediate => signals.wait_close().await,
     }
 }
--- a/crates/trestlewalk/src/entry/ticket_parts.rs
+++ b/crates/trestlewalk/src/entry/entry_tickets.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         RunError,
-        entry::{EntryParts, EntryPlatform, PathBase},
+        entry::{EntryParts, EntryPlatform, PathComponents},
         run_error::{MetricsSnafu, TicketsSnafu},
     },
     claim::{ClaimKeeper, LifeKey, TicketSettings, claim_sweep},
@@ -30,7 +30,7 @@
 ///
 /// A ticket can't carry the names of this instance.
 pub fn start_tickets(
-    base: &PathBase,
+    components: &PathComponents,
     parts: &EntryParts,
     gate: Arc<AdmissionGate>,
     handlers: axum::Router,
@@ -38,13 +38,13 @@
 ) -> Result<Arc<EntryTickets>, RunError> {
     let desk = Arc::new(make_desk(parts)?);
     parts.map.insert(desk.clone());
-    let store = Arc::new(base.platform.clone());
+    let store = Arc::new(components.platform.clone());
     let keeper = ClaimKeeper::new(store.clone());
-    base.pool.spawn(sweep_claims(keeper, members.clone()));
+    components.pool.spawn(sweep_claims(keeper, members.clone()));
     let door = TicketDoor::builder()
         .claim_secret(shared_secret(parts))
         .desk(desk)
-        .endpoint(base.endpoint.clone())
+        .endpoint(components.endpoint.clone())
         .gate(gate)
         .handlers(handlers)
         .limit(parts.settings.limits.body as usize)
@@ -52,9 +52,10 @@
         .store(store)
         .build();
     let door = Arc::new(door);
-    let incoming = base.endpoint.register(TICKET_TAG);
-    base.pool
-        .spawn(door.clone().run_peers(incoming, base.pool.clone()));
+    let incoming = components.endpoint.register(TICKET_TAG);
+    components
+        .pool
+        .spawn(door.clone().run_peers(incoming, components.pool.clone()));
     Ok(door)
 }
 
--- a/crates/trestlewalk/src/entry/member_watch.rs
+++ b/crates/trestlewalk/src/entry/member_watch.rs
@@ -1,7 +1,7 @@
 //! What the request path learns from the membership.
 
 use {
-    crate::{admin::ReadyBoard, entry::AllocatorMaker},
+    crate::{admin::ReadinessState, entry::AllocatorFactory},
     flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamBoard},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, UpstreamId, ZoneId},
     peer::{ListedMember, MemberNews, MemberState, PeerDriver},
@@ -19,15 +19,15 @@
 };
 
 /// A life that no record tells of counts as gone after so long: its record may still be on its way.
-const UNKNOWN_LIMIT: Duration = Duration::from_secs(3);
+const UNKNOWN_INCARNATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// How often marks are carried between the board and the membership.
 const MARK_INTERVAL: Duration = Duration::from_millis(200);
 /// How often a mark that holds is raised anew; well below the lifetime of a mark.
-const MARK_REFRESH: Duration = Duration::from_secs(20);
+const MARK_REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
 /// The lives that are not known to run.
 #[derive(Default)]
-struct LostLives {
+struct LostIncarnations {
     gone: BTreeMap<InstanceId, Incarnation>,
     unknown: BTreeMap<(InstanceId, Incarnation), Instant>,
 }
@@ -36,14 +36,14 @@
 pub struct MemberWatch {
     board: Arc<UpstreamBoard>,
     driver: Arc<PeerDriver>,
-    lost: RankedLock<LostLives>,
+    lost: RankedLock<LostIncarnations>,
     zone: ZoneId,
 }
 
 impl MemberWatch {
     /// A watch over a running membership.
     pub fn new(board: Arc<UpstreamBoard>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
-        let lost = RankedLock::new(LockRank::Members, LostLives::default());
+        let lost = RankedLock::new(LockRank::Members, LostIncarnations::default());
         Self {
             board,
             driver,
@@ -67,25 +67,25 @@
 
     /// Carries marks both ways for as long as it is driven.
     pub async fn run_marks(self: Arc<Self>) {
-        let mut told: BTreeMap<UpstreamId, (LeavingCause, Instant)> = BTreeMap::new();
+        let mut published: BTreeMap<UpstreamId, (LeavingCause, Instant)> = BTreeMap::new();
         let mut ticks = time::interval(MARK_INTERVAL);
         loop {
             ticks.tick().await;
-            self.tell_marks(Instant::now(), &mut told);
+            self.publish_marks(Instant::now(), &mut published);
             self.board.put_peer_marks(&self.peer_marks());
         }
     }
 
     /// Acts on the news of the membership for as long as it is driven.
-    pub async fn run_news(
+    pub async fn run_updates(
         self: Arc<Self>,
-        cells: Arc<CellTable<AllocatorMaker, GrantRouter>>,
+        cells: Arc<CellTable<AllocatorFactory, GrantRouter>>,
         hub: Arc<CellHub>,
     ) {
         let mut news = self.driver.news();
         loop {
             match news.recv().await {
-                Ok(news) => self.on_news(news, &cells, &hub),
+                Ok(news) => self.on_update(news, &cells, &hub),
                 Err(RecvError::Lagged(_)) => {}
                 Err(RecvError::Closed) => return,
             }
@@ -93,26 +93,26 @@
     }
 
     /// Tells the members whether this instance takes requests, for as long as it is driven.
-    pub async fn run_state(self: Arc<Self>, ready: Arc<ReadyBoard>) {
+    pub async fn run_state(self: Arc<Self>, readiness: Arc<ReadinessState>) {
         let mut ticks = time::interval(MARK_INTERVAL);
-        let mut told = None;
+        let mut published = None;
         loop {
             ticks.tick().await;
-            let state = match ready.is_ready() {
+            let state = match readiness.is_ready() {
                 true => MemberState::Serving,
-                false if ready.is_closing() => MemberState::Leaving,
+                false if readiness.is_closing() => MemberState::Leaving,
                 false => MemberState::NotReady,
             };
-            if told.replace(state) != Some(state) {
+            if published.replace(state) != Some(state) {
                 self.driver.set_state(state);
             }
         }
     }
 
-    fn on_news(
+    fn on_update(
         &self,
         news: MemberNews,
-        cells: &CellTable<AllocatorMaker, GrantRouter>,
+        cells: &CellTable<AllocatorFactory, GrantRouter>,
         hub: &CellHub,
     ) {
         match news {
@@ -160,25 +160,29 @@
         marks
     }
 
-    fn tell_marks(&self, now: Instant, told: &mut BTreeMap<UpstreamId, (LeavingCause, Instant)>) {
+    fn publish_marks(
+        &self,
+        now: Instant,
+        published: &mut BTreeMap<UpstreamId, (LeavingCause, Instant)>,
+    ) {
         let marks = self.board.own_marks();
         for (upstream, cause) in &marks {
-            let is_fresh = told.get(upstream).is_some_and(|(before, at)| {
-                before == cause && now.saturating_duration_since(*at) < MARK_REFRESH
+            let is_fresh = published.get(upstream).is_some_and(|(before, at)| {
+                before == cause && now.saturating_duration_since(*at) < MARK_REFRESH_INTERVAL
             });
             if is_fresh {
                 continue;
             }
-            told.insert(upstream.clone(), (*cause, now));
+            published.insert(upstream.clone(), (*cause, now));
             self.driver.mark(upstream.clone(), Some(*cause));
         }
-        let ended: Vec<UpstreamId> = told
+        let ended: Vec<UpstreamId> = published
             .keys()
             .filter(|upstream| !marks.contains_key(*upstream))
             .cloned()
             .collect();
         for upstream in ended {
-            told.remove(&upstream);
+            published.remove(&upstream);
             self.driver.mark(upstream, None);
         }
     }
@@ -206,7 +210,7 @@
             return incarnation < record.incarnation;
         }
         let since = *lost.unknown.entry(key).or_insert_with(Instant::now);
-        since.elapsed() > UNKNOWN_LIMIT
+        since.elapsed() > UNKNOWN_INCARNATION_TIMEOUT
     }
 
     fn is_silent(&self, instance: &str) -> bool {
--- a/crates/trestlewalk/src/entry/path_base.rs
+++ b/crates/trestlewalk/src/entry/path_components.rs
@@ -41,7 +41,7 @@
 pub type EntryPlatform = BudgetPlatform<HttpPlatform>;
 
 /// Parts that are shared by the request path and the control work around it.
-pub struct PathBase {
+pub struct PathComponents {
     /// The known upstreams.
     pub board: Arc<UpstreamBoard>,
     /// The links to other instances.
@@ -64,7 +64,7 @@
     pub tables: Arc<TableBoard>,
 }
 
-impl PathBase {
+impl PathComponents {
     /// Makes the parts, and puts those that plug-ins dump into the state map.
     ///
     /// # Errors
@@ -75,7 +75,7 @@
         let identity = &parts.identity;
         let platform = make_platform(settings)?;
         let health = PlatformHealth::new(platform.counts()).context(MetricsSnafu)?;
-        let base = Self {
+        let components = Self {
             board: Arc::new(UpstreamBoard::new(fixed_upstreams(settings))),
             endpoint: bind_endpoint(parts)?,
             engine: make_engine(settings),
@@ -95,13 +95,13 @@
             pool: parts.pool.clone(),
             tables: Arc::new(TableBoard::new()),
         };
-        parts.map.insert(base.health.clone());
-        parts.map.insert(base.board.clone());
-        parts.map.insert(base.hub.clone());
-        parts.map.insert(base.limiter.clone());
-        parts.map.insert(base.metrics.clone());
-        parts.map.insert(base.tables.clone());
-        Ok(base)
+        parts.map.insert(components.health.clone());
+        parts.map.insert(components.board.clone());
+        parts.map.insert(components.hub.clone());
+        parts.map.insert(components.limiter.clone());
+        parts.map.insert(components.metrics.clone());
+        parts.map.insert(components.tables.clone());
+        Ok(components)
     }
 
     /// Cancels streams in the background.
--- a/crates/trestlewalk/src/entry/udp_end.rs
+++ b/crates/trestlewalk/src/entry/peer_socket.rs
@@ -15,7 +15,7 @@
 const CONNECT_LIMIT: Duration = Duration::from_millis(600);
 
 /// The open socket with its keys.
-pub struct UdpEnd {
+pub struct PeerSocket {
     /// The socket.
     pub endpoint: PeerEndpoint,
     /// The keys of this life of the process.
@@ -24,7 +24,7 @@
     pub row: MemberRow,
 }
 
-impl UdpEnd {
+impl PeerSocket {
     /// Opens the socket that the settings name; none when they name none.
     ///
     /// # Errors
--- a/crates/trestlewalk/src/entry/platform_health.rs
+++ b/crates/trestlewalk/src/entry/platform_health.rs
@@ -82,12 +82,12 @@
     }
 
     /// Takes a sample, and logs when the silence begins and ends to count.
-    pub fn note(&self, now: SystemTime, sample: PlatformSample) {
+    pub fn record(&self, now: SystemTime, sample: PlatformSample) {
         self.cut_off.set(i64::from(sample.is_cut_off));
         let seconds = i64::try_from(sample.silence.as_secs());
         self.silence.set(seconds.unwrap_or(i64::MAX));
-        self.count(CallKind::Read, &self.reads_deferred);
-        self.count(CallKind::Write, &self.writes_deferred);
+        self.update_counter(CallKind::Read, &self.reads_deferred);
+        self.update_counter(CallKind::Write, &self.writes_deferred);
         let since = now - sample.silence;
         let mut state = self.state.lock();
         state.sample = sample;
@@ -107,7 +107,7 @@
         }
     }
 
-    fn count(&self, kind: CallKind, counter: &IntCounter) {
+    fn update_counter(&self, kind: CallKind, counter: &IntCounter) {
         let count = self.counts.get(kind);
         counter.inc_by(count.saturating_sub(counter.get()));
     }
--- a/crates/trestlewalk/src/entry/process_plugin.rs
+++ b/crates/trestlewalk/src/entry/process_plugin.rs
@@ -1,7 +1,7 @@
 //! The plug-in of the process itself: its identity, its readiness, its settings.
 
 use {
-    crate::{admin::ReadyBoard, entry::EntryIdentity, settings::EntrySettings},
+    crate::{admin::ReadinessState, entry::EntryIdentity, settings::EntrySettings},
     kernel::{PluginEntry, StateMap},
     prometheus::{IntGauge, Opts, Registry},
     serde_json::{Value, json},
@@ -20,18 +20,18 @@
 
 fn dump_process(map: &StateMap) -> Option<Value> {
     let identity = map.get::<EntryIdentity>()?;
-    let board = map.get::<ReadyBoard>()?;
+    let readiness = map.get::<ReadinessState>()?;
     let settings = map.get::<EntrySettings>()?;
     Some(json!({
         "identity": *identity,
-        "not_ready": board.reasons(),
-        "ready": board.is_ready(),
-        "settings": open_settings(&settings),
+        "not_ready": readiness.reasons(),
+        "ready": readiness.is_ready(),
+        "settings": visible_settings(&settings),
     }))
 }
 
 /// The settings in force, without what is not to be shown.
-fn open_settings(settings: &EntrySettings) -> Value {
+fn visible_settings(settings: &EntrySettings) -> Value {
     let mut value = json!(settings);
     if let Some(fields) = value.as_object_mut() {
         fields.retain(|field, _| !HIDDEN_FIELDS.contains(&field.as_str()));
--- a/crates/trestlewalk/src/entry/process_signals.rs
+++ b/crates/trestlewalk/src/entry/process_signals.rs
@@ -38,7 +38,7 @@
     }
 
     /// Waits for the next signal of any kind.
-    pub async fn any(&mut self) -> ProcessSignal {
+    pub async fn wait_any(&mut self) -> ProcessSignal {
         tokio::select! {
             _ = self.hangup.recv() => ProcessSignal::Reload,
             () = async {
@@ -51,7 +51,7 @@
     }
 
     /// Waits for the next signal to close.
-    pub async fn next(&mut self) {
+    pub async fn wait_close(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
             _ = self.terminate.recv() => {}
--- a/crates/trestlewalk/src/entry/relay_process.rs
+++ b/crates/trestlewalk/src/entry/relay_process.rs
@@ -4,10 +4,10 @@
     crate::{
         RunError,
         admin::{
-            AdminServer, AdminState, ReadyBoard, StatusSource, TableStatus,
-            ready_board::CLOSING_CONDITION,
+            AdminServer, AdminState, ReadinessState, StatusSource, TableStatus,
+            readiness_state::CLOSING_CONDITION,
         },
-        entry::{ProcessSignal, ProcessSignals, ReadyLine, UdpEnd, bind_tcp},
+        entry::{PeerSocket, ProcessSignal, ProcessSignals, ReadyLine, bind_tcp},
         run_error::{CutByCloseSnafu, MetricsSnafu, RuntimeSnafu},
         settings::{RelayFile, SettingsReader},
     },
@@ -33,7 +33,7 @@
 /// While it is not known whether the keys are still those in force the instance is not ready.
 const KEYS_CONDITION: &str = "keys";
 /// How often that is looked at: the balancer asks once a second.
-const KEYS_PERIOD: Duration = Duration::from_millis(500);
+const KEYS_CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Until the first reading the instance is not ready.
 const START_CONDITION: &str = "routes";
 /// How long a reading by way of other instances may take. It bounds its own steps; this is for faults in it.
@@ -52,7 +52,7 @@
 /// A running instance.
 pub struct RelayProcess {
     admin: AdminServer,
-    board: Arc<ReadyBoard>,
+    readiness: Arc<ReadinessState>,
     callers: CallerServer,
     core: Arc<PlatformCore>,
     pool: WorkerPool,
@@ -82,7 +82,7 @@
 impl RelayProcess {
     /// Closes the parts: not ready first, then the callers' connections, then the rest. Gives how many requests were cut.
     pub async fn close(self) -> usize {
-        self.board
+        self.readiness
             .block(CLOSING_CONDITION, "this instance is closing");
         let close = &self.settings.close;
         let cut = self.callers.close(close.settle, close.limit).await;
@@ -115,7 +115,7 @@
     pub async fn run(settings: RelayFile, reader: SettingsReader) -> Result<(), RunError> {
         let mut signals = ProcessSignals::new()?;
         let mut process = Self::start(settings).await?;
-        while signals.any().await == ProcessSignal::Reload {
+        while signals.wait_any().await == ProcessSignal::Reload {
             process.reload(&reader);
         }
         tracing::info!("closing");
@@ -138,17 +138,17 @@
     pub async fn start(settings: RelayFile) -> Result<Self, RunError> {
         let admin = bind_tcp("listen.admin", settings.listen.admin).await?;
         let callers = bind_tcp("listen.callers", settings.listen.callers).await?;
-        let peers = UdpEnd::open(&settings)?;
+        let peers = PeerSocket::open(&settings)?;
         let line = ReadyLine {
             admin: admin.local_addr().context(RuntimeSnafu)?,
             callers: callers.local_addr().context(RuntimeSnafu)?,
             instance: settings.instance.clone(),
-            peers: peers.as_ref().map(|end| end.row.address),
+            peers: peers.as_ref().map(|socket| socket.row.address),
         };
         line.print()?;
         let core = Arc::new(RelayCore::new(HttpDialect, relay_settings(&settings)));
-        let board = Arc::new(ReadyBoard::new());
-        board.block(
+        let readiness = Arc::new(ReadinessState::new());
+        readiness.block(
             START_CONDITION,
             "the routes and the upstreams are not known yet",
         );
@@ -162,7 +162,7 @@
         map.insert(Arc::new(core.quotas.clone()));
         PluginEntry::register_metrics(&map, &registry);
         let state = AdminState::builder()
-            .board(board.clone())
+            .readiness(readiness.clone())
             .map(map)
             .registry(registry)
             .source(Arc::new(RouteStatus {
@@ -174,17 +174,17 @@
         let pool = WorkerPool::new();
         start_watch(&settings, &core, &pool, peers, calls);
         pool.spawn({
-            let board = board.clone();
+            let readiness = readiness.clone();
             let core = core.clone();
             async move {
                 core.start.wait_open().await;
-                board.clear(START_CONDITION);
-                watch_keys(&core, &board).await;
+                readiness.clear(START_CONDITION);
+                watch_keys(&core, &readiness).await;
             }
         });
         Ok(Self {
             admin,
-            board,
+            readiness,
             callers: CallerServer::start(callers, core.clone()),
             core,
             pool,
@@ -194,13 +194,13 @@
 }
 
 /// Keeps the instance from being sent requests while it can't tell which keys hold.
-async fn watch_keys(core: &PlatformCore, board: &ReadyBoard) {
+async fn watch_keys(core: &PlatformCore, readiness: &ReadinessState) {
     loop {
         match core.knows_keys() {
-            true => board.clear(KEYS_CONDITION),
-            false => board.block(KEYS_CONDITION, "the keys may have changed meanwhile"),
+            true => readiness.clear(KEYS_CONDITION),
+            false => readiness.block(KEYS_CONDITION, "the keys may have changed meanwhile"),
         }
-        time::sleep(KEYS_PERIOD).await;
+        time::sleep(KEYS_CHECK_PERIOD).await;
     }
 }
 
@@ -254,7 +254,7 @@
     settings: &RelayFile,
     core: &Arc<PlatformCore>,
     pool: &WorkerPool,
-    peers: Option<UdpEnd>,
+    peers: Option<PeerSocket>,
     calls: StoreCalls,
 ) {
     let platform = &settings.platform;
@@ -268,7 +268,7 @@
         let keeper = StageKeeper::new(core.clone(), leases, stage_settings(settings));
         pool.spawn(keeper.run());
     }
-    let Some(end) = peers else {
+    let Some(socket) = peers else {
         let times = watch_times(settings, platform.timeout, STORE_RETRY_PAUSE);
         return spawn_watch(core, store, times, pool);
     };
@@ -279,11 +279,11 @@
     let shared = SharedSource::builder()
         .counts(core.counts.clone())
         .directory_store(Arc::new(store.for_reason(CallReason::Directory)))
-        .endpoint(end.endpoint)
+        .endpoint(socket.endpoint)
         .first_start(settings.first_start)
         .freshness(core.freshness.clone())
-        .keys(end.keys)
-        .own(end.row)
+        .keys(socket.keys)
+        .own(socket.row)
         .pool(pool)
         .quarantine(settings.quarantine.life)
         .quotas(core.quotas.clone())
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -5,7 +5,7 @@
         RunError,
         admin::StatusSource,
         entry::{
-            BoardStatus, CloseReport, ControlWork, EntryParts, EntryTickets, PathBase,
+            CloseReport, ControlTasks, EntryParts, EntryStatus, EntryTickets, PathComponents,
             PlatformHealth, start_tickets,
         },
         run_error::PeersSnafu,
@@ -28,7 +28,7 @@
 
 /// Everything between the callers' socket and the upstreams.
 pub struct RequestPath {
-    control: ControlWork,
+    control: ControlTasks,
     cut: CloseSignal,
     endpoint: PeerEndpoint,
     gate: Arc<AdmissionGate>,
@@ -80,7 +80,7 @@
     pub fn source(parts: &EntryParts) -> Arc<impl StatusSource + use<>> {
         let board = parts.map.get::<TableBoard>().unwrap_or_default();
         let identity = &parts.identity;
-        Arc::new(BoardStatus {
+        Arc::new(EntryStatus {
             board,
             health: parts.map.get::<PlatformHealth>(),
             instance: identity.instance.clone(),
@@ -94,24 +94,24 @@
     ///
     /// The address for peers can't be bound, the keys can't be used, or the platform's address is none.
     pub fn start(callers: TcpListener, parts: &EntryParts) -> Result<Self, RunError> {
-        let base = PathBase::new(parts)?;
-        let control = ControlWork::start(&base, parts)?;
+        let components = PathComponents::new(parts)?;
+        let control = ControlTasks::start(&components, parts)?;
         let cut = CloseSignal::new();
         let gate = Arc::new(AdmissionGate::new(
             parts.settings.limits.open_requests as usize,
         ));
-        let shared = base.door_shared(parts, cut.clone(), gate.clone());
+        let shared = components.door_shared(parts, cut.clone(), gate.clone());
         let signal = CloseSignal::new();
         let server = DoorServer::new(callers, Arc::new(shared));
         let members = control.members();
-        let tickets = start_tickets(&base, parts, gate.clone(), server.router(), members)?;
+        let tickets = start_tickets(&components, parts, gate.clone(), server.router(), members)?;
         let server = server.with_router(tickets.clone().routes());
         let flush_limit = parts.settings.limits.close + FLUSH_LIMIT;
         let server = tokio::spawn(server.run(signal.clone(), flush_limit));
         Ok(Self {
             control,
             cut,
-            endpoint: base.endpoint,
+            endpoint: components.endpoint,
             gate,
             server,
             signal,
--- a/crates/trestlewalk/src/entry/limit_shares.rs
+++ b/crates/trestlewalk/src/entry/share_updater.rs
@@ -13,7 +13,7 @@
 const SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What the split of limits follows.
-pub struct LimitShares {
+pub struct ShareUpdater {
     /// The members.
     pub driver: Arc<PeerDriver>,
     /// The limiter to tell.
@@ -26,7 +26,7 @@
     pub zone: ZoneId,
 }
 
-impl LimitShares {
+impl ShareUpdater {
     /// Follows them for as long as it is driven.
     pub async fn run(self) {
         let mut ticks = time::interval(SHARE_INTERVAL);
--- a/crates/trestlewalk/src/entry/table_driver.rs
+++ b/crates/trestlewalk/src/entry/table_driver.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        admin::{ReadyBoard, StatusSource, TableStatus},
+        admin::{ReadinessState, StatusSource, TableStatus},
         entry::{PlatformHealth, PlatformSample},
     },
     bytes::Bytes,
@@ -27,7 +27,7 @@
 pub const TABLE_CONDITION: &str = "table";
 
 /// How often the keeper and the plan hear that time passes.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the keeper and the plan decide from.
 struct DriverState {
@@ -44,14 +44,14 @@
     instance: InstanceId,
     peers: OnceLock<Arc<PeerDriver>>,
     pool: WorkerPool,
-    ready: Arc<ReadyBoard>,
+    readiness: Arc<ReadinessState>,
     repository: TableRepository<S>,
     state: RankedLock<DriverState>,
 }
 
 #[bon::bon]
 impl<S: RowStore + 'static> TableDriver<S> {
-    /// A driver without a table, which blocks `ready` until it has one.
+    /// A driver without a table, which blocks `readiness` until it has one.
     #[builder]
     pub fn new(
         board: Arc<TableBoard>,
@@ -59,10 +59,10 @@
         instance: InstanceId,
         plan: PollPlan,
         pool: WorkerPool,
-        ready: Arc<ReadyBoard>,
+        readiness: Arc<ReadinessState>,
         repository: TableRepository<S>,
     ) -> Self {
-        ready.block(TABLE_CONDITION, "no table yet");
+        readiness.block(TABLE_CONDITION, "no table yet");
         let state = DriverState {
             keeper: TableKeeper::new(Instant::now()),
             plan,
@@ -75,7 +75,7 @@
             instance,
             peers: OnceLock::new(),
             pool,
-            ready,
+            readiness,
             repository,
             state: RankedLock::new(LockRank::Table, state),
         }
@@ -105,12 +105,12 @@
             .keeper
             .on_event(Instant::now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
     /// Names the membership that peers are pulled from through.
-    pub fn join(&self, driver: Arc<PeerDriver>) {
+    pub fn set_membership(&self, driver: Arc<PeerDriver>) {
         // There is one membership a process.
         let _ = self.peers.set(driver);
     }
@@ -129,11 +129,11 @@
     }
 
     /// Gives the keeper what the membership hears of the peers' tables, for as long as it is driven.
-    pub async fn run_news(self: Arc<Self>, driver: Arc<PeerDriver>) {
+    pub async fn run_updates(self: Arc<Self>, driver: Arc<PeerDriver>) {
         let mut news = driver.news();
         loop {
             match news.recv().await {
-                Ok(news) => self.on_news(news),
+                Ok(news) => self.on_update(news),
                 Err(RecvError::Lagged(_)) => {}
                 Err(RecvError::Closed) => return,
             }
@@ -142,17 +142,17 @@
 
     /// Drives time for as long as it is driven.
     pub async fn run_ticks(self: Arc<Self>) {
-        let mut ticks = time::interval(TICK);
+        let mut ticks = time::interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
-            self.hear_peers();
+            self.note_peer_reports();
             self.on_event(KeeperEvent::Tick);
-            self.health.note(SystemTime::now(), self.sample());
+            self.health.record(SystemTime::now(), self.sample());
             self.step_plan(PollEvent::Tick);
         }
     }
 
-    fn act(self: &Arc<Self>, action: KeeperAction) {
+    fn perform(self: &Arc<Self>, action: KeeperAction) {
         match action {
             KeeperAction::Alarm { code, head, source } => {
                 let number = code.number();
@@ -175,7 +175,7 @@
     }
 
     /// Takes what the peers' heartbeats told of the platform.
-    fn hear_peers(self: &Arc<Self>) {
+    fn note_peer_reports(self: &Arc<Self>) {
         let heard = self
             .peers
             .get()
@@ -225,7 +225,7 @@
         self.repository.patch_since(since).await.ok()
     }
 
-    fn on_news(self: &Arc<Self>, news: MemberNews) {
+    fn on_update(self: &Arc<Self>, news: MemberNews) {
         let (head, source) = match news {
             MemberNews::DigestDiffers {
                 digest,
@@ -257,7 +257,7 @@
             "a table is in force"
         );
         self.board.put(table);
-        self.ready.clear(TABLE_CONDITION);
+        self.readiness.clear(TABLE_CONDITION);
         self.head_changed.notify_one();
     }
 
@@ -308,12 +308,12 @@
 }
 
 /// What the membership asks when it spreads the table.
-pub struct TableShare<S> {
+pub struct TableExchange<S> {
     /// The driver.
     pub driver: Arc<TableDriver<S>>,
 }
 
-impl<S: RowStore + 'static> peer::TableSource for TableShare<S> {
+impl<S: RowStore + 'static> peer::TableSource for TableExchange<S> {
     fn changes(&self, since: TableVersion) -> Option<Bytes> {
         let patch = self.driver.state.lock().keeper.patch_since(since);
         if patch.version <= since {
@@ -345,7 +345,7 @@
 }
 
 /// Answers the admin server.
-pub struct BoardStatus {
+pub struct EntryStatus {
     /// The table in force.
     pub board: Arc<TableBoard>,
     /// Whether the platform is heard.
@@ -356,7 +356,7 @@
     pub zone: ZoneId,
 }
 
-impl StatusSource for BoardStatus {
+impl StatusSource for EntryStatus {
     fn table_status(&self) -> TableStatus {
         let entry = self.board.entry();
         let digest = entry.as_ref().map_or(0, |entry| entry.table.digest());
--- a/crates/trestlewalk/src/explain.rs
+++ b/crates/trestlewalk/src/explain.rs
@@ -1,6 +1,6 @@
 //! Telling what became of a request from the log lines of many instances.
 
 pub mod log_line;
-pub mod story_book;
+pub mod request_trace;
 
-pub use {log_line::LogLine, story_book::StoryBook};
+pub use {log_line::LogLine, request_trace::RequestTrace};
--- a/crates/trestlewalk/src/explain/story_book.rs
+++ b/crates/trestlewalk/src/explain/request_trace.rs
@@ -9,38 +9,38 @@
 
 /// Collects lines; holds only those of the request, and the last change of state of each log before them.
 #[derive(Debug)]
-pub struct StoryBook {
-    bad: u64,
+pub struct RequestTrace {
+    unreadable_lines: u64,
     id: String,
-    read: u64,
+    lines_read: u64,
     /// By log: the last change of each kind, until the request's line comes.
     state: BTreeMap<String, BTreeMap<String, LogLine>>,
-    tales: Vec<RequestTale>,
+    entries: Vec<TraceEntry>,
 }
 
 /// The line of the request in one log.
 #[derive(Debug)]
-struct RequestTale {
+struct TraceEntry {
     before: Vec<LogLine>,
     line: LogLine,
     source: String,
 }
 
-impl StoryBook {
+impl RequestTrace {
     /// The story, a line each; the last one says why the request ended so.
     pub fn into_lines(mut self) -> Vec<String> {
-        self.tales
+        self.entries
             .sort_by(|one, other| one.line.timestamp.cmp(&other.line.timestamp));
         let mut lines = Vec::new();
-        for tale in &self.tales {
-            tale.tell(&mut lines);
+        for entry in &self.entries {
+            entry.push_lines(&mut lines);
         }
         lines.push(format!(
             "{} lines read, {} of them no log lines",
-            self.read, self.bad
+            self.lines_read, self.unreadable_lines
         ));
-        lines.push(match self.tales.last() {
-            Some(tale) => tale.reason(),
+        lines.push(match self.entries.last() {
+            Some(entry) => entry.reason(),
             None => format!(
                 "no line about {}: it was served in time and is not in the sample, it never came, or its instance died before it ended",
                 self.id
@@ -52,17 +52,17 @@
     /// A book for one request.
     pub fn new(id: &str) -> Self {
         Self {
-            bad: 0,
+            unreadable_lines: 0,
             id: id.to_owned(),
-            read: 0,
+            lines_read: 0,
             state: BTreeMap::new(),
-            tales: Vec::new(),
+            entries: Vec::new(),
         }
     }
 
     /// Takes a line of a log in.
-    pub fn note(&mut self, source: &str, line: LogLine) {
-        self.read += 1;
+    pub fn add(&mut self, source: &str, line: LogLine) {
+        self.lines_read += 1;
         if line.message != ENDED && line.message != REFUSED {
             let state = self.state.entry(source.to_owned()).or_default();
             state.insert(line.message.clone(), line);
@@ -77,7 +77,7 @@
             .flat_map(|changes| changes.values().cloned())
             .collect();
         before.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
-        self.tales.push(RequestTale {
+        self.entries.push(TraceEntry {
             before,
             line,
             source: source.to_owned(),
@@ -85,13 +85,13 @@
     }
 
     /// A line could not be read.
-    pub fn note_bad(&mut self) {
-        self.read += 1;
-        self.bad += 1;
+    pub fn add_unreadable(&mut self) {
+        self.lines_read += 1;
+        self.unreadable_lines += 1;
     }
 }
 
-impl RequestTale {
+impl TraceEntry {
     /// Why the request ended so, in one line.
     fn reason(&self) -> String {
         let code = self.line.code().unwrap_or(0);
@@ -99,7 +99,7 @@
             .iter()
             .find(|known| u64::from(known.number()) == code);
         let text = known.map_or("an unknown code", |known| known.text());
-        let late = self.lateness();
+        let late = self.lateness_text();
         let steps = self.line.field("steps");
         let last = steps
             .split(';')
@@ -116,7 +116,7 @@
     }
 
     /// What made a request late, if it was.
-    fn lateness(&self) -> &'static str {
+    fn lateness_text(&self) -> &'static str {
         let is_over = |value: &str, target: &str| {
             let number = |name: &str| self.line.field(name).parse::<u64>().ok();
             number(value)
@@ -134,7 +134,7 @@
         }
     }
 
-    fn tell(&self, lines: &mut Vec<String>) {
+    fn push_lines(&self, lines: &mut Vec<String>) {
         lines.push(format!(
             "{}: {} {}",
             self.source, self.line.timestamp, self.line.message
--- a/crates/trestlewalk/src/settings.rs
+++ b/crates/trestlewalk/src/settings.rs
@@ -16,7 +16,7 @@
 pub mod node_reader;
 pub mod peer_settings;
 pub mod platform_settings;
-pub mod relay_settings;
+pub mod relay_file;
 pub mod setting_override;
 pub mod settings_check;
 pub mod settings_fault;
@@ -38,7 +38,7 @@
     log_settings::{LogFormat, LogLevel, LogSettings},
     peer_settings::PeerSettings,
     platform_settings::PlatformSettings,
-    relay_settings::{RelayFile, parse_relay_file},
+    relay_file::{RelayFile, parse_relay_file},
     setting_override::SettingOverride,
     settings_fault::{FaultPlace, SettingsFault},
     settings_file::{load_settings, parse_settings},
--- a/crates/trestlewalk/src/settings/name_check.rs
+++ b/crates/trestlewalk/src/settings/name_check.rs
@@ -1,15 +1,15 @@
 //! What a name may look like.
 
 /// The longest name, in bytes.
-pub const LONGEST_NAME: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// Says what is wrong with a name, if anything is. Names stand in headers, paths, tickets and certificates.
 pub fn name_fault(name: &str) -> Option<String> {
     if name.is_empty() {
         return Some("missing".to_owned());
     }
-    if name.len() > LONGEST_NAME {
-        return Some(format!("longer than {LONGEST_NAME} bytes"));
+    if name.len() > MAX_NAME_BYTES {
+        return Some(format!("longer than {MAX_NAME_BYTES} bytes"));
     }
     if !name.chars().all(is_name_char) {
         return Some(format!(
--- a/crates/trestlewalk/src/settings/setting_override.rs
+++ b/crates/trestlewalk/src/settings/setting_override.rs
@@ -37,7 +37,7 @@
                 return Err(path);
             };
             path = path.key(key);
-            let entry = find_entry(entries, key);
+            let entry = find_or_insert_entry(entries, key);
             if path == self.path {
                 entry.line = OVERRIDE_LINE;
             }
@@ -48,7 +48,7 @@
     }
 }
 
-fn find_entry<'a>(entries: &'a mut Vec<NodeEntry>, key: &Arc<str>) -> &'a mut NodeEntry {
+fn find_or_insert_entry<'a>(entries: &'a mut Vec<NodeEntry>, key: &Arc<str>) -> &'a mut NodeEntry {
     let index = match entries.iter().position(|entry| entry.key == *key) {
         Some(index) => index,
         None => {
--- a/crates/trestlewalk/src/settings/settings_check.rs
+++ b/crates/trestlewalk/src/settings/settings_check.rs
@@ -10,13 +10,13 @@
 };
 
 /// With fewer, one failure splits the ring of instances.
-const FEWEST_NEIGHBOURS: u32 = 2;
-const LARGEST_BODY: u64 = 1 << 30;
-const LARGEST_HEADERS: u64 = 1 << 20;
+const MIN_NEIGHBOURS: u32 = 2;
+const MAX_BODY_BYTES: u64 = 1 << 30;
+const MAX_HEADER_BYTES: u64 = 1 << 20;
 /// Longer times are slips of the pen, and far longer ones have no end on the clock.
-const LONGEST_DURATION: Duration = Duration::from_secs(24 * 60 * 60);
-const SHORTEST_SECRET: usize = 16;
-const SMALLEST_HEADERS: u64 = 1 << 10;
+const MAX_DURATION: Duration = Duration::from_secs(24 * 60 * 60);
+const MIN_SECRET_BYTES: usize = 16;
+const MIN_HEADER_BYTES: u64 = 1 << 10;
 
 /// Notes every fault in `list`.
 pub fn check_settings(settings: &EntrySettings, list: &mut FaultList) {
@@ -65,7 +65,7 @@
     if duration.is_zero() {
         list.push(&FieldPath::dotted(path), "has to be longer than 0s");
     }
-    if duration > LONGEST_DURATION {
+    if duration > MAX_DURATION {
         list.push(&FieldPath::dotted(path), "has to be at most 1day");
     }
 }
@@ -75,10 +75,10 @@
     check_duration("heartbeat.dead_after", heartbeat.dead_after, list);
     check_duration("heartbeat.period", heartbeat.period, list);
     check_duration("heartbeat.suspect_after", heartbeat.suspect_after, list);
-    if heartbeat.neighbours < FEWEST_NEIGHBOURS {
+    if heartbeat.neighbours < MIN_NEIGHBOURS {
         list.push(
             &FieldPath::dotted("heartbeat.neighbours"),
-            format!("has to be at least {FEWEST_NEIGHBOURS}"),
+            format!("has to be at least {MIN_NEIGHBOURS}"),
         );
     }
     if heartbeat.suspect_after <= heartbeat.period {
@@ -127,13 +127,13 @@
     check_duration("limits.close", limits.close, list);
     check_duration("limits.first_byte", limits.first_byte, list);
     check_duration("limits.idle", limits.idle, list);
-    if !(1..=LARGEST_BODY).contains(&limits.body) {
+    if !(1..=MAX_BODY_BYTES).contains(&limits.body) {
         list.push(
             &FieldPath::dotted("limits.body"),
             "has to be from 1B to 1GiB",
         );
     }
-    if !(SMALLEST_HEADERS..=LARGEST_HEADERS).contains(&limits.headers) {
+    if !(MIN_HEADER_BYTES..=MAX_HEADER_BYTES).contains(&limits.headers) {
         list.push(
             &FieldPath::dotted("limits.headers"),
             "has to be from 1KiB to 1MiB",
@@ -233,8 +233,8 @@
     let Some(secret) = &settings.secret else {
         return;
     };
-    if secret.len() < SHORTEST_SECRET {
-        let text = format!("has to be at least {SHORTEST_SECRET} bytes long");
+    if secret.len() < MIN_SECRET_BYTES {
+        let text = format!("has to be at least {MIN_SECRET_BYTES} bytes long");
         list.push(&FieldPath::dotted("secret"), text);
     }
 }
--- a/crates/trestlewalk/src/settings/settings_file.rs
+++ b/crates/trestlewalk/src/settings/settings_file.rs
@@ -47,7 +47,7 @@
 ) -> Result<EntrySettings, Vec<SettingsFault>> {
     let tree = parse_tree(file, content)?;
     if tree.value == NodeValue::Null && overrides.is_empty() {
-        return Err(vec![whole_fault(file, "the file is empty")]);
+        return Err(vec![file_fault(file, "the file is empty")]);
     }
     read_settings(file, tree, overrides, settings_check::check_settings)
 }
@@ -76,9 +76,9 @@
     overrides: Vec<SettingOverride>,
     check: impl FnOnce(&T, &mut FaultList),
 ) -> Result<T, Vec<SettingsFault>> {
-    let broken = apply_overrides(&mut tree, overrides);
+    let misplaced = apply_overrides(&mut tree, overrides);
     let mut list = FaultList::new(file, tree.clone());
-    for (path, text) in broken {
+    for (path, text) in misplaced {
         list.push(&path, text);
     }
     drop_repeated_fields(&FieldPath::default(), &mut tree, &mut list);
@@ -95,14 +95,14 @@
     tree: &mut SettingsNode,
     overrides: Vec<SettingOverride>,
 ) -> Vec<(FieldPath, String)> {
-    let mut broken = Vec::new();
+    let mut misplaced = Vec::new();
     for setting in overrides {
         let text = format!("`{}` needs a section here", setting.path);
         if let Err(path) = setting.apply(tree) {
-            broken.push((path, text));
+            misplaced.push((path, text));
         }
     }
-    broken
+    misplaced
 }
 
 /// Reads the tree; each value that does not fit is noted, taken out and read as its default.
@@ -158,11 +158,11 @@
     let line = u64::try_from(breaks).map_or(u64::MAX, |breaks| breaks + 1);
     SettingsFault {
         place: FaultPlace::Line(line),
-        ..whole_fault(file, "the text is not UTF-8")
+        ..file_fault(file, "the text is not UTF-8")
     }
 }
 
-fn whole_fault(file: &str, text: &str) -> SettingsFault {
+fn file_fault(file: &str, text: &str) -> SettingsFault {
     SettingsFault {
         field: Arc::default(),
         file: Arc::from(file),
@@ -179,6 +179,6 @@
     };
     SettingsFault {
         place,
-        ..whole_fault(file, &format!("not YAML: {text}"))
+        ..file_fault(file, &format!("not YAML: {text}"))
     }
 }
--- a/crates/trestlewalk/src/subcommand/demo.rs
+++ b/crates/trestlewalk/src/subcommand/demo.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         RunError,
-        demo::{DayPlan, DemoWorld, run_day},
+        demo::{DayPlan, DemoSystem, run_day},
         run_error::{DemoFailedSnafu, RuntimeSnafu},
     },
     clap::Args,
@@ -34,31 +34,31 @@
     /// A socket can't be opened, or a request failed.
     pub fn run(self) -> Result<(), RunError> {
         let runtime = Runtime::new().context(RuntimeSnafu)?;
-        runtime.block_on(self.run_world())
+        runtime.block_on(self.run_system())
     }
 
-    async fn run_world(self) -> Result<(), RunError> {
+    async fn run_system(self) -> Result<(), RunError> {
         println!(
             "starting the platform, 3 availability zones, 18 engines, 6 plain replicas, 3 entry instances"
         );
-        let mut world = DemoWorld::start().await?;
+        let mut system = DemoSystem::start().await?;
         let plan = DayPlan::new(Duration::from_secs(self.seconds), DAY_SEED);
         println!(
             "the day begins: {} requests in {} s",
             plan.arrivals.len(),
             self.seconds
         );
-        let report = run_day(&mut world, plan).await?;
+        let report = run_day(&mut system, plan).await?;
         println!("\n{report}");
-        let (read, wasted) = world.wasted_tokens();
+        let (read, wasted) = system.wasted_tokens();
         println!("prompt tokens read by the engines: {read}, of them wasted: {wasted}");
         for (reason, count) in &report.failures {
             println!("failed {count} times: {reason}");
         }
         if self.serve {
-            serve(&world).await;
+            serve(&system).await;
         }
-        let cut = world.close().await;
+        let cut = system.close().await;
         let (answered, refused, failed) = report.totals();
         println!("{answered} answered, {refused} refused, {failed} failed");
         if cut + failed > 0 {
@@ -71,8 +71,8 @@
     }
 }
 
-async fn serve(world: &DemoWorld) {
-    for entry in &world.entries {
+async fn serve(system: &DemoSystem) {
+    for entry in &system.entries {
         let callers = entry.line.callers;
         let admin = entry.line.admin;
         println!("\n{}: callers {callers}, admin {admin}", entry.zone);
--- a/crates/trestlewalk/src/subcommand/explain.rs
+++ b/crates/trestlewalk/src/subcommand/explain.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         RunError,
-        explain::{LogLine, StoryBook},
+        explain::{LogLine, RequestTrace},
         run_error::ReadFileSnafu,
         text_output::print_line,
     },
@@ -17,7 +17,7 @@
 };
 
 /// Longer lines are no log lines of ours; they are counted as bad, and never held in memory whole.
-const LONGEST_LINE: u64 = 64 << 10;
+const MAX_LINE_BYTES: u64 = 64 << 10;
 /// Stands for standard input among the files.
 const STANDARD_INPUT: &str = "-";
 
@@ -39,18 +39,18 @@
     ///
     /// A file can't be read.
     pub fn run(self) -> Result<(), RunError> {
-        let mut book = StoryBook::new(&self.id);
+        let mut trace = RequestTrace::new(&self.id);
         for path in &self.files {
-            read_log(path, &mut book).context(ReadFileSnafu { path })?;
+            read_log(path, &mut trace).context(ReadFileSnafu { path })?;
         }
-        for line in book.into_lines() {
+        for line in trace.into_lines() {
             print_line(&line)?;
         }
         Ok(())
     }
 }
 
-fn read_log(path: &Path, book: &mut StoryBook) -> io::Result<()> {
+fn read_log(path: &Path, trace: &mut RequestTrace) -> io::Result<()> {
     let file: Box<dyn Read> = match path.to_str() {
         Some(STANDARD_INPUT) => Box::new(io::stdin()),
         _ => Box::new(File::open(path)?),
@@ -62,20 +62,20 @@
         text.clear();
         let count = reader
             .by_ref()
-            .take(LONGEST_LINE)
+            .take(MAX_LINE_BYTES)
             .read_until(b'\n', &mut text)?;
         if count == 0 {
             return Ok(());
         }
-        let is_cut = !text.ends_with(b"\n") && count as u64 == LONGEST_LINE;
+        let is_cut = !text.ends_with(b"\n") && count as u64 == MAX_LINE_BYTES;
         if is_cut {
             reader.skip_until(b'\n')?;
-            book.note_bad();
+            trace.add_unreadable();
             continue;
         }
         match LogLine::read(&text) {
-            Some(line) => book.note(&source, line),
-            None => book.note_bad(),
+            Some(line) => trace.add(&source, line),
+            None => trace.add_unreadable(),
         }
     }
 }
--- a/crates/trestlewalk/src/subcommand/table/apply.rs
+++ b/crates/trestlewalk/src/subcommand/table/apply.rs
@@ -128,7 +128,7 @@
         let start = Instant::now();
         loop {
             let answers = probe.ask_all().await;
-            for zone in watch.hear(&answers, start.elapsed()) {
+            for zone in watch.record_answers(&answers, start.elapsed()) {
                 print_text(&format!("{}\n", watch.zone_text(&zone)))?;
             }
             if watch.is_done() || start.elapsed() >= self.wait {
@@ -136,7 +136,7 @@
             }
             tokio::time::sleep(PROBE_PAUSE).await;
         }
-        let open = watch.open_zones();
+        let open = watch.pending_zones();
         for zone in &open {
             print_text(&format!("{}\n", watch.zone_text(zone)))?;
         }
--- a/crates/trestlewalk/src/subcommand/table/zone_watch.rs
+++ b/crates/trestlewalk/src/subcommand/table/zone_watch.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct ZoneWatch {
     digests: BTreeSet<TableDigest>,
-    homes: BTreeMap<SocketAddr, ZoneId>,
+    known_zones: BTreeMap<SocketAddr, ZoneId>,
     states: BTreeMap<ZoneId, ZoneState>,
     version: TableVersion,
     zones: BTreeSet<ZoneId>,
@@ -40,16 +40,16 @@
 
 impl ZoneWatch {
     /// Takes a round of answers, `passed` after the edit; the zones that came into force with it, by name.
-    pub fn hear(&mut self, answers: &ProbeAnswers, passed: Duration) -> Vec<ZoneId> {
+    pub fn record_answers(&mut self, answers: &ProbeAnswers, passed: Duration) -> Vec<ZoneId> {
         let mut states: BTreeMap<ZoneId, ZoneState> = BTreeMap::new();
         for zone in &self.zones {
             states.insert(zone.clone(), ZoneState::default());
         }
         for (address, answer) in answers {
             if let Some(status) = answer {
-                self.homes.insert(*address, status.zone.clone());
+                self.known_zones.insert(*address, status.zone.clone());
             }
-            let state = states.entry(self.home_of(*address)).or_default();
+            let state = states.entry(self.zone_of(*address)).or_default();
             let Some(status) = answer else {
                 state.silent.insert(*address);
                 continue;
@@ -64,17 +64,17 @@
                 self.digests.insert(status.digest);
             }
         }
-        let mut fresh = Vec::new();
+        let mut newly_in_force = Vec::new();
         for (zone, state) in &mut states {
             let earlier = self.states.get(zone).and_then(|earlier| earlier.in_force);
             let is_ready = state.answered > 0 && state.ready == state.answered;
             state.in_force = earlier.or(is_ready.then_some(passed));
             if earlier.is_none() && is_ready {
-                fresh.push(zone.clone());
+                newly_in_force.push(zone.clone());
             }
         }
         self.states = states;
-        fresh
+        newly_in_force
     }
 
     /// Whether the edit is in force in every zone, at every instance.
@@ -92,15 +92,15 @@
 
     /// A watch of an edit that made `version`, over zones known beforehand and instances that answered before.
     pub fn new(version: TableVersion, zones: BTreeSet<ZoneId>, before: &ProbeAnswers) -> Self {
-        let mut homes = BTreeMap::new();
+        let mut known_zones = BTreeMap::new();
         for (address, answer) in before {
             if let Some(status) = answer {
-                homes.insert(*address, status.zone.clone());
+                known_zones.insert(*address, status.zone.clone());
             }
         }
         Self {
             digests: BTreeSet::new(),
-            homes,
+            known_zones,
             states: BTreeMap::new(),
             version,
             zones,
@@ -108,7 +108,7 @@
     }
 
     /// The zones where the edit is not in force.
-    pub fn open_zones(&self) -> Vec<ZoneId> {
+    pub fn pending_zones(&self) -> Vec<ZoneId> {
         let mut zones = Vec::new();
         for (zone, state) in &self.states {
             if state.in_force.is_none() {
@@ -150,8 +150,8 @@
         self.states.keys().cloned().collect()
     }
 
-    fn home_of(&self, address: SocketAddr) -> ZoneId {
-        match self.homes.get(&address) {
+    fn zone_of(&self, address: SocketAddr) -> ZoneId {
+        match self.known_zones.get(&address) {
             Some(zone) => zone.clone(),
             None => UNKNOWN_ZONE.into(),
         }
--- a/crates/trestlewalk/tests/table_driver.rs
+++ b/crates/trestlewalk/tests/table_driver.rs
@@ -17,7 +17,7 @@
     },
     table::{FileBase, read_csv},
     trestlewalk::{
-        admin::ReadyBoard,
+        admin::ReadinessState,
         entry::{PlatformHealth, TableDriver},
     },
 };
@@ -103,7 +103,7 @@
         .instance("gijon-1".into())
         .plan(plan())
         .pool(pool.clone())
-        .ready(Arc::new(ReadyBoard::new()))
+        .readiness(Arc::new(ReadinessState::new()))
         .repository(TableRepository::new(rows.clone()))
         .build();
     pool.spawn(Arc::new(driver).run_ticks());
--- a/crates/trestlewalk/tests/zone_watch.rs
+++ b/crates/trestlewalk/tests/zone_watch.rs
@@ -36,10 +36,10 @@
     let first = answers(&[status("a", 6, 1), status("a", 6, 1), status("b", 6, 1)]);
     let mut watch = ZoneWatch::new(7, BTreeSet::new(), &first);
     let second = answers(&[status("a", 7, 2), status("a", 6, 1), status("b", 7, 2)]);
-    assert_eq!(watch.hear(&second, SECOND), ["b".into()]);
+    assert_eq!(watch.record_answers(&second, SECOND), ["b".into()]);
     assert!(!watch.is_done());
     let third = answers(&[status("a", 7, 2), status("a", 9, 3), status("b", 9, 3)]);
-    assert_eq!(watch.hear(&third, 2 * SECOND), ["a".into()]);
+    assert_eq!(watch.record_answers(&third, 2 * SECOND), ["a".into()]);
     assert!(watch.is_done());
     assert!(!watch.digests_differ());
     assert_eq!(
@@ -53,8 +53,8 @@
     let first = answers(&[status("a", 6, 1), status("b", 6, 1)]);
     let mut watch = ZoneWatch::new(7, BTreeSet::from(["c".into()]), &first);
     let second = answers(&[status("a", 7, 2), None]);
-    watch.hear(&second, SECOND);
-    assert_eq!(watch.open_zones(), ["b".into(), "c".into()]);
+    watch.record_answers(&second, SECOND);
+    assert_eq!(watch.pending_zones(), ["b".into(), "c".into()]);
     let text = watch.zone_text("b");
     assert_eq!(
         text,
@@ -65,6 +65,6 @@
 #[test]
 fn one_version_with_two_digests_is_seen() {
     let mut watch = ZoneWatch::new(7, BTreeSet::new(), &ProbeAnswers::new());
-    watch.hear(&answers(&[status("a", 7, 2), status("b", 7, 3)]), SECOND);
+    watch.record_answers(&answers(&[status("a", 7, 2), status("b", 7, 3)]), SECOND);
     assert!(watch.digests_differ());
 }
