--- a/crates/kernel/src/ids.rs
+++ b/crates/kernel/src/ids.rs
@@ -2,29 +2,29 @@
 
 use std::sync::Arc;
 
-/// Names one entry instance, as its settings give it.
+/// Identifies one instance, as named in its settings.
 pub type InstanceId = Arc<str>;
-/// Names one availability zone.
+/// Identifies one availability zone.
 pub type ZoneId = Arc<str>;
-/// Names one upstream: a model engine or a replica of a plain service.
+/// Identifies one upstream: a model engine or a replica of a plain service.
 pub type UpstreamId = Arc<str>;
-/// Names one service, such as `redactor` or `booking-app`.
+/// Identifies one service, such as `redactor` or `booking-app`.
 pub type ServiceId = Arc<str>;
-/// Names one customer, as the operators declare it.
+/// Identifies one customer, as declared by the operators.
 pub type CustomerId = Arc<str>;
-/// Names one model.
+/// Identifies one model.
 pub type ModelId = Arc<str>;
-/// Names one kind of work: the key of a row of the table.
+/// Identifies one kind of work: the key of a row of the table.
 pub type WorkId = Arc<str>;
-/// Names one ticket.
+/// Identifies one ticket.
 pub type TicketId = Arc<str>;
-/// Tells two lives of one entry instance apart; a later life has a greater number. Unix microseconds at start.
+/// Distinguishes restarts of one instance: Unix microseconds at start, so a later start has a greater number.
 pub type Incarnation = u64;
-/// Counts the accepted edits of the table; it never goes down.
+/// Counts the accepted edits of the table; never decreases.
 pub type TableVersion = u64;
-/// The hash of a table's whole content.
+/// The hash of the entire content of a table.
 pub type TableDigest = u64;
-/// The fencing number of a lease; a later lease has a greater number.
+/// The fencing token of a lease; a later lease has a greater token.
 pub type FencingToken = u64;
-/// The hash of one block of a prompt's prefix, chained over all blocks before it.
+/// The hash of one block of a prompt prefix, chained over all preceding blocks.
 pub type BlockHash = u64;
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every part of the process shares: ids, result codes, plug-ins, ranked locks, seeded hashing, the pool of
-//! background work and the signal that ends it.
+//! Shared by all crates: ids, result codes, plug-ins, ranked locks, seeded hashing, clocks, and the pool of background
+//! tasks with the signal that stops it.
 
 pub mod ids;
 pub mod plugin_entry;
--- a/crates/kernel/src/ranked_lock.rs
+++ b/crates/kernel/src/ranked_lock.rs
@@ -1,4 +1,4 @@
-//! Locks with a stated order, asserted in debug builds. `docs/LOCKS.md` lists the ranks.
+//! Mutexes with a global lock order that debug builds assert. `docs/LOCKS.md` lists the ranks.
 
 #[cfg(debug_assertions)]
 use std::cell::RefCell;
@@ -9,7 +9,7 @@
 
 macro_rules! lock_ranks {
     ($(#[doc = $text:literal] $name:ident = $number:literal,)*) => {
-        /// The place of a lock in the order: a thread takes locks by rising rank.
+        /// The position of a lock in the lock order: a thread acquires locks by ascending rank.
         #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
         #[repr(u8)]
         pub enum LockRank {
@@ -17,15 +17,15 @@
         }
 
         impl LockRank {
-            /// Every rank, in the order of their numbers.
+            /// Every rank, in ascending order.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// The place in the order.
+            /// The position in the lock order; lower ranks are acquired first.
             pub fn number(self) -> u8 {
                 self as u8
             }
 
-            /// What locks of the rank guard, in one line.
+            /// What locks of this rank protect, in one line.
             pub fn text(self) -> &'static str {
                 match self {
                     $(Self::$name => $text.trim_ascii(),)*
@@ -71,7 +71,7 @@
   static HELD_RANKS: RefCell<Vec<LockRank>> = const { RefCell::new(Vec::new()) };
 }
 
-/// A mutex that asserts the lock order in debug builds. Never held across an await.
+/// A mutex that asserts the lock order in debug builds. It must not be held across an await.
 #[derive(Debug)]
 pub struct RankedLock<T> {
     mutex: Mutex<T>,
@@ -79,7 +79,7 @@
     rank: LockRank,
 }
 
-/// The guard of a [`RankedLock`].
+/// Releases its [`RankedLock`] when dropped.
 pub struct RankedGuard<'a, T> {
     guard: MutexGuard<'a, T>,
     #[cfg(debug_assertions)]
@@ -87,11 +87,11 @@
 }
 
 impl<T> RankedLock<T> {
-    /// Takes the lock.
+    /// Acquires the lock. A poisoned lock is acquired all the same.
     ///
     /// # Panics
     ///
-    /// In debug builds, when the thread already holds a lock of the same or a greater rank.
+    /// In debug builds, if the thread already holds a lock of the same or a greater rank.
     pub fn lock(&self) -> RankedGuard<'_, T> {
         #[cfg(debug_assertions)]
         HELD_RANKS.with_borrow_mut(|held| {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A lock of the given rank around a value.
+    /// Creates a lock of the given rank around a value.
     pub fn new(rank: LockRank, value: T) -> Self {
         #[cfg(not(debug_assertions))]
         let _ = rank;
--- a/crates/kernel/src/result_code.rs
+++ b/crates/kernel/src/result_code.rs
@@ -1,10 +1,10 @@
-//! The numbered results that callers, operators and logs see. `docs/CODES.md` has the same table.
+//! The numbered results shown to callers and operators and in logs. `docs/CODES.md` has the same table.
 
 use serde::{Deserialize, Serialize};
 
 macro_rules! result_codes {
   ($($(#[$meta:meta])* $name:ident = $number:literal, $status:literal, $text:literal;)*) => {
-    /// One numbered result.
+    /// The outcome of a request or an operator command.
     #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
     #[repr(u16)]
     pub enum ResultCode {
@@ -12,15 +12,15 @@
     }
 
     impl ResultCode {
-      /// Every code, in the order of its numbers.
+      /// Every code, in ascending order of number.
       pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-      /// The number that callers and operators see.
+      /// The number shown to callers and operators.
       pub fn number(self) -> u16 {
         self as u16
       }
 
-      /// The HTTP status that goes with the code.
+      /// The HTTP status sent with the code.
       pub fn status(self) -> u16 {
         match self {
           $(Self::$name => $status,)*
@@ -89,7 +89,7 @@
 }
 
 impl ResultCode {
-    /// Whether the code promises that the request did not run.
+    /// Whether the code guarantees that the request did not run, so that a retry is safe.
     pub fn not_run(self) -> bool {
         matches!(self.number(), 2000..3000 | 4001..=4002)
     }
--- a/crates/kernel/src/seeded_rng.rs
+++ b/crates/kernel/src/seeded_rng.rs
@@ -1,11 +1,11 @@
-//! A small seeded mixer for decisions that need a number without a generator's state.
+//! Stateless seeded hashing, for decisions that need a reproducible pseudo-random number.
 
-/// Mixes a seed and a value to an even 64-bit number; the same input gives the same output.
+/// Hashes a seed and a value to a uniformly distributed number; the same input gives the same output.
 pub fn mix(seed: u64, value: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(value, seed)
 }
 
-/// The winner among `candidates` for `key` by rendezvous hashing: the greatest score, the name as tie-break.
+/// Picks the candidate for `key` by rendezvous hashing: the greatest score, ties broken by name; `None` without candidates.
 pub fn rendezvous<'a, T: AsRef<str>>(
     key: &str,
     candidates: impl IntoIterator<Item = &'a T>,
@@ -19,7 +19,7 @@
     (rendezvous_score(key, candidate), candidate)
 }
 
-/// The score of one candidate for `key`.
+/// The rendezvous hashing score of one candidate for `key`.
 pub fn rendezvous_score(key: &str, candidate: &str) -> u64 {
     mix(mix(0, key.as_bytes()), candidate.as_bytes())
 }
--- a/crates/kernel/src/shutdown_signal.rs
+++ b/crates/kernel/src/shutdown_signal.rs
@@ -1,15 +1,15 @@
-//! The signal that a process is closing.
+//! The signal that a process is shutting down.
 
 use tokio_util::sync::CancellationToken;
 
-/// Tells every part that the process is closing. Clones share one signal.
+/// Tells every task that the process is shutting down. Clones share one signal.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownSignal {
     token: CancellationToken,
 }
 
 impl ShutdownSignal {
-    /// Whether the signal was raised.
+    /// Whether the signal has been raised; it is never lowered again.
     pub fn is_raised(&self) -> bool {
         self.token.is_cancelled()
     }
--- a/crates/kernel/src/state_map.rs
+++ b/crates/kernel/src/state_map.rs
@@ -1,4 +1,4 @@
-//! The shared state of one process, by type. For control work only: nothing on the request path looks here.
+//! The shared state of one process, by type. Meant for dumps and metrics; the request path does not use it.
 
 use std::{
     any::{Any, TypeId},
@@ -13,7 +13,7 @@
 }
 
 impl StateMap {
-    /// The value of type `T`, if one was put in.
+    /// The value of type `T`; `None` if none was inserted.
     pub fn get<T: Any + Send + Sync>(&self) -> Option<Arc<T>> {
         let values = self
             .values
@@ -23,7 +23,7 @@
         value.downcast::<T>().ok()
     }
 
-    /// Puts a value in, in place of an earlier one of its type.
+    /// Inserts a value, replacing an earlier one of its type.
     pub fn insert<T: Any + Send + Sync>(&self, value: Arc<T>) {
         let mut values = self
             .values
@@ -32,7 +32,7 @@
         values.insert(TypeId::of::<T>(), value);
     }
 
-    /// An empty map.
+    /// Creates an empty map.
     pub fn new() -> Self {
         Self::default()
     }
--- a/crates/kernel/src/steady_clock.rs
+++ b/crates/kernel/src/steady_clock.rs
@@ -1,7 +1,8 @@
-//! A clock that never goes back, and goes on while the machine is suspended.
+//! A monotonic clock that also advances while the host is suspended.
 //!
-//! The system's usual steady clock stands still then. By it a lease that has lapsed still holds when the machine goes on, a
-//! list that is seconds old is fresh, and a caller has all the time left that it has waited meanwhile.
+//! `CLOCK_MONOTONIC`, which [`Instant`] uses, stops during a suspension. Measured by it, an expired lease would still be
+//! valid after the host resumes, an old list would count as fresh, and the time that a caller spent waiting would not
+//! count against its deadline.
 
 use {
     rustix::time::{ClockId, Timespec, clock_gettime},
@@ -16,17 +17,18 @@
 
 static OWN_COUNT: SuspendCount = SuspendCount::new();
 
-/// Counts the time that a machine was suspended.
+/// Derives how long the host has been suspended from two clock readings.
 #[derive(Debug)]
 pub struct SuspendCount {
-    /// What the clocks differed by at first, nanoseconds.
+    /// The difference of the two clocks at the first reading, nanoseconds.
     before: OnceLock<u64>,
-    /// The most that was seen since then. Two clocks can't be read at one moment; the readings that came closest hold.
+    /// The greatest difference seen since then, nanoseconds. The two clocks can't be read at the same instant, and a delay
+    /// between the readings makes the difference smaller, so the greatest value is the most accurate.
     longest: AtomicU64,
 }
 
 impl SuspendCount {
-    /// Nothing is counted yet.
+    /// Creates a count without a reference reading.
     pub const fn new() -> Self {
         Self {
             before: OnceLock::new(),
@@ -34,7 +36,8 @@
         }
     }
 
-    /// The suspended time since the first reading, by a clock that counts it and one that does not.
+    /// Returns the total suspended time since the first call; never decreases. `counting` is read from a clock that includes
+    /// suspensions, `steady` from one that does not.
     pub fn note(&self, counting: Duration, steady: Duration) -> Duration {
         let all = counting.saturating_sub(steady).as_nanos();
         let all = u64::try_from(all).unwrap_or(u64::MAX);
@@ -50,14 +53,14 @@
     }
 }
 
-/// How long ago a moment of this clock was.
+/// The time since an instant of this clock; zero for an instant in the future.
 pub fn elapsed(since: Instant) -> Duration {
     now().saturating_duration_since(since)
 }
 
-/// This moment, later than the system's by the time that the machine was suspended since the process began.
+/// The current instant: [`Instant::now`] plus the time that the host was suspended since the first call.
 pub fn now() -> Instant {
-    // In this order a pause between the two readings makes the suspended time shorter, never longer.
+    // In this order a delay between the two readings makes the suspended time shorter, never longer.
     let counting = since_boot(ClockId::Boottime);
     let steady = since_boot(ClockId::Monotonic);
     Instant::now() + OWN_COUNT.note(counting, steady)
--- a/crates/kernel/src/unix_time.rs
+++ b/crates/kernel/src/unix_time.rs
@@ -1,8 +1,8 @@
-//! Wall-clock helpers for what crosses processes.
+//! Wall-clock conversions for timestamps exchanged between processes.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The time as the duration since the Unix epoch; zero for a time before it.
+/// The duration since the Unix epoch; zero for a time before it.
 pub fn since_epoch(time: SystemTime) -> Duration {
     time.duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/kernel/src/worker_pool.rs
+++ b/crates/kernel/src/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of workers that carries a process's background work, closed as one.
+//! The background tasks of a process, shut down together.
 
 use {
     crate::shutdown_signal::ShutdownSignal,
@@ -6,7 +6,7 @@
     tokio_util::task::TaskTracker,
 };
 
-/// Runs background tasks until the close signal; closing waits for them.
+/// Runs background tasks until shutdown, and waits for them to end.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerPool {
     signal: ShutdownSignal,
@@ -14,7 +14,7 @@
 }
 
 impl WorkerPool {
-    /// Raises the signal and waits for all workers; `false` when `limit` ended the wait.
+    /// Raises the signal and waits for all tasks; `false` when some were still running after `limit`.
     pub async fn close(self, limit: Duration) -> bool {
         self.signal.raise();
         self.tracker.close();
@@ -23,17 +23,17 @@
             .is_ok()
     }
 
-    /// An empty pool.
+    /// Creates a pool without tasks.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The signal that the workers watch.
+    /// The signal that ends the tasks of this pool.
     pub fn signal(&self) -> ShutdownSignal {
         self.signal.clone()
     }
 
-    /// Starts a worker that ends by itself or is dropped at the close signal.
+    /// Spawns a task that is dropped when the signal is raised.
     pub fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         let signal = self.signal.clone();
         self.tracker.spawn(async move {
@@ -44,7 +44,7 @@
         });
     }
 
-    /// Starts a worker that watches the signal itself and is waited for at close.
+    /// Spawns a task that watches the signal itself; [`Self::close`] waits for it to end.
     pub fn spawn_watching(&self, work: impl Future<Output = ()> + Send + 'static) {
         self.tracker.spawn(work);
     }
--- a/crates/kernel/tests/steady_clock.rs
+++ b/crates/kernel/tests/steady_clock.rs
@@ -1,4 +1,4 @@
-//! Moments that count the time in which the machine was suspended.
+//! The clock includes the time during which the host was suspended.
 
 use {
     kernel::steady_clock::{self, SuspendCount},
@@ -9,7 +9,7 @@
     },
 };
 
-/// The crates whose decisions rest on what was true a while ago: leases, news of the store, callers that wait.
+/// Crates whose decisions depend on ages: leases, updates from the store, waiting callers.
 const CRATES: [&str; 3] = ["lease", "relay", "spread"];
 
 fn seconds(value: u64) -> Duration {
@@ -22,21 +22,21 @@
     assert_eq!(count.note(seconds(100), seconds(90)), Duration::ZERO);
     assert_eq!(count.note(seconds(101), seconds(91)), Duration::ZERO);
     assert_eq!(count.note(seconds(107), seconds(92)), seconds(5));
-    // The process stood still between the two readings: no time goes back.
+    // The process was paused between the two readings: the result must not decrease.
     assert_eq!(count.note(seconds(108), seconds(95)), seconds(5));
     assert_eq!(count.note(seconds(120), seconds(102)), seconds(8));
 }
 
 #[test]
 fn it_never_goes_back_and_is_not_behind_the_systems_clock() {
-    let mut before = steady_clock::now();
+    let mut previous = steady_clock::now();
     for _ in 0..10_000 {
         let system = Instant::now();
         let now = steady_clock::now();
-        assert!(now >= before && now >= system);
-        before = now;
+        assert!(now >= previous && now >= system);
+        previous = now;
     }
-    assert!(steady_clock::elapsed(before) < seconds(60));
+    assert!(steady_clock::elapsed(previous) < seconds(60));
 }
 
 #[test]
@@ -53,7 +53,7 @@
                 }
                 let text = fs::read_to_string(&path).unwrap();
                 for (number, line) in text.lines().enumerate() {
-                    // Timers of the runtime are bounds of waits alone.
+                    // Timers of the runtime only bound waits.
                     let is_timer = line.contains("time::Instant::now()");
                     let reads = line.contains("Instant::now()") || line.contains(".elapsed()");
                     let place = format!("{}:{}", path.display(), number + 1);
--- a/crates/policy/src/cache_index.rs
+++ b/crates/policy/src/cache_index.rs
@@ -1,9 +1,9 @@
-//! Which engines hold the KV cache of a prompt, by what they listed a moment ago.
+//! An index of the engines that hold the KV cache of a prompt, from the lists they return.
 //!
-//! When an instance is lost, the streams that went through it break, and their callers come back to other instances, or to
-//! the next life of the same one. The engines go on, and keep what they have read until the memory is needed: for some
-//! seconds. A prompt that is found again costs no reading, neither the engine's time nor the caller's. Counted 3.6 s after all
-//! instances had lost power: of some 35 callers that came back, two thirds found their prompts listed.
+//! When an instance crashes, its streams break and their callers reconnect to other instances, or to the same one after its
+//! restart. The engines keep running, and keep the KV cache for some seconds, until the memory is needed. A prompt that is
+//! still cached needs no second prefill. 3.6 s after all instances had lost power, two thirds of some 35 callers that
+//! reconnected found their prompts listed.
 
 use {
     kernel::UpstreamId,
@@ -14,31 +14,31 @@
     },
 };
 
-/// How long a list is gone by. Callers of a lost instance come back within a second of each other, and an engine reads
-/// some three prompts in that time.
-const LIST_LIFE: Duration = Duration::from_secs(1);
+/// How long a list is used. Callers of a crashed instance reconnect within a second of each other, and an engine prefills
+/// about three prompts in that time.
+const LIST_TTL: Duration = Duration::from_secs(1);
 
-/// The parts that engines listed.
+/// The latest list of each engine; an entry names the prompt of a cached KV.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
-    lists: BTreeMap<UpstreamId, PartList>,
+    lists: BTreeMap<UpstreamId, CacheList>,
 }
 
 #[derive(Clone, Debug)]
-struct PartList {
-    at: Instant,
-    parts: BTreeSet<Arc<str>>,
+struct CacheList {
+    received: Instant,
+    prompts: BTreeSet<Arc<str>>,
 }
 
 impl CacheIndex {
-    /// The engines that listed a part.
-    pub fn holders(&self, part: &str, now: Instant) -> Vec<UpstreamId> {
+    /// The engines whose current list names `prompt`.
+    pub fn holders(&self, prompt: &str, now: Instant) -> Vec<UpstreamId> {
         let fresh = self.lists.iter().filter(|(_, list)| list.is_fresh(now));
-        let holding = fresh.filter(|(_, list)| list.parts.contains(part));
+        let holding = fresh.filter(|(_, list)| list.prompts.contains(prompt));
         holding.map(|(engine, _)| engine.clone()).collect()
     }
 
-    /// Whether the list of an engine has to be asked for.
+    /// Whether the list of an engine is missing or expired and has to be requested.
     pub fn needs_refresh(&self, engine: &UpstreamId, now: Instant) -> bool {
         !self
             .lists
@@ -46,21 +46,27 @@
             .is_some_and(|list| list.is_fresh(now))
     }
 
-    /// An engine listed what it holds.
+    /// Records the list of an engine, replacing the previous one.
     pub fn note(
         &mut self,
         engine: UpstreamId,
-        parts: impl IntoIterator<Item = Arc<str>>,
+        prompts: impl IntoIterator<Item = Arc<str>>,
         now: Instant,
     ) {
         self.lists.retain(|_, list| list.is_fresh(now));
-        let parts = parts.into_iter().collect();
-        self.lists.insert(engine, PartList { at: now, parts });
+        let prompts = prompts.into_iter().collect();
+        self.lists.insert(
+            engine,
+            CacheList {
+                received: now,
+                prompts,
+            },
+        );
     }
 }
 
-impl PartList {
+impl CacheList {
     fn is_fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < LIST_LIFE
+        now.saturating_duration_since(self.received) < LIST_TTL
     }
 }
--- a/crates/policy/src/caller_key.rs
+++ b/crates/policy/src/caller_key.rs
@@ -1,4 +1,4 @@
-//! Keys of callers: secrets that are compared by keyed digests and written nowhere.
+//! Caller keys: secrets that are compared by keyed digests and never written out.
 
 use {
     ring::{
@@ -12,22 +12,23 @@
     },
 };
 
-/// The length of a digest and of its salt, bytes: that of SHA-256.
+/// The length of a digest and of its salt, bytes; that of a SHA-256 digest.
 const LENGTH: usize = 32;
 
-/// The key that a caller shows. It has no text form, so that it gets into no log line, error or message.
+/// The key presented by a caller. It has no text form, so that it can't end up in a log line, an error or a message.
 #[derive(Clone)]
 pub struct CallerKey(Arc<[u8]>);
 
-/// What digests of one declaration are keyed with: without it a digest tells nothing of a key, also of a weak one.
+/// The secret salt of the digests in one declaration. Without it a digest reveals nothing about a key, not even about a
+/// weak one.
 #[derive(Clone, Copy, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeySalt([u8; LENGTH]);
 
-/// The keyed digest of a key, HMAC-SHA-256.
+/// The HMAC-SHA-256 of a key under a [`KeySalt`].
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct KeyDigest([u8; LENGTH]);
 
-/// Works digests out for one salt.
+/// Computes digests under one salt.
 #[derive(Clone)]
 pub struct KeyHasher {
     key: hmac::Key,
@@ -35,14 +36,14 @@
 }
 
 impl CallerKey {
-    /// The key with these bytes.
+    /// Creates a key from the bytes that the caller sent.
     pub fn new(bytes: &[u8]) -> Self {
         Self(Arc::from(bytes))
     }
 }
 
 impl KeySalt {
-    /// A salt that nobody can guess; none when the system has no randomness.
+    /// Generates a salt; `None` when the system has no source of randomness.
     pub fn random() -> Option<Self> {
         let mut salt = [0; LENGTH];
         SystemRandom::new().fill(&mut salt).ok()?;
@@ -51,7 +52,7 @@
 }
 
 impl KeyHasher {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn digest(&self, key: &CallerKey) -> KeyDigest {
         let tag = hmac::sign(&self.key, &key.0);
         let mut digest = [0; LENGTH];
@@ -59,7 +60,7 @@
         KeyDigest(digest)
     }
 
-    /// A hasher with a salt.
+    /// Creates a hasher for one salt.
     pub fn new(salt: KeySalt) -> Self {
         Self {
             key: hmac::Key::new(hmac::HMAC_SHA256, &salt.0),
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The salt.
+    /// The salt of the digests, needed to compute the same ones elsewhere.
     pub fn salt(&self) -> KeySalt {
         self.salt
     }
--- a/crates/policy/src/crash_report.rs
+++ b/crates/policy/src/crash_report.rs
@@ -1,4 +1,4 @@
-//! What one instance tells others of a request under which an upstream ended.
+//! Reports of requests that were running at an upstream when it crashed, as exchanged between instances.
 
 use {
     crate::RequestFingerprint,
@@ -7,40 +7,40 @@
     std::time::Duration,
 };
 
-/// How much the end of an upstream tells against a request that ran there; of two marks for the same pair the greater holds.
+/// How strongly a crash suggests that a request caused it. Of two marks for the same request and upstream the greater wins.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrashMark {
-    /// The upstream ended long after the request began.
+    /// The upstream crashed long after the request started.
     Late,
-    /// The upstream ended soon after the request began.
+    /// The upstream crashed soon after the request started.
     Early,
-    /// The request was answered in full since then.
+    /// The request has been answered in full since, so it is no longer suspect.
     Cleared,
 }
 
-/// A request ran at an upstream when that ended.
+/// States that a request was running at an upstream when the upstream crashed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashReport {
-    /// The request.
+    /// The suspected request.
     pub fingerprint: RequestFingerprint,
-    /// What it tells.
+    /// How suspect the request is.
     pub mark: CrashMark,
-    /// The life of the upstream.
+    /// The upstream; each restart has its own id.
     pub upstream: UpstreamId,
 }
 
-/// A report, and how long ago it was made. Clocks of instances differ, so times travel as ages.
+/// A report with its age. The clocks of instances differ, so ages are exchanged instead of timestamps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AgedReport {
-    /// How long ago, as far as is known.
+    /// The time since the crash, as far as known.
     pub age: Duration,
-    /// The report.
+    /// The report itself.
     pub report: CrashReport,
 }
 
 impl AgedReport {
-    /// A report that is made now.
+    /// Creates a report of age zero.
     pub fn new(report: CrashReport) -> Self {
         Self {
             age: Duration::ZERO,
--- a/crates/policy/src/crash_table.rs
+++ b/crates/policy/src/crash_table.rs
@@ -1,9 +1,10 @@
-//! The requests under which upstreams ended, and which of them are in quarantine. No I/O and no clock.
+//! Quarantine of requests that crash upstreams. Free of I/O; times are passed in.
 //!
-//! A request that ends whatever runs it comes back, at any instance, as a new try. Each end costs all that runs beside it, so after
-//! a few ends it is sent on no more. The others that ran there are suspects as well, so that one end says little: a request
-//! is in quarantine after three ends soon after it began, or five later ones, and whatever is answered in full is cleared.
-//! The reports are a set that only grows, joined in any order and any number of times with the same outcome.
+//! A request that crashes its upstream is retried, possibly at another instance. Each crash breaks all other requests running
+//! there, so after a few crashes the request is no longer forwarded. The others that ran there are suspects as well, so a
+//! single crash proves little: a request is quarantined after three crashes soon after it started, or five later ones, and a
+//! request that is answered in full is cleared. Reports form a grow-only set: merging is commutative, associative and
+//! idempotent.
 
 use {
     crate::{CrashMark, CrashReport, RequestFingerprint},
@@ -14,58 +15,61 @@
     },
 };
 
-/// What an end soon after the request began counts.
+/// The score of a crash soon after the request started.
 const EARLY_POINTS: u32 = 3;
-/// What a later end counts: a stream that has run for seconds is more likely one of the many that ran beside the cause.
-/// Counted over 1,000 seeded days each, 1.6 million requests beside the cause: these three numbers let what ends engines at once end
-/// three, and what does so after seconds five; they refuse none and one of the others. Counting every end alike would refuse 371 and 37.
+/// The score of a later crash: a stream that has run for seconds is more likely a bystander than the cause. Over 1,000
+/// simulated days for each kind of cause, with 1.6 million bystander requests, a request that crashes engines at once crashed
+/// three, and one that does so after seconds five; none and one of the bystanders were refused. With equal scores for all
+/// crashes 371 and 37 would have been.
 const LATE_POINTS: u32 = 2;
-/// From so many points on a request is in quarantine: three early ends, or five late ones. A caller that repeats once meets two at most.
-const ENOUGH_POINTS: u32 = 9;
-/// How many requests are remembered: all that run at a few dozen full engines. The ones reported longest ago go first.
-const MOST_REQUESTS: usize = 4_096;
-
-/// The requests by fingerprint.
+/// The score at which a request is quarantined: three early crashes, or five late ones. A caller that retries once causes two
+/// at most.
+const QUARANTINE_POINTS: u32 = 9;
+/// The maximum number of requests kept: all that run at a few dozen full engines. Those reported longest ago are evicted
+/// first.
+const MAX_REQUESTS: usize = 4_096;
+
+/// The suspected requests, by fingerprint.
 #[derive(Clone, Debug)]
 pub struct CrashTable {
-    life: Duration,
+    ttl: Duration,
     requests: BTreeMap<RequestFingerprint, CrashEntry>,
 }
 
 /// One request in quarantine, for operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QuarantineRow {
-    /// The request.
+    /// The quarantined request.
     pub fingerprint: RequestFingerprint,
-    /// How long it stays.
+    /// The time until the quarantine ends.
     pub remaining: Duration,
-    /// The upstreams that ended under it.
+    /// The upstreams that crashed while running it.
     pub upstreams: Vec<UpstreamId>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct CrashEntry {
-    ends: BTreeMap<UpstreamId, UpstreamEnd>,
+    crashes: BTreeMap<UpstreamId, UpstreamCrash>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct UpstreamEnd {
+struct UpstreamCrash {
     mark: CrashMark,
     since: Instant,
 }
 
 impl CrashTable {
-    /// A request was answered in full: it ends nothing. Gives the reports that tell others so.
+    /// Clears a request that was answered in full. Returns the reports to send to other instances.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) -> Vec<CrashReport> {
         let Some(entry) = self.requests.get_mut(&fingerprint) else {
             return Vec::new();
         };
         let mut reports = Vec::new();
-        for (upstream, end) in &mut entry.ends {
-            if end.mark == CrashMark::Cleared {
+        for (upstream, crash) in &mut entry.crashes {
+            if crash.mark == CrashMark::Cleared {
                 continue;
             }
-            end.mark = CrashMark::Cleared;
+            crash.mark = CrashMark::Cleared;
             reports.push(CrashReport {
                 fingerprint,
                 mark: CrashMark::Cleared,
@@ -75,85 +79,85 @@
         reports
     }
 
-    /// How long a request stays in quarantine; none when it may run.
+    /// The time until the quarantine of a request ends; `None` when it may run.
     pub fn quarantine_left(
         &self,
         fingerprint: &RequestFingerprint,
         now: Instant,
     ) -> Option<Duration> {
         let entry = self.requests.get(fingerprint)?;
-        entry.quarantine_left(self.life, now)
+        entry.quarantine_left(self.ttl, now)
     }
 
-    /// Whether nothing is known against any request.
+    /// Whether the table holds no reports at all.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// An empty table; a report counts for so long.
-    pub fn new(life: Duration) -> Self {
+    /// Creates an empty table whose reports expire after `ttl`.
+    pub fn new(ttl: Duration) -> Self {
         Self {
-            life,
+            ttl,
             requests: BTreeMap::new(),
         }
     }
 
-    /// The requests in quarantine.
+    /// The requests in quarantine, sorted by fingerprint.
     pub fn rows(&self, now: Instant) -> Vec<QuarantineRow> {
         let mut rows = Vec::new();
         for (fingerprint, entry) in &self.requests {
-            let Some(left) = entry.quarantine_left(self.life, now) else {
+            let Some(left) = entry.quarantine_left(self.ttl, now) else {
                 continue;
             };
             rows.push(QuarantineRow {
                 fingerprint: *fingerprint,
                 remaining: left,
-                upstreams: entry.ends.keys().cloned().collect(),
+                upstreams: entry.crashes.keys().cloned().collect(),
             });
         }
         rows
     }
 
-    /// Takes a report in that was made at `since`; whether it tells anything new.
+    /// Merges a report of a crash at `since`; returns whether it changed the table.
     pub fn merge(&mut self, report: &CrashReport, since: Instant, now: Instant) -> bool {
-        if now.saturating_duration_since(since) >= self.life {
+        if now.saturating_duration_since(since) >= self.ttl {
             return false;
         }
         let entry = self.requests.entry(report.fingerprint).or_default();
         let mark = report.mark;
-        let is_news = match entry.ends.get_mut(&report.upstream) {
-            Some(end) => {
-                let is_news = mark > end.mark;
-                end.mark = end.mark.max(mark);
-                end.since = end.since.min(since);
-                is_news
+        let is_new = match entry.crashes.get_mut(&report.upstream) {
+            Some(crash) => {
+                let is_new = mark > crash.mark;
+                crash.mark = crash.mark.max(mark);
+                crash.since = crash.since.min(since);
+                is_new
             }
             None => {
-                let end = UpstreamEnd { mark, since };
-                entry.ends.insert(report.upstream.clone(), end);
+                let crash = UpstreamCrash { mark, since };
+                entry.crashes.insert(report.upstream.clone(), crash);
                 true
             }
         };
-        if self.requests.len() > MOST_REQUESTS {
-            self.forget_oldest();
+        if self.requests.len() > MAX_REQUESTS {
+            self.evict_oldest();
         }
-        is_news
+        is_new
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired reports.
     pub fn sweep(&mut self, now: Instant) {
-        let life = self.life;
+        let ttl = self.ttl;
         for entry in self.requests.values_mut() {
             entry
-                .ends
-                .retain(|_, end| now.saturating_duration_since(end.since) < life);
+                .crashes
+                .retain(|_, crash| now.saturating_duration_since(crash.since) < ttl);
         }
-        self.requests.retain(|_, entry| !entry.ends.is_empty());
+        self.requests.retain(|_, entry| !entry.crashes.is_empty());
     }
 
-    fn forget_oldest(&mut self) {
-        let last = |entry: &CrashEntry| entry.ends.values().map(|end| end.since).max();
-        let oldest = self.requests.iter().min_by_key(|(_, entry)| last(entry));
+    fn evict_oldest(&mut self) {
+        let latest = |entry: &CrashEntry| entry.crashes.values().map(|crash| crash.since).max();
+        let oldest = self.requests.iter().min_by_key(|(_, entry)| latest(entry));
         if let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.requests.remove(&oldest);
         }
@@ -161,16 +165,16 @@
 }
 
 impl CrashEntry {
-    /// How long the ends that are not too old yet are enough.
-    fn quarantine_left(&self, life: Duration, now: Instant) -> Option<Duration> {
-        let mut ends: Vec<UpstreamEnd> = self.ends.values().copied().collect();
-        // The latest first: the quarantine lasts as long as the one that completes it counts.
-        ends.sort_by_key(|end| std::cmp::Reverse(end.since));
+    /// The time until the remaining reports no longer suffice for a quarantine; `None` when they do not now.
+    fn quarantine_left(&self, ttl: Duration, now: Instant) -> Option<Duration> {
+        let mut crashes: Vec<UpstreamCrash> = self.crashes.values().copied().collect();
+        // Latest first: the quarantine lasts until the report that completes the score expires.
+        crashes.sort_by_key(|crash| std::cmp::Reverse(crash.since));
         let mut points = 0;
-        for end in ends {
-            points += end.mark.points();
-            if points >= ENOUGH_POINTS {
-                let left = (end.since + life).saturating_duration_since(now);
+        for crash in crashes {
+            points += crash.mark.points();
+            if points >= QUARANTINE_POINTS {
+                let left = (crash.since + ttl).saturating_duration_since(now);
                 return (!left.is_zero()).then_some(left);
             }
         }
--- a/crates/policy/src/customer_limit.rs
+++ b/crates/policy/src/customer_limit.rs
@@ -1,32 +1,32 @@
-//! How much a customer may use, over all instances together.
+//! The limit of a customer, over all instances together.
 
 use serde::{Deserialize, Serialize};
 
-/// What a customer's use is counted in.
+/// The unit in which the usage of a customer is counted.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum QuotaUnit {
-    /// Each request counts as one.
+    /// Every request costs one.
     Requests,
-    /// A request counts as its prompt and the most tokens it may generate.
+    /// A request costs its prompt tokens plus the maximum number of tokens it may generate.
     Tokens {
-        /// What a request without these numbers counts as.
+        /// The cost of a request that does not state them.
         plain: u64,
     },
 }
 
-/// A bucket of a customer: filled at a rate, and never above its burst.
+/// The token bucket of a customer.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CustomerLimit {
-    /// The most that the bucket holds, in units.
+    /// The capacity of the bucket, units.
     pub burst: f64,
-    /// What it gains a second, units; greater than 0.
+    /// The refill rate, units per second; greater than 0.
     pub rate: f64,
-    /// The unit.
+    /// What the other fields count.
     pub unit: QuotaUnit,
 }
 
 impl CustomerLimit {
-    /// What a request takes out of the bucket, by the tokens that it states, if it does.
+    /// The cost of a request; `tokens` is `None` when the request does not state them.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
--- a/crates/policy/src/loss_table.rs
+++ b/crates/policy/src/loss_table.rs
@@ -1,7 +1,7 @@
-//! Runs that were lost with their connections, until it is known whether their upstreams ended. No I/O and no clock.
+//! Runs lost with their connections, until it is known whether their upstreams crashed. Free of I/O; times are passed in.
 //!
-//! A connection may be reset, or an answer break off, while its upstream is well; nothing can be said of the request then. So
-//! the upstream is asked first: one that refuses connections has ended, and each run that it lost is reported.
+//! A connection may be reset or an answer break off while the upstream is healthy, which says nothing about the request. The
+//! upstream is therefore probed first: if it refuses connections it has crashed, and each run lost there is reported.
 
 use {
     crate::{CrashMark, CrashReport, RequestFingerprint},
@@ -12,46 +12,46 @@
     },
 };
 
-/// What brings its upstream down does so soon after it begins: within the time to the first token, or the work of a plain
-/// call. Of the others that run there most have begun earlier: streams last for seconds.
-const EARLY_END: Duration = Duration::from_secs(1);
-/// How long losses at one upstream are remembered: the connections of one that ended break within moments of each other.
-const MEMORY: Duration = Duration::from_secs(10);
+/// A crash within this time after the start of a run is early. A request that crashes its upstream does so within the time
+/// to the first token, or the duration of a plain call. Most bystanders have started earlier, since streams last for seconds.
+const EARLY_CRASH: Duration = Duration::from_secs(1);
+/// How long losses at one upstream are kept: when it crashes, all its connections break within a short time.
+const LOSS_TTL: Duration = Duration::from_secs(10);
 
-/// A run that was lost.
+/// A run whose connection was lost before the end of its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct LostRun {
-    /// The request.
+    /// The request that ran.
     pub fingerprint: RequestFingerprint,
-    /// Whether something of its answer had come.
+    /// Whether a part of its answer had arrived.
     pub has_answered: bool,
-    /// How long it had run.
+    /// The time from its start to the loss.
     pub ran: Duration,
 }
 
-/// What to do about a loss.
+/// What the caller has to do about a loss.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LossAction {
-    /// The upstream is known to have ended.
+    /// The upstream is known to have crashed: pass the report on.
     Report(CrashReport),
-    /// Find out whether the upstream ended.
+    /// Probe the upstream, and pass the result to [`LossTable::note_probe`].
     Probe,
-    /// It is being found out.
+    /// Nothing: a probe is in progress.
     AwaitProbe,
 }
 
-/// What an upstream does with a new connection.
+/// The result of connecting to an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProbeOutcome {
-    /// It takes it.
+    /// It accepted the connection.
     Accepted,
-    /// Nobody listens there any more.
+    /// It refused the connection: no process listens there.
     Refused,
-    /// Nothing came back: it may be out of reach.
+    /// No reply: it may be unreachable.
     NoAnswer,
 }
 
-/// The losses by upstream.
+/// The recent losses, by upstream.
 #[derive(Clone, Debug, Default)]
 pub struct LossTable {
     losses: BTreeMap<UpstreamId, UpstreamLosses>,
@@ -59,40 +59,40 @@
 
 #[derive(Clone, Debug)]
 struct UpstreamLosses {
-    has_ended: bool,
+    has_crashed: bool,
     runs: Vec<LostRun>,
     since: Instant,
 }
 
 impl LossTable {
-    /// An upstream was examined; gives a report of each run that it lost if it has ended.
-    pub fn note_probe(&mut self, upstream: &UpstreamId, reach: ProbeOutcome) -> Vec<CrashReport> {
-        if reach != ProbeOutcome::Refused {
+    /// Records the result of a probe. Returns a report for each lost run if the upstream has crashed.
+    pub fn note_probe(&mut self, upstream: &UpstreamId, outcome: ProbeOutcome) -> Vec<CrashReport> {
+        if outcome != ProbeOutcome::Refused {
             self.losses.remove(upstream);
             return Vec::new();
         }
         let Some(losses) = self.losses.get_mut(upstream) else {
             return Vec::new();
         };
-        losses.has_ended = true;
+        losses.has_crashed = true;
         let runs = std::mem::take(&mut losses.runs);
         runs.iter().map(|run| report(upstream, run)).collect()
     }
 
-    /// A run was lost.
+    /// Records a lost run.
     pub fn note(&mut self, upstream: &UpstreamId, run: LostRun, now: Instant) -> LossAction {
         self.losses
-            .retain(|_, losses| now.saturating_duration_since(losses.since) < MEMORY);
+            .retain(|_, losses| now.saturating_duration_since(losses.since) < LOSS_TTL);
         let Some(losses) = self.losses.get_mut(upstream) else {
             let losses = UpstreamLosses {
-                has_ended: false,
+                has_crashed: false,
                 runs: vec![run],
                 since: now,
             };
             self.losses.insert(upstream.clone(), losses);
             return LossAction::Probe;
         };
-        if losses.has_ended {
+        if losses.has_crashed {
             return LossAction::Report(report(upstream, &run));
         }
         losses.runs.push(run);
@@ -101,7 +101,7 @@
 }
 
 impl ProbeOutcome {
-    /// The word for it in metrics and logs.
+    /// The label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Accepted => "answers",
@@ -114,8 +114,8 @@
 fn report(upstream: &UpstreamId, run: &LostRun) -> CrashReport {
     CrashReport {
         fingerprint: run.fingerprint,
-        // What has given nothing yet may have waited for its turn: it has hardly begun, however long ago it was sent.
-        mark: match !run.has_answered || run.ran <= EARLY_END {
+        // A run without output may have been queued: it has hardly started, however long ago it was sent.
+        mark: match !run.has_answered || run.ran <= EARLY_CRASH {
             true => CrashMark::Early,
             false => CrashMark::Late,
         },
--- a/crates/policy/src/prefill_estimate.rs
+++ b/crates/policy/src/prefill_estimate.rs
@@ -1,55 +1,54 @@
-//! How long a prefill engine takes for a prompt, by what this instance has seen of it.
+//! The estimated prefill time of an engine, from the prefills of this instance.
 
 use std::time::{Duration, Instant};
 
-/// Before anything was seen: about what an engine of today takes for a token of an ordinary prompt, its first step
-/// included. Corrected by the first reading.
-const FIRST_PACE: Duration = Duration::from_micros(50);
-/// A reading that takes longer than the pace tells of others in the queue; a little of it is taken as a slower engine, so
-/// that an engine which turned slow is noticed.
-const SLOWING: f64 = 1.03;
-/// After so long, half of the wait that was seen is taken to be gone. The queue of an engine changes within a few readings.
+/// The initial time per token: about that of a current engine for an ordinary prompt, first step included. Corrected by the
+/// first prefill.
+const INITIAL_TOKEN_TIME: Duration = Duration::from_micros(50);
+/// The maximum increase of the time per token by one prefill. A slow prefill mostly indicates a queue; a part of the delay is
+/// attributed to the engine, so that an engine that has become slow is noticed.
+const MAX_SLOWDOWN: f64 = 1.03;
+/// The half-life of the observed queueing time. The queue of an engine changes within a few prefills.
 const WAIT_HALF_LIFE: Duration = Duration::from_millis(300);
 
-/// The pace of one engine.
+/// The time per token and the queueing time of one engine.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillEstimate {
-    /// Seconds for a token.
-    pace: f64,
-    /// Seconds that the last reading waited for the work of other instances.
-    wait: f64,
-    wait_at: Instant,
+    /// Prefill time per token, seconds.
+    token_time: f64,
+    /// Time that the last prefill was queued behind the work of other instances, seconds.
+    queue_time: f64,
+    observed_at: Instant,
 }
 
 impl PrefillEstimate {
-    /// How long the engine takes for so many tokens when nothing else waits there.
+    /// How long the engine takes for `tokens` with an empty queue.
     pub fn unqueued(&self, tokens: u64) -> Duration {
-        Duration::from_secs_f64(self.pace * tokens as f64)
+        Duration::from_secs_f64(self.token_time * tokens as f64)
     }
 
-    /// How long a reading is expected to take, given the tokens of this instance that are to be read there, its own
-    /// included.
+    /// How long a prefill is expected to take; `tokens` are all of this instance to be prefilled there, its own included.
     pub fn expected(&self, tokens: u64, now: Instant) -> Duration {
-        let age = now.saturating_duration_since(self.wait_at);
+        let age = now.saturating_duration_since(self.observed_at);
         let left = 0.5_f64.powf(age.as_secs_f64() / WAIT_HALF_LIFE.as_secs_f64());
-        Duration::from_secs_f64(self.pace * tokens as f64 + self.wait * left)
+        Duration::from_secs_f64(self.token_time * tokens as f64 + self.queue_time * left)
     }
 
-    /// A pace of which nothing was seen.
+    /// Creates an estimate without observations.
     pub fn new(now: Instant) -> Self {
         Self {
-            pace: FIRST_PACE.as_secs_f64(),
-            wait: 0.0,
-            wait_at: now,
+            token_time: INITIAL_TOKEN_TIME.as_secs_f64(),
+            queue_time: 0.0,
+            observed_at: now,
         }
     }
 
-    /// A reading ended: so many tokens of this instance were to be read, and it took so long.
+    /// Records a prefill that took `took` with `tokens` of this instance to be prefilled there.
     pub fn note(&mut self, tokens: u64, took: Duration, now: Instant) {
         let took = took.as_secs_f64();
-        let seen = took / tokens.max(1) as f64;
-        self.pace = seen.min(self.pace * SLOWING);
-        self.wait = (took - self.pace * tokens as f64).max(0.0);
-        self.wait_at = now;
+        let observed = took / tokens.max(1) as f64;
+        self.token_time = observed.min(self.token_time * MAX_SLOWDOWN);
+        self.queue_time = (took - self.token_time * tokens as f64).max(0.0);
+        self.observed_at = now;
     }
 }
--- a/crates/policy/src/quota_table.rs
+++ b/crates/policy/src/quota_table.rs
@@ -1,11 +1,11 @@
-//! Whether a request fits into its customer's quota, as one instance decides it. No I/O and no clock.
+//! Customer quotas, as enforced by one instance. Free of I/O; times are passed in.
 //!
-//! Answers a customer that sends several times its rate through many instances at once, each of which sees a small part. All
-//! instances tell what they use ([`UsageLedger`](crate::UsageLedger)), once a second while there is room and more often
-//! while there is little; in between each takes others to go on as they did. A bucket that was overdrawn in between is
-//! refilled before it gives again. So what all use in a window stays within what operators allow beyond rate and burst, but
-//! for one in some 4,000 random runs; and what fits is given: on days with cuts and restarts of all 92 in 100 at 90
-//! instances, where equal parts give 11.
+//! Limits a customer that sends several times its rate through many instances at once, each of which sees a small part of it.
+//! The instances report their usage to each other ([`UsageLedger`](crate::UsageLedger)), once a second and more often while
+//! a balance is low; in between each extrapolates the usage of the others. A bucket that has been overdrawn meanwhile is
+//! refilled before it grants again. The total usage in a window thus stays within the tolerance that operators allow
+//! beyond rate and burst, except in one of about 4,000 random runs. What fits is granted: with 90 instances, partitions and
+//! a restart of all, 92 of 100, where equal shares grant 11.
 
 use {
     crate::{CustomerLimit, QuotaBucket, QuotaRule, QuotaSync, QuotaView, UsageTotals},
@@ -16,69 +16,69 @@
     },
 };
 
-/// The least time to come back: the way there and back, and an exchange between instances.
-const LEAST_WAIT: Duration = Duration::from_millis(50);
-/// For so long after it began an instance goes by what others have in their buckets, and nobody by what it has.
-const YOUNG_SPAN: Duration = Duration::from_secs(3);
-/// What an instance has used of a bucket since others last told it is told when it is more than this part.
-const UNTOLD_PART: f64 = 0.1;
-/// A bucket with less than this part is told of more often.
-const PRESSED_PART: f64 = 0.5;
+/// The minimum retry delay: a round trip, and an exchange between instances.
+const MIN_WAIT: Duration = Duration::from_millis(50);
+/// For this long after its start an instance uses the balances of others, and none uses the balances of this one.
+const SETTLING_SPAN: Duration = Duration::from_secs(3);
+/// Unreported usage above this fraction of the capacity makes a bucket scarce, and is reported early.
+const UNREPORTED_SHARE: f64 = 0.1;
+/// A balance below this fraction of the capacity makes a bucket scarce, and is exchanged more often.
+const LOW_SHARE: f64 = 0.5;
 
-/// Why a request does not fit.
+/// The refusal of a request that exceeds the quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRefusal {
-    /// What the request takes, units.
+    /// The cost of the request, units.
     pub cost: u64,
-    /// What is in the bucket, units.
+    /// The estimated balance, units; negative when overdrawn.
     pub balance: f64,
-    /// When there is expected to be room for it.
+    /// When the request is expected to fit.
     pub wait: Duration,
 }
 
-/// One bucket, for operators.
+/// One bucket, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaRow {
-    /// The customer.
+    /// Whose bucket it is.
     pub customer: CustomerId,
-    /// The limit.
+    /// The limit in force.
     pub limit: CustomerLimit,
-    /// What this life of the instance has used, units.
+    /// The usage through this instance since it started, units.
     pub own_usage: i64,
-    /// What is in the bucket, units.
+    /// The estimated balance, units; negative when overdrawn.
     pub balance: f64,
 }
 
 /// The buckets of all customers with a limit.
 #[derive(Clone, Debug)]
 pub struct QuotaTable {
-    born: Instant,
+    started: Instant,
     buckets: BTreeMap<CustomerId, QuotaBucket>,
-    /// When it began to live, or to add up for others.
-    unsettled: Instant,
+    /// When the instance started, or began to aggregate the usage of others.
+    unsettled_since: Instant,
     view: QuotaView,
 }
 
 impl QuotaTable {
-    /// What a request took is given back: it did not run.
+    /// Returns the cost of a request that did not run.
     pub fn give_back(&mut self, customer: &CustomerId, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
             bucket.own_usage -= signed(cost);
         }
     }
 
-    /// Whether the bucket of a customer is well below full, or much of it was used since others last told of it.
+    /// Whether the balance of a customer is low, or much of it was used since the last exchange.
     pub fn is_scarce(&self, customer: &str, now: Instant) -> bool {
         let bucket = self.buckets.get(customer);
         bucket.is_some_and(|bucket| self.is_low(bucket, now))
     }
 
-    /// The empty buckets of a life that began at `born`; `is_alone` when there are no other instances.
-    pub fn new(rule: QuotaRule, is_alone: bool, born: Instant) -> Self {
+    /// Creates a table for an instance that started at `started`; `is_alone` when there are no other instances.
+    pub fn new(rule: QuotaRule, is_alone: bool, started: Instant) -> Self {
         Self {
-            born,
+            started,
             buckets: BTreeMap::new(),
-            unsettled: born,
+            unsettled_since: started,
             view: QuotaView {
                 sync: match is_alone {
                     true => QuotaSync::Standalone,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// The instance has heard what all others have used.
+    /// Records that the usage of all others is known as of `now`.
     pub fn note_synced(&mut self, now: Instant) {
         self.view.sync = QuotaSync::Synced(now);
     }
 
-    /// What others have used since this life began to hear of it, by customer, and what they are taken to have used beyond
-    /// that; customers that are not named stay as they are.
+    /// Records the total usage reported by others since this instance started, by customer, and the estimate of what they have
+    /// not reported. Customers not listed in `totals` are unchanged.
     pub fn note_others(&mut self, totals: &UsageTotals, assumed: &UsageTotals, now: Instant) {
         let view = self.view;
         for (customer, total) in totals {
@@ -107,35 +107,30 @@
         }
     }
 
-    /// What was in the buckets of another instance, by what was told, after it knew what this one had used, `own`. All go by
-    /// one instance: errors of one's own view would stay for as long as a bucket is not full.
-    pub fn follow_balances(
-        &mut self,
-        balances: &UsageTotals,
-        own_usage: &UsageTotals,
-        now: Instant,
-    ) {
+    /// Adopts the reported balances of another instance, which include `own`, the usage of this one that was reported to it.
+    /// All instances follow a single one, since errors in their own balances would persist until the bucket is full.
+    pub fn follow_balances(&mut self, balances: &UsageTotals, own: &UsageTotals, now: Instant) {
         for (customer, balance) in balances {
             let Some(bucket) = self.buckets.get_mut(customer) else {
                 continue;
             };
-            let before = own_usage.get(customer).copied().unwrap_or_default();
+            let before = own.get(customer).copied().unwrap_or_default();
             bucket.follow_balance((balance - (bucket.own_usage - before)) as f64, now);
         }
     }
 
-    /// Whether this instance has added up for others, or lived, for long enough that its buckets can be gone by.
+    /// Whether this instance has been running, and aggregating if it does, for long enough that others can use its balances.
     pub fn is_settled(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.unsettled) >= YOUNG_SPAN
+        now.saturating_duration_since(self.unsettled_since) >= SETTLING_SPAN
     }
 
-    /// From now on the instance adds up for others: what it was told until now may be a second old.
+    /// Records that this instance starts to aggregate the usage of its zone; its balances may be a second old at first.
     pub fn start_aggregating(&mut self, now: Instant) {
-        self.unsettled = now;
+        self.unsettled_since = now;
     }
 
-    /// What is in the buckets by the view of another instance. A young one goes by those that are overdrawn: it does not
-    /// know of that, and would give what others are still refilling.
+    /// Applies overdrawn balances of another instance, while this one is not settled. It can't know of the overdraft otherwise,
+    /// and would grant what others are still refilling.
     pub fn cap_balances(&mut self, balances: &UsageTotals, now: Instant) {
         if self.is_settled(now) {
             return;
@@ -149,13 +144,13 @@
         }
     }
 
-    /// What this life of the instance has used, by customer.
+    /// The usage through this instance since it started, by customer.
     pub fn own_usage(&self) -> impl Iterator<Item = (&CustomerId, i64)> {
         let buckets = self.buckets.iter();
         buckets.map(|(customer, bucket)| (customer, bucket.own_usage))
     }
 
-    /// The customers whose requests come in while their buckets are well below full.
+    /// The customers that send requests while their buckets are scarce.
     pub fn scarce_customers(&self, now: Instant) -> Vec<CustomerId> {
         let used = self
             .buckets
@@ -165,7 +160,7 @@
         low.map(|(customer, _)| customer.clone()).collect()
     }
 
-    /// What is in the buckets that are well below full, units.
+    /// The balances of the scarce buckets, units.
     pub fn low_balances(&self, now: Instant) -> UsageTotals {
         let low = self
             .buckets
@@ -178,23 +173,23 @@
         balances.collect()
     }
 
-    /// The part of the zones that is heard of.
+    /// The fraction of the availability zones whose usage is received.
     pub fn coverage(&self) -> f64 {
         self.view.coverage
     }
 
-    /// What is in the bucket of a customer by what was told, units.
+    /// The balance of a customer by reported usage alone, units; `None` for one without a bucket.
     pub fn reported_balance(&self, customer: &str, now: Instant) -> Option<f64> {
         Some(self.buckets.get(customer)?.reported_balance(now))
     }
 
-    /// What is in the bucket of a customer, units.
+    /// The estimated balance of a customer, units; `None` for one without a bucket.
     pub fn balance(&self, customer: &str, now: Instant) -> Option<f64> {
         let bucket = self.buckets.get(customer)?;
         Some(bucket.balance(&self.view, now))
     }
 
-    /// All buckets.
+    /// All buckets, sorted by customer.
     pub fn rows(&self, now: Instant) -> Vec<QuotaRow> {
         let buckets = self.buckets.iter();
         let rows = buckets.map(|(customer, bucket)| QuotaRow {
@@ -206,7 +201,7 @@
         rows.collect()
     }
 
-    /// The limits of all customers are these.
+    /// Replaces the limits of all customers; a customer that keeps a limit keeps its balance.
     pub fn set_limits<'a>(
         &mut self,
         limits: impl IntoIterator<Item = (&'a CustomerId, CustomerLimit)>,
@@ -216,28 +211,28 @@
         let mut before = std::mem::take(&mut self.buckets);
         for (customer, limit) in limits {
             let bucket = before.remove(customer);
-            let mut bucket = bucket.unwrap_or_else(|| QuotaBucket::new(limit, self.born));
+            let mut bucket = bucket.unwrap_or_else(|| QuotaBucket::new(limit, self.started));
             bucket.settle(&view, now);
             bucket.limit = limit;
             self.buckets.insert(customer.clone(), bucket);
         }
     }
 
-    /// This part of the zones is heard of.
+    /// Sets the fraction of the availability zones whose usage is received.
     pub fn set_coverage(&mut self, coverage: f64) {
         self.view.coverage = coverage;
     }
 
-    /// The operators allow this beyond limits.
+    /// Sets the tolerated overuse.
     pub fn set_rule(&mut self, rule: QuotaRule) {
         self.view.rule = rule;
     }
 
-    /// Takes a request out of its customer's bucket; one that is larger than the bucket needs a full one.
+    /// Charges a request to its customer's bucket and returns the cost. A request larger than the bucket needs a full one.
     ///
     /// # Errors
     ///
-    /// There is no room for it.
+    /// Returns a refusal if the balance is too low.
     pub fn take(
         &mut self,
         customer: &CustomerId,
@@ -247,7 +242,7 @@
     ) -> Result<u64, QuotaRefusal> {
         let cost = limit.cost(tokens);
         let bucket = self.buckets.entry(customer.clone());
-        let bucket = bucket.or_insert_with(|| QuotaBucket::new(*limit, self.born));
+        let bucket = bucket.or_insert_with(|| QuotaBucket::new(*limit, self.started));
         bucket.note_use(now);
         bucket.settle(&self.view, now);
         let need = (cost as f64).min(bucket.capacity(&self.view, now));
@@ -260,18 +255,18 @@
         Err(QuotaRefusal {
             cost,
             balance,
-            wait: wait.max(LEAST_WAIT),
+            wait: wait.max(MIN_WAIT),
         })
     }
 
     fn is_low(&self, bucket: &QuotaBucket, now: Instant) -> bool {
         let capacity = bucket.capacity(&self.view, now);
-        bucket.unreported() as f64 > capacity * UNTOLD_PART
-            || bucket.balance(&self.view, now) < capacity * PRESSED_PART
+        bucket.unreported() as f64 > capacity * UNREPORTED_SHARE
+            || bucket.balance(&self.view, now) < capacity * LOW_SHARE
     }
 }
 
-/// An amount as one that others may also take back.
+/// Converts an amount to a signed one, since amounts may also be refunded.
 fn signed(amount: u64) -> i64 {
     i64::try_from(amount).unwrap_or(i64::MAX)
 }
--- a/crates/policy/src/refusal_cooldown.rs
+++ b/crates/policy/src/refusal_cooldown.rs
@@ -1,51 +1,51 @@
-//! How long an engine that takes no new requests is left alone.
+//! The cooldown of an engine that refuses requests for which it had reserved a slot.
 //!
-//! An engine that changes its stage, or is about to leave, goes on reserving places for seconds and then turns the
-//! requests away from them. By the numbers that other engines are compared by it looks the best of all, since nothing runs
-//! there: without a rule of its own every request goes there first, has its prompt read for nothing, and spends its part
-//! of the retry budget on the next engine. Counted over one change of stage in a burst, seven instances, ten seconds: 116
-//! requests were turned away without the rule and 18 with it. The lengths of the spells were not varied.
+//! An engine that changes its stage or is about to drain keeps granting reservations for seconds and then refuses the
+//! requests that come to use them. Since nothing runs there, it looks better than any other engine by load. Without this
+//! rule every request would go there first, have its prompt prefilled for nothing, and spend its share of the retry budget
+//! on the next engine: one role change during a burst over seven instances, ten seconds long, turned away 116 requests
+//! instead of 18.
 
 use std::time::{Duration, Instant};
 
-/// The first spell: most of what an engine with a full memory takes to end its streams.
-const FIRST_SPELL: Duration = Duration::from_secs(2);
-/// The longest: what a change of stage takes in all, so that the engine is back in use soon after it.
-const LONGEST_SPELL: Duration = Duration::from_secs(8);
-/// So much doubt closes an engine. A request that counted on a KV cache may have been turned away because the cache had
-/// lapsed: that is half of it.
-const ENOUGH_DOUBT: u32 = 2;
+/// The first cooldown: most of the time that an engine with full memory takes to finish its streams.
+const FIRST_COOLDOWN: Duration = Duration::from_secs(2);
+/// The longest cooldown: the duration of a whole stage change, so that the engine is used again soon after it.
+const LONGEST_COOLDOWN: Duration = Duration::from_secs(8);
+/// The refusal score that starts a cooldown. A request that relied on a KV cache may have been refused because the cache
+/// had been evicted, so such a refusal counts half.
+const COOLDOWN_SCORE: u32 = 2;
 
-/// What one engine has done with requests for which it had reserved a place.
+/// Tracks the refusals of one engine for requests with a reserved slot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RefusalCooldown {
-    doubt: u32,
-    span: Duration,
+    score: u32,
+    length: Duration,
     until: Option<Instant>,
 }
 
 impl RefusalCooldown {
-    /// Whether the engine is to be left alone.
+    /// Whether the engine is in cooldown.
     pub fn is_active(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// The engine ran a request.
+    /// Records that the engine ran a request, which ends the cooldown and resets its length.
     pub fn note_run(&mut self) {
         *self = Self::default();
     }
 
-    /// The engine turned a request away from a place that it had reserved; `has_kv` when the request counted on a KV
-    /// cache that may have lapsed.
+    /// Records that the engine refused a request for which it had reserved a slot. `has_kv` is set when the request relied
+    /// on a KV cache that may have been evicted. Refusals during a cooldown do not extend it.
     pub fn note_refusal(&mut self, has_kv: bool, now: Instant) {
-        self.doubt += match has_kv {
+        self.score += match has_kv {
             true => 1,
-            false => ENOUGH_DOUBT,
+            false => COOLDOWN_SCORE,
         };
-        if self.doubt < ENOUGH_DOUBT || self.is_active(now) {
+        if self.score < COOLDOWN_SCORE || self.is_active(now) {
             return;
         }
-        self.span = (self.span * 2).clamp(FIRST_SPELL, LONGEST_SPELL);
-        self.until = Some(now + self.span);
+        self.length = (self.length * 2).clamp(FIRST_COOLDOWN, LONGEST_COOLDOWN);
+        self.until = Some(now + self.length);
     }
 }
--- a/crates/policy/src/remote_usage.rs
+++ b/crates/policy/src/remote_usage.rs
@@ -1,4 +1,4 @@
-//! Those that tell an instance what others have used, and what is assumed while they are silent.
+//! The usage rates of other instances and zones, and estimates while they are silent.
 
 use {
     crate::{UsageRate, UsageTotals},
@@ -9,85 +9,87 @@
     },
 };
 
-/// A zone that was heard of so long ago is taken to use its part of the rate, whatever it really uses.
-const ZONE_SILENCE: Duration = Duration::from_millis(1_500);
-/// While another instance is asked than before, what was usual is counted for so long at most.
-const LONGEST_GAP: Duration = Duration::from_millis(1_500);
-/// The part of a rate that zones which are cut off share equally, whoever used it before.
-const NEWCOMER_PART: f64 = 0.25;
+/// A zone without a report for this long counts as partitioned, and is assumed to use its whole share of the rate.
+const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The maximum time for which usage is extrapolated after a change of aggregator.
+const MAX_GAP: Duration = Duration::from_millis(1_500);
+/// The part of a rate that partitioned zones share equally, independent of their previous usage.
+const EQUAL_PART: f64 = 0.25;
 
-/// One that tells what others have used.
+/// The usage rates learned from one aggregator.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RemoteUsage {
-    pub(crate) heard: Option<Instant>,
+    pub(crate) last_report: Option<Instant>,
     pub(crate) rates: BTreeMap<CustomerId, UsageRate>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneUsage {
-    /// What it is taken to have used since it was last heard, beyond what was counted.
+    /// The estimated usage since the last report that is not in `counted`.
     pub(crate) assumed: BTreeMap<CustomerId, f64>,
     pub(crate) assumed_until: Option<Instant>,
-    /// What was counted for it while it was cut off.
+    /// The estimated usage counted while it was partitioned.
     pub(crate) counted: UsageTotals,
-    /// Whether its first instance gave no answer when it was asked last.
+    /// Whether its aggregator did not answer the last call.
     pub(crate) is_silent: bool,
-    /// What part of the use of all it had when it was heard last.
-    pub(crate) parts: BTreeMap<CustomerId, f64>,
+    /// Its share of the total usage at the last report.
+    pub(crate) shares: BTreeMap<CustomerId, f64>,
     pub(crate) source: RemoteUsage,
 }
 
 impl RemoteUsage {
-    /// What is used of a customer's quota a second, usually.
+    /// The average usage rate of a customer, units per second.
     pub(crate) fn rate(&self, customer: &CustomerId) -> f64 {
         let rate = self.rates.get(customer);
         rate.copied().unwrap_or_default().get()
     }
 
-    /// What was used since it was heard last. While nobody can tell, since another instance is asked now, what is usual.
-    pub(crate) fn take(&mut self, news: Option<UsageTotals>, now: Instant) -> UsageTotals {
-        let heard = self.heard.replace(now);
-        let span = heard.map(|heard| now.saturating_duration_since(heard));
-        let Some(news) = news else {
-            let span = span.unwrap_or_default().min(LONGEST_GAP).as_secs_f64();
+    /// Updates the rates and returns the usage since the last report. `None` stands for the first report of a new aggregator:
+    /// the usage is extrapolated then.
+    pub(crate) fn update(&mut self, differences: Option<UsageTotals>, now: Instant) -> UsageTotals {
+        let last_report = self.last_report.replace(now);
+        let span = last_report.map(|last_report| now.saturating_duration_since(last_report));
+        let Some(differences) = differences else {
+            let span = span.unwrap_or_default().min(MAX_GAP).as_secs_f64();
             let rates = self.rates.iter();
-            let usual =
+            let extrapolated =
                 rates.map(|(customer, rate)| (customer.clone(), (rate.get() * span) as i64));
-            return usual.collect();
+            return extrapolated.collect();
         };
         if let Some(span) = span {
-            for customer in news.keys() {
+            for customer in differences.keys() {
                 self.rates.entry(customer.clone()).or_default();
             }
             for (customer, rate) in &mut self.rates {
-                rate.note(news.get(customer).copied().unwrap_or_default(), span);
+                rate.note(differences.get(customer).copied().unwrap_or_default(), span);
             }
         }
-        news
+        differences
     }
 }
 
 impl ZoneUsage {
-    /// Whether nothing was heard of the zone for long.
-    pub(crate) fn is_cut(&self, now: Instant) -> bool {
-        let heard = self.source.heard;
-        self.is_silent || heard.is_none_or(|heard| now >= heard + ZONE_SILENCE)
+    /// Whether the zone counts as partitioned.
+    pub(crate) fn is_partitioned(&self, now: Instant) -> bool {
+        let last_report = self.source.last_report;
+        self.is_silent
+            || last_report.is_none_or(|last_report| now >= last_report + PARTITION_TIMEOUT)
     }
 
-    /// The part of a customer's rate that the zone has while it is cut off: mostly that of the use, and a little for callers
-    /// who come to it from elsewhere. The parts of all zones are one.
-    pub(crate) fn cut_part(&self, customer: &CustomerId, zones: usize) -> f64 {
+    /// The share of a customer's rate that the zone has while it is partitioned: mostly its share of the usage, and a part for
+    /// callers that reconnect to it from other zones. The shares of all zones add up to one.
+    pub(crate) fn partition_share(&self, customer: &CustomerId, zones: usize) -> f64 {
         let equal = 1.0 / zones as f64;
-        match self.parts.get(customer) {
-            Some(part) => (1.0 - NEWCOMER_PART) * part + NEWCOMER_PART * equal,
+        match self.shares.get(customer) {
+            Some(share) => (1.0 - EQUAL_PART) * share + EQUAL_PART * equal,
             None => equal,
         }
     }
 
-    /// What of the time since the zone told something was not counted for yet, in seconds.
-    pub(crate) fn untold_span(&mut self, now: Instant) -> Option<f64> {
-        let heard = self.source.heard?;
-        let from = self.assumed_until.unwrap_or(heard);
+    /// The time since the last report that has not been extrapolated yet, seconds; `None` if there is none.
+    pub(crate) fn unreported_span(&mut self, now: Instant) -> Option<f64> {
+        let last_report = self.source.last_report?;
+        let from = self.assumed_until.unwrap_or(last_report);
         if now <= from {
             return None;
         }
--- a/crates/policy/src/repeat_rule.rs
+++ b/crates/policy/src/repeat_rule.rs
@@ -1,20 +1,20 @@
-//! How often a request may run.
+//! Whether a request may be retried.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request may run again when nobody knows whether it ran.
+/// Whether a request may be sent again when it is unknown whether it ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RepeatRule {
-    /// Runs at most once.
+    /// Must not run more than once.
     Once,
-    /// A stream that another upstream may go on with after its last whole event.
+    /// A stream that another upstream may continue after its last complete event.
     Resumable,
     /// Idempotent: may run any number of times.
     Safe,
 }
 
 impl RepeatRule {
-    /// Whether a second run does no harm.
+    /// Whether a second run is safe.
     pub fn may_repeat(self) -> bool {
         match self {
             Self::Once => false,
--- a/crates/policy/src/request_fingerprint.rs
+++ b/crates/policy/src/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What two tries of one request have in common.
+//! A hash that identifies a request across retries.
 
 use {
     ring::digest::{Context, SHA256},
@@ -6,36 +6,36 @@
     std::fmt::{self, Display, Formatter},
 };
 
-/// Half of the digest: nobody finds two contents with the same one, and it is short in logs and rows.
+/// Half of a SHA-256 digest, bytes: long enough to prevent collisions, and short in logs and rows.
 const LENGTH: usize = 16;
 
-/// Names a request by what its caller sends, whichever try it is and wherever it arrives: its credentials, the
-/// method, the host, the target and the body. Other headers are left out, since each try has others.
+/// Identifies a request across retries and instances by what its caller sends: credentials, method, host, target and body.
+/// Other headers are excluded, since they differ between retries.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestFingerprint([u8; LENGTH]);
 
-/// What a fingerprint is made of.
+/// The parts of a request that are hashed.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintParts<'a> {
-    /// The body.
+    /// The complete body.
     pub body: &'a [u8],
-    /// The credentials of who sends it; empty without any. Others who send the same are not held responsible for it.
+    /// The credentials of the caller; empty without any. Another caller that sends the same content has another fingerprint.
     pub caller: &'a str,
-    /// The host that is asked.
+    /// The requested host.
     pub host: &'a str,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
 }
 
 impl RequestFingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn new(parts: &FingerprintParts<'_>) -> Self {
         let texts = [parts.caller, parts.method, parts.host, parts.target];
         let mut context = Context::new(&SHA256);
         for part in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
-            // The length goes first, so that no two lists of parts give the same bytes.
+            // The length prefix keeps different lists of parts from giving the same bytes.
             context.update(&(part.len() as u64).to_le_bytes());
             context.update(part);
         }
@@ -45,7 +45,7 @@
         Self(bytes)
     }
 
-    /// The fingerprint that a text names; none when it names none.
+    /// Parses the hexadecimal form written by `Display`; `None` if the text is not one.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != 2 * LENGTH || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return None;
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -1,75 +1,74 @@
-//! How many repeated calls one instance may send to a service, so that all instances together stay in the budget.
+//! The retry budget of one instance for one service, such that all instances together stay within the total.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// The part of the ratio that an instance uses. Repeats may fall into a window that the requests which paid for them have
-/// just left; the rest covers this. The fuzz over all instances fails at 1 and holds here. So much of the slack, too: an
-/// instance may know of one that came or went a few seconds later.
+/// The fraction of the ratio that an instance uses. Retries may fall into a window that the requests which funded them have
+/// just left; the remainder covers this. The fuzz test over all instances fails at 1 and passes at this value. The same
+/// fraction of the slack is used, since an instance may learn a few seconds late of one that joined or left.
 const SAFE_SHARE: f64 = 0.7;
 
 /// The bounds of a [`RetryWindow`].
 #[derive(Clone, Copy, Debug, PartialEq, bon::Builder)]
 pub struct RetryBounds {
-    /// Repeated calls for each request of the window.
+    /// Retries per request in the window.
     pub ratio: f64,
-    /// Repeated calls beyond that, of all instances together.
+    /// Retries beyond that, over all instances.
     pub slack: f64,
-    /// The length of the window, which slides.
+    /// The length of the sliding window.
     pub window: Duration,
 }
 
-/// Counts the requests and the repeated calls of one service in a sliding window.
+/// Counts the requests and retries of one service in a sliding window.
 ///
-/// Each instance keeps its repeats under `ratio` times its own requests plus an equal part of the shared slack, so the sum
-/// over all instances stays in the budget without a message between them.
+/// Each instance keeps its retries below `ratio` times its own requests plus an equal share of the slack, so that the sum
+/// over all instances stays within the budget without any communication.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
-    /// When this life of the instance began. The life before it may have used the slack a moment earlier, so there is none
-    /// for the length of a window.
-    born: Instant,
-    repeats: VecDeque<Instant>,
+    /// When this instance started. It may have used its slack just before a restart, so there is none during the first window.
+    started: Instant,
+    retries: VecDeque<Instant>,
     requests: VecDeque<Instant>,
 }
 
 impl RetryWindow {
-    /// An empty window of a life that began at `born`.
-    pub fn new(born: Instant) -> Self {
+    /// Creates an empty window for an instance that started at `started`.
+    pub fn new(started: Instant) -> Self {
         Self {
-            born,
-            repeats: VecDeque::new(),
+            started,
+            retries: VecDeque::new(),
             requests: VecDeque::new(),
         }
     }
 
-    /// A request came in.
+    /// Records a request from a caller.
     pub fn note_request(&mut self, bounds: &RetryBounds, now: Instant) {
-        self.forget(bounds.window, now);
+        self.expire(bounds.window, now);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeated call out of the budget; `false` when there is none left. `instances` is how many share the slack;
-    /// while that is not known, this one has no part of it.
+    /// Takes one retry out of the budget; `false` when it is spent. `instances` is how many share the slack; while it is
+    /// unknown, `None`, this instance has no share of it.
     #[must_use]
     pub fn take(&mut self, bounds: &RetryBounds, instances: Option<usize>, now: Instant) -> bool {
-        self.forget(bounds.window, now);
+        self.expire(bounds.window, now);
         let funded = bounds.ratio * SAFE_SHARE * self.requests.len() as f64;
-        let is_settled = now.saturating_duration_since(self.born) >= bounds.window;
-        let most = match is_settled {
-            true => funded + own_slack(bounds, instances),
+        let is_settled = now.saturating_duration_since(self.started) >= bounds.window;
+        let limit = match is_settled {
+            true => funded + slack_share(bounds, instances),
             false => funded,
         };
-        if (self.repeats.len() + 1) as f64 > most {
+        if (self.retries.len() + 1) as f64 > limit {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, window: Duration, now: Instant) {
-        for list in [&mut self.repeats, &mut self.requests] {
+    fn expire(&mut self, window: Duration, now: Instant) {
+        for list in [&mut self.retries, &mut self.requests] {
             while let Some(first) = list.front() {
                 if now.saturating_duration_since(*first) < window {
                     break;
@@ -80,6 +79,6 @@
     }
 }
 
-fn own_slack(bounds: &RetryBounds, instances: Option<usize>) -> f64 {
+fn slack_share(bounds: &RetryBounds, instances: Option<usize>) -> f64 {
     instances.map_or(0.0, |count| bounds.slack * SAFE_SHARE / count.max(1) as f64)
 }
--- a/crates/policy/src/slot_hold_time.rs
+++ b/crates/policy/src/slot_hold_time.rs
@@ -1,35 +1,36 @@
-//! How long requests of a model service hold their places, by what this instance has seen.
+//! How long requests of a model service hold their decode slots, as observed by this instance.
 
 use {kernel::seeded_rng, std::time::Duration};
 
-/// Before anything was seen: about what a note of an ordinary length takes, its reading included.
+/// The initial mean: about the duration of an answer of ordinary length, prefill included.
 const FIRST_MEAN: Duration = Duration::from_secs(2);
-/// How much one request moves the mean: about the last twenty count.
+/// The weight of the latest request in the mean, which thus covers about twenty requests.
 const LATEST_WEIGHT: f64 = 0.05;
-/// Callers that are refused at one moment come back over this share of the mean, so that they don't meet again.
-const COME_BACK_SPREAD: f64 = 0.5;
-/// The seed of the spread.
-const SPREAD_SEED: u64 = 5;
+/// The jitter of retries, as a fraction of the mean: callers refused at the same time do not return at the same time.
+const RETRY_JITTER: f64 = 0.5;
+/// The seed of the jitter.
+const JITTER_SEED: u64 = 5;
 
-/// The mean time from the reservation of a place to the end of its stream.
+/// The moving average of the time from the reservation of a slot to the end of its stream.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotHoldTime {
     mean: Duration,
 }
 
 impl SlotHoldTime {
-    /// When a caller that found no place may come back: by then the requests that have the places now have ended.
+    /// When a caller that found no free slot should retry: by then the requests that hold the slots now have ended. The jitter
+    /// depends on the id of the request.
     pub fn retry_after(&self, request: &str) -> Duration {
-        let draw = seeded_rng::mix(SPREAD_SEED, request.as_bytes()) as f64 / u64::MAX as f64;
-        self.mean.mul_f64(1.0 + COME_BACK_SPREAD * (draw - 0.5))
+        let sample = seeded_rng::mix(JITTER_SEED, request.as_bytes()) as f64 / u64::MAX as f64;
+        self.mean.mul_f64(1.0 + RETRY_JITTER * (sample - 0.5))
     }
 
-    /// A pace of which nothing was seen.
+    /// Creates an average without observations.
     pub fn new() -> Self {
         Self { mean: FIRST_MEAN }
     }
 
-    /// A place was held for so long, by a stream that came to its end.
+    /// Records how long a slot was held by a stream that completed.
     pub fn note(&mut self, held: Duration) {
         let mean = self.mean.as_secs_f64();
         let moved = mean + (held.as_secs_f64() - mean) * LATEST_WEIGHT;
--- a/crates/policy/src/stage_planner.rs
+++ b/crates/policy/src/stage_planner.rs
@@ -1,10 +1,10 @@
-//! Which engines of a model service should change their stage. No I/O and no clock.
+//! Plans stage changes of the engines of a model service. Free of I/O; times are passed in.
 //!
-//! Memory for decoding is what most deployments run out of first, and a decode engine can read a prompt itself when the
-//! prefill engines are late. So few prefill engines are wanted to begin with, and a surplus goes back to decoding as
-//! engines come and go. What requests meet goes before that: readers that are needed stay, and a stage that is pressed for
-//! long gets an engine of the other if that has room. Long prompts press the engines that read, long answers the memory of
-//! those that generate. A change takes an engine out for some seconds, so bursts change nothing.
+//! Most deployments run out of decode memory first, and a decode engine can prefill a prompt itself when the prefill engines
+//! are late. The target is therefore a small number of prefill engines, and a surplus returns to decoding as engines join
+//! and leave. Observed load takes precedence: prefill engines that are needed stay, and a stage that is overloaded for long
+//! gets an engine of the other stage if that has capacity to spare. Long prompts load the prefill engines, long answers the
+//! memory of the decode engines. A change takes an engine out of service for some seconds, so bursts cause none.
 
 use {
     crate::{StagePressure, UpstreamRecord, UpstreamStage},
@@ -16,87 +16,88 @@
     },
 };
 
-/// Prefill engines are pressed, and a surplus of them is needed, when so large a share of readings waits: a queue of one server at this load is four
-/// readings long.
-const READERS_PRESSED: f64 = 0.8;
-/// After an engine was given away, at most this share of readings may wait: a wait of one reading.
-const READERS_AFTER: f64 = 0.65;
-/// Decode engines are pressed when so large a share of requests finds no place at once: one in three is kept waiting or
+/// Prefill engines are overloaded when at least this fraction of prefills has to wait: the queue of one server at this load is
+/// four prefills long.
+const PREFILL_OVERLOADED: f64 = 0.8;
+/// The maximum fraction of waiting prefills expected after a prefill engine is given away: a wait of one prefill. A surplus
+/// that would exceed it is kept.
+const PREFILL_AFTER_CHANGE: f64 = 0.65;
+/// Decode engines are overloaded when at least this fraction of requests finds no free slot at once: one in three waits or is
 /// refused.
-const PLACES_PRESSED: f64 = 0.35;
-/// Decode engines have room when at most this share of requests finds no place at once.
-const PLACES_ROOMY: f64 = 0.1;
+const DECODE_OVERLOADED: f64 = 0.35;
+/// Decode engines have spare capacity when at most this fraction of requests finds no free slot at once.
+const DECODE_SPARE: f64 = 0.1;
 
 /// The settings of a [`StagePlanner`].
 #[derive(Clone, Debug, PartialEq, bon::Builder)]
 pub struct StageGoal {
-    /// How long a stage has to have too few engines before one changes, the same for all instances.
+    /// How long the number of engines in a stage has to be off target before one changes, the same for all instances.
     pub patience: Duration,
-    /// How long after a change, by this instance or another, the next is considered.
+    /// The cooldown after a change by this instance or another.
     pub pause: Duration,
-    /// How long a stage has to be pressed before an engine changes: longer than the bursts that pass by themselves, since
-    /// an engine that changes serves nothing for some seconds.
+    /// How long a stage has to be overloaded before an engine changes: longer than a burst, since an engine serves nothing for
+    /// some seconds during the change.
     pub pressed_patience: Duration,
-    /// The share of the engines of a service that read prompts, rounded up, while requests ask for nothing else.
+    /// The target fraction of prefill engines of a service, rounded up, while the load requires no other.
     pub prefill_share: f64,
-    /// The fewest engines of a stage that are left.
+    /// The minimum number of engines that a change leaves in a stage.
     pub spare_floor: usize,
 }
 
-/// Engines that should change their stage.
+/// A planned stage change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageChange {
-    /// The engines.
+    /// The engines to change.
     pub engines: Vec<Arc<UpstreamRecord>>,
-    /// The service.
+    /// The service they belong to.
     pub service: ServiceId,
     /// Their new stage.
     pub stage: UpstreamStage,
 }
 
-/// One look at the engines of a service.
+/// A snapshot of the engines of a service and their load.
 #[derive(Clone, Copy, Debug)]
-struct SeenStages {
-    decoders: usize,
-    readers: usize,
-    /// The share of requests that found no place at once.
+struct StageSnapshot {
+    decode: usize,
+    prefill: usize,
+    /// The fraction of requests that found no free slot at once; `None` while too few were observed.
     refused: Option<f64>,
-    /// The share of readings that waited.
+    /// The fraction of prefills that had to wait; `None` while too few were observed.
     waiting: Option<f64>,
 }
 
-/// Watches how the engines of one service are shared between the stages.
+/// Decides when engines of one service change between the stages.
 #[derive(Debug)]
 pub struct StagePlanner {
     goal: StageGoal,
-    /// Whether requests have told of the pressure: from then on an instance that few requests reach knows nothing, and
-    /// leaves a surplus to those that do.
-    has_seen: bool,
-    quiet_until: Option<Instant>,
-    short_since: Option<(UpstreamStage, Instant)>,
-    /// Added to the patience, different for each instance, so that one goes first and the others see its change.
+    /// Whether the load was ever known. From then on, an instance that receives too few requests to know the load leaves a
+    /// surplus to the instances that do.
+    has_known_load: bool,
+    cooldown_until: Option<Instant>,
+    wanting_since: Option<(UpstreamStage, Instant)>,
+    /// Added to the patience and different for each instance, so that one acts first and the others see its change.
     stagger: Duration,
 }
 
 impl StagePlanner {
-    /// A plan that has seen nothing.
+    /// Creates a planner without observations.
     pub fn new(goal: StageGoal, stagger: Duration) -> Self {
         Self {
             goal,
-            has_seen: false,
-            quiet_until: None,
-            short_since: None,
+            has_known_load: false,
+            cooldown_until: None,
+            wanting_since: None,
             stagger,
         }
     }
 
-    /// A change was ordered, or another instance was seen to order: look again later.
+    /// Starts the cooldown after a change ordered by this or another instance.
     pub fn start_cooldown(&mut self, now: Instant) {
-        self.short_since = None;
-        self.quiet_until = Some(now + self.goal.pause);
+        self.wanting_since = None;
+        self.cooldown_until = Some(now + self.goal.pause);
     }
 
-    /// Looks at the engines of a service, and says which should change now.
+    /// Returns the change to make now, if any, from the current engines and load of a service.
     pub fn decide(
         &mut self,
         service: &ServiceId,
@@ -104,38 +105,38 @@
         pressure: &StagePressure,
         now: Instant,
     ) -> Option<StageChange> {
-        if self.quiet_until.is_some_and(|until| now < until) {
+        if self.cooldown_until.is_some_and(|until| now < until) {
             return None;
         }
-        let readers = of_stage(engines, UpstreamStage::Prefill);
-        let decoders = of_stage(engines, UpstreamStage::Decode);
-        let seen = SeenStages {
-            decoders: decoders.len(),
-            readers: readers.len(),
+        let prefill = of_stage(engines, UpstreamStage::Prefill);
+        let decode = of_stage(engines, UpstreamStage::Decode);
+        let snapshot = StageSnapshot {
+            decode: decode.len(),
+            prefill: prefill.len(),
             refused: pressure.slot_miss_share(now),
             waiting: pressure.prefill_wait_share(now),
         };
-        self.has_seen |= seen.waiting.is_some();
-        let off_goal = self.off_goal(&seen);
-        let Some((stage, count)) = off_goal.or_else(|| self.pressed(&seen)) else {
-            self.short_since = None;
+        self.has_known_load |= snapshot.waiting.is_some();
+        let off_target = self.off_target(&snapshot);
+        let Some((stage, count)) = off_target.or_else(|| self.overloaded(&snapshot)) else {
+            self.wanting_since = None;
             return None;
         };
-        let patience = match off_goal {
+        let patience = match off_target {
             Some(_) => self.goal.patience,
             None => self.goal.pressed_patience,
         };
-        let since = match self.short_since {
+        let since = match self.wanting_since {
             Some((before, since)) if before == stage => since,
             _ => now,
         };
-        self.short_since = Some((stage, since));
+        self.wanting_since = Some((stage, since));
         if now < since + patience + self.stagger {
             return None;
         }
         let donors = match stage {
-            UpstreamStage::Decode => readers,
-            _ => decoders,
+            UpstreamStage::Decode => prefill,
+            _ => decode,
         };
         Some(StageChange {
             engines: from_fullest_zones(donors, count),
@@ -144,49 +145,50 @@
         })
     }
 
-    /// The stage that has too few engines by their number, and how many it is to get.
-    fn off_goal(&self, seen: &SeenStages) -> Option<(UpstreamStage, usize)> {
-        let wanted = self.wanted_readers(seen);
-        if seen.readers < wanted.min(self.goal.spare_floor) && seen.decoders > self.goal.spare_floor
+    /// The stage whose number of engines is below target, and how many it should get.
+    fn off_target(&self, snapshot: &StageSnapshot) -> Option<(UpstreamStage, usize)> {
+        let target = self.target_prefill(snapshot);
+        if snapshot.prefill < target.min(self.goal.spare_floor)
+            && snapshot.decode > self.goal.spare_floor
         {
             return Some((UpstreamStage::Prefill, 1));
         }
-        let surplus = seen.readers.saturating_sub(wanted);
-        let is_needed = match seen.waiting {
-            Some(_) => !seen.spares(surplus),
-            None => self.has_seen,
+        let surplus = snapshot.prefill.saturating_sub(target);
+        let is_needed = match snapshot.waiting {
+            Some(_) => !snapshot.can_spare(surplus),
+            None => self.has_known_load,
         };
         (surplus > 0 && !is_needed).then_some((UpstreamStage::Decode, surplus))
     }
 
-    /// How many readers the goal asks for. Of a few engines one is enough: the others can read prompts themselves, and
-    /// nothing else holds what they generate.
-    fn wanted_readers(&self, seen: &SeenStages) -> usize {
-        let all = seen.readers + seen.decoders;
+    /// The target number of prefill engines. With few engines one is enough: the others can prefill prompts themselves, and
+    /// nothing else can hold the streams that they generate.
+    fn target_prefill(&self, snapshot: &StageSnapshot) -> usize {
+        let all = snapshot.prefill + snapshot.decode;
         (all as f64 * self.goal.prefill_share).ceil() as usize
     }
 
-    /// The stage whose engines are pressed while the other has room, and how many it is to get.
-    fn pressed(&self, seen: &SeenStages) -> Option<(UpstreamStage, usize)> {
+    /// The stage that is overloaded while the other has spare capacity, and how many engines it should get.
+    fn overloaded(&self, snapshot: &StageSnapshot) -> Option<(UpstreamStage, usize)> {
         let floor = self.goal.spare_floor;
-        let waiting = seen.waiting?;
-        let refused = seen.refused?;
-        if waiting >= READERS_PRESSED && refused <= PLACES_ROOMY && seen.decoders > floor {
+        let waiting = snapshot.waiting?;
+        let refused = snapshot.refused?;
+        if waiting >= PREFILL_OVERLOADED && refused <= DECODE_SPARE && snapshot.decode > floor {
             return Some((UpstreamStage::Prefill, 1));
         }
-        let least = self.wanted_readers(seen).min(floor);
-        let is_spare = seen.readers > least && seen.spares(1);
-        (refused >= PLACES_PRESSED && is_spare).then_some((UpstreamStage::Decode, 1))
+        let minimum = self.target_prefill(snapshot).min(floor);
+        let is_spare = snapshot.prefill > minimum && snapshot.can_spare(1);
+        (refused >= DECODE_OVERLOADED && is_spare).then_some((UpstreamStage::Decode, 1))
     }
 }
 
-impl SeenStages {
-    /// Whether so many readers can go without the others being pressed.
-    fn spares(&self, count: usize) -> bool {
-        let left = self.readers.saturating_sub(count).max(1);
-        let after = |waiting: f64| waiting * self.readers as f64 / left as f64;
+impl StageSnapshot {
+    /// Whether `count` prefill engines can change without overloading the others.
+    fn can_spare(&self, count: usize) -> bool {
+        let left = self.prefill.saturating_sub(count).max(1);
+        let after = |waiting: f64| waiting * self.prefill as f64 / left as f64;
         self.waiting
-            .is_some_and(|waiting| after(waiting) <= READERS_AFTER)
+            .is_some_and(|waiting| after(waiting) <= PREFILL_AFTER_CHANGE)
     }
 }
 
@@ -195,7 +197,7 @@
     matching.cloned().collect()
 }
 
-/// Engines of the availability zones that have the most of them.
+/// Picks engines from the availability zones that have the most of them.
 fn from_fullest_zones(donors: Vec<Arc<UpstreamRecord>>, count: usize) -> Vec<Arc<UpstreamRecord>> {
     let mut zones: BTreeMap<ZoneId, Vec<Arc<UpstreamRecord>>> = BTreeMap::new();
     for donor in donors {
--- a/crates/policy/src/stage_pressure.rs
+++ b/crates/policy/src/stage_pressure.rs
@@ -1,79 +1,81 @@
-//! How hard the engines of each stage are pressed, by what the requests of one instance met.
+//! The load of the engines of each stage, as observed by the requests of one instance.
 //!
-//! A request that arrives finds an engine busy as often as the engine is busy, so the share of readings that had to wait
-//! tells how busy the prefill engines are, whoever else uses them, and the share of requests that found no place at
-//! once how full the decode engines are. Nothing is asked of the engines for it.
+//! Arriving requests sample the state of the engines: the fraction of prefills that had to wait estimates the utilization of
+//! the prefill engines, whoever else uses them, and the fraction of requests that found no free slot at once that of the decode
+//! engines. No further calls to the engines are needed.
 
 use std::time::{Duration, Instant};
 
-/// After so long, half of what was seen is forgotten: longer than a burst of a few seconds, shorter than a shift of load.
+/// The half-life of observations: longer than a burst of a few seconds, shorter than a lasting shift of the load.
 const HALF_LIFE: Duration = Duration::from_secs(6);
-/// So many observations make a share: fewer leave an error of more than a sixth.
-const LEAST_SEEN: f64 = 8.0;
-/// A reading waited if it took so many times what its tokens take alone: the rest is scatter between prompts.
-const WAITED: f64 = 1.5;
+/// The minimum weight of observations for an estimate: fewer leave an error of more than a sixth.
+const MIN_WEIGHT: f64 = 8.0;
+/// A prefill counts as delayed if it took more than this multiple of its time with an empty queue. Smaller differences are
+/// variation between prompts.
+const DELAY_FACTOR: f64 = 1.5;
 
-/// The shares of one service.
+/// The observed load of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StagePressure {
-    places: FadingShare,
-    readings: FadingShare,
+    slots: DecayingShare,
+    prefills: DecayingShare,
 }
 
-/// A share of yes among observations that fade.
+/// The exponentially weighted fraction of positive observations.
 #[derive(Clone, Copy, Debug, Default)]
-struct FadingShare {
-    at: Option<Instant>,
-    seen: f64,
-    yes: f64,
+struct DecayingShare {
+    observed_at: Option<Instant>,
+    weight: f64,
+    positive: f64,
 }
 
 impl StagePressure {
-    /// A pressure of which nothing was seen.
+    /// Creates a load without observations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A request looked for a place, and found one at once or found the engines full. However often it asks after that, it
-    /// counts once: a burst would stay in the share for long otherwise.
+    /// Records whether a request found the engines full when it first looked for a slot. Its further attempts must not be
+    /// recorded, otherwise a burst would affect the fraction for long.
     pub fn note_slot_search(&mut self, is_full: bool, now: Instant) {
-        self.places.note(is_full, now);
+        self.slots.note(is_full, now);
     }
 
-    /// A prompt was read in `took`, which its engine would do in `alone`.
-    pub fn note_prefill(&mut self, alone: Duration, took: Duration, now: Instant) {
-        self.readings.note(took > alone.mul_f64(WAITED), now);
+    /// Records a prefill that took `took`, where its engine needs `unqueued` with an empty queue.
+    pub fn note_prefill(&mut self, unqueued: Duration, took: Duration, now: Instant) {
+        self.prefills
+            .note(took > unqueued.mul_f64(DELAY_FACTOR), now);
     }
 
-    /// The share of requests that found no place at once; none while too few were seen.
+    /// The fraction of requests that found no free slot at once; `None` while too few were observed.
     pub fn slot_miss_share(&self, now: Instant) -> Option<f64> {
-        self.places.share(now)
+        self.slots.share(now)
     }
 
-    /// The share of readings that waited; none while too few were seen.
+    /// The fraction of prefills that had to wait; `None` while too few were observed.
     pub fn prefill_wait_share(&self, now: Instant) -> Option<f64> {
-        self.readings.share(now)
+        self.prefills.share(now)
     }
 }
 
-impl FadingShare {
-    fn left(&self, now: Instant) -> f64 {
-        let Some(at) = self.at else {
+impl DecayingShare {
+    fn decay(&self, now: Instant) -> f64 {
+        let Some(observed_at) = self.observed_at else {
             return 0.0;
         };
-        let age = now.saturating_duration_since(at);
+        let age = now.saturating_duration_since(observed_at);
         0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
-    fn note(&mut self, is_yes: bool, now: Instant) {
-        let left = self.left(now);
-        self.seen = self.seen * left + 1.0;
-        self.yes = self.yes * left + f64::from(u8::from(is_yes));
-        self.at = Some(now);
+    fn note(&mut self, is_positive: bool, now: Instant) {
+        let decay = self.decay(now);
+        self.weight = self.weight * decay + 1.0;
+        self.positive = self.positive * decay + f64::from(u8::from(is_positive));
+        self.observed_at = Some(now);
     }
 
     fn share(&self, now: Instant) -> Option<f64> {
-        let is_enough = self.seen * self.left(now) >= LEAST_SEEN;
-        is_enough.then(|| self.yes / self.seen)
+        let is_enough = self.weight * self.decay(now) >= MIN_WEIGHT;
+        is_enough.then(|| self.positive / self.weight)
     }
 }
--- a/crates/policy/src/store_clock.rs
+++ b/crates/policy/src/store_clock.rs
@@ -1,40 +1,40 @@
-//! When the store gave an answer that it held back.
+//! Maps the monotonic clock of the store to the local one, to date answers that the store delays.
 //!
-//! A watch is answered up to seconds after it was asked. Without more, its answer is as old as the question; the store's own
-//! steady clock, which it tells with each answer, says when it was really given.
+//! A watch is answered up to seconds after it was sent. The arrival proves only that the answer is not older than the
+//! question; the clock of the store, which is part of each answer, shows when it was really sent.
 
 use std::time::{Duration, Instant};
 
-/// The store tells whole milliseconds, rounded one way or the other.
-const CLOCK_STEP: Duration = Duration::from_millis(1);
+/// The resolution of the clock of the store, which is rounded to whole milliseconds.
+const CLOCK_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// One moment by the store's clock and by the own one: it was not before `at`.
+/// A reading of the clock of the store, taken at the local time `at` or later.
 #[derive(Clone, Copy, Debug)]
 struct ClockAnchor {
     at: Instant,
     store: Duration,
 }
 
-/// Translates moments of the store's clock.
+/// Converts times of the store to local times.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreClock {
     anchor: Option<ClockAnchor>,
 }
 
 impl StoreClock {
-    /// A moment that was not after the one at which the store gave an answer: to a question of `asked`, received at
-    /// `received`, with this reading of its clock. It is never before `asked`.
+    /// A lower bound of the local time at which the store sent an answer. The question was sent at `asked`, the answer received at
+    /// `received`, and `store` is the clock of the store in the answer. The result is never before `asked`.
     pub fn answer_time(&self, store: Duration, asked: Instant, received: Instant) -> Instant {
         let Some(anchor) = self.anchor else {
             return asked;
         };
-        let Some(later) = store.checked_sub(anchor.store + CLOCK_STEP) else {
+        let Some(elapsed) = store.checked_sub(anchor.store + CLOCK_RESOLUTION) else {
             return asked;
         };
-        (anchor.at + later).clamp(asked, received)
+        (anchor.at + elapsed).clamp(asked, received)
     }
 
-    /// The store answered a question at once. The later of two anchors stands: clocks drift.
+    /// Records an answer that the store sent without delay. It replaces earlier ones, since clocks drift.
     pub fn note_answer(&mut self, store: Duration, asked: Instant) {
         self.anchor = Some(ClockAnchor { at: asked, store });
     }
--- a/crates/policy/src/stream_attempts.rs
+++ b/crates/policy/src/stream_attempts.rs
@@ -1,39 +1,39 @@
-//! The calls that one request of a model service has made, and which further ones may go out.
+//! The calls made for one request of a model service, and whether further ones are allowed.
 
 use crate::RepeatRule;
 
-/// How many further engines are asked after refusals; a refusal costs a round trip.
-const REFUSED_TRIES: u32 = 3;
+/// How many further engines are tried after refusals; each refusal costs a round trip.
+const REFUSAL_RETRIES: u32 = 3;
 
-/// How a call of a request ended, as far as further calls depend on it.
+/// How a call ended, as far as it matters for further calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptEnd {
-    /// The request is in quarantine: nothing was sent, and nothing will be.
+    /// The request must not be sent, for example while it is in quarantine: no call was or will be made.
     Blocked,
-    /// An engine accepted the reading of the prompt.
+    /// An engine accepted the prefill of the prompt.
     Prefilled,
-    /// An engine had the reading and did not do it.
+    /// An engine received the prefill and did not run it.
     PrefillRefused,
-    /// An engine had the request and did not run it.
+    /// An engine received the request and did not run it.
     Refused,
-    /// An engine ran it, or may have run it.
+    /// An engine ran the request, or may have run it.
     Ran,
-    /// The call did not leave.
+    /// The call was not sent.
     Unsent,
 }
 
 /// Counts the calls of one request.
 ///
-/// The service's retry budget pays for each call after the first that reached an engine. The first reading that an engine
-/// accepts is free.
+/// Each call after the first that reached an engine takes a retry from the budget of the service. The first prefill that an
+/// engine accepts is free.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamAttempts {
-    /// Calls that count against the retry budget, the first included.
+    /// Calls that reached an engine, the first included.
     arrivals: u32,
-    has_read: bool,
-    /// A retry was taken out of the budget for the next call.
-    is_paid: bool,
-    /// Set when no further call may go out: the retry budget allowed none, or the request is in quarantine.
+    has_prefilled: bool,
+    /// Whether the retry for the next call has already been taken from the budget.
+    is_reserved: bool,
+    /// Whether no further call is allowed, since the retry budget is spent or the request is blocked.
     is_spent: bool,
     refused: u32,
     repeat: RepeatRule,
@@ -47,19 +47,19 @@
         self.runs > 0
     }
 
-    /// Whether another engine may be asked, if there is time left.
+    /// Whether another engine may be tried, if there is time left.
     pub fn can_continue(&self) -> bool {
         let may_run =
             self.runs < self.tries && (self.runs == 0 || self.repeat == RepeatRule::Resumable);
-        !self.is_spent && may_run && self.refused <= REFUSED_TRIES
+        !self.is_spent && may_run && self.refused <= REFUSAL_RETRIES
     }
 
-    /// A request of a row that may run on `tries` engines.
+    /// Creates the counts of a request that may run on up to `tries` engines.
     pub fn new(repeat: RepeatRule, tries: u32) -> Self {
         Self {
             arrivals: 0,
-            has_read: false,
-            is_paid: false,
+            has_prefilled: false,
+            is_reserved: false,
             is_spent: false,
             refused: 0,
             repeat,
@@ -68,13 +68,13 @@
         }
     }
 
-    /// A call ended.
+    /// Records how a call ended.
     pub fn note(&mut self, end: AttemptEnd) {
         match end {
             AttemptEnd::Blocked => self.is_spent = true,
-            AttemptEnd::Prefilled => self.has_read = true,
+            AttemptEnd::Prefilled => self.has_prefilled = true,
             AttemptEnd::PrefillRefused => {
-                self.has_read = true;
+                self.has_prefilled = true;
                 self.arrivals += 1;
             }
             AttemptEnd::Refused => {
@@ -89,30 +89,30 @@
         }
     }
 
-    /// Takes the retry for the next call out of the budget ahead, so that a stream is not left for a call that may not go
-    /// out; `false` when there is none.
+    /// Takes the retry for the next call from the budget in advance, so that a stream is not abandoned for a call that is not
+    /// allowed; `false` when the budget is spent.
     pub fn reserve_retry(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
-        self.is_paid = self.allow_call(take_retry);
-        self.is_paid
+        self.is_reserved = self.allow_call(take_retry);
+        self.is_reserved
     }
 
-    /// Whether the prompt may be read apart now.
+    /// Whether the prompt may be prefilled at a prefill engine now.
     ///
-    /// The first reading is free if it is accepted. A stream that broke may have its prompt read again: a prefill engine
-    /// takes half of the time that the decode engine takes, which the caller sees as a pause, and does not slow the streams
-    /// that run there. That is a repeated call, and goes out only if the run after it is paid for already.
+    /// The first prefill is free if it is accepted. The prompt of a broken stream may be prefilled again: a prefill engine
+    /// needs half the time of the decode engine, which the caller sees as a pause, and does not slow down the streams running
+    /// there. Such a prefill takes a retry, and is allowed only if the retry for the run after it has been reserved.
     pub fn allow_prefill(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
-        match self.has_read {
-            true => self.has_run() && self.is_paid && take_retry(),
+        match self.has_prefilled {
+            true => self.has_run() && self.is_reserved && take_retry(),
             false => true,
         }
     }
 
-    /// Whether a further call may go out: the first may, each later one takes a retry out of the budget.
+    /// Whether a further call is allowed: the first always is, each later one takes a retry from the budget.
     pub fn allow_call(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
-        let is_paid = std::mem::take(&mut self.is_paid);
-        let may = is_paid || self.arrivals == 0 || take_retry();
-        self.is_spent |= !may;
-        may
+        let is_reserved = std::mem::take(&mut self.is_reserved);
+        let is_allowed = is_reserved || self.arrivals == 0 || take_retry();
+        self.is_spent |= !is_allowed;
+        is_allowed
     }
 }
--- a/crates/policy/src/upstream_entry.rs
+++ b/crates/policy/src/upstream_entry.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of one upstream beyond its record.
+//! The state of one upstream, as observed by one instance.
 
 use {
     crate::{PrefillEstimate, RefusalCooldown, UpstreamRecord, UpstreamStage},
@@ -8,34 +8,34 @@
     },
 };
 
-/// After so long without a new verdict, half of an upstream's bad name is forgotten. Set so that an upstream whose fault
-/// has passed gets a trial request within a few seconds.
+/// The half-life of the failure rate without new verdicts. An upstream that has recovered gets a trial request within a few
+/// seconds.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How much one verdict moves the share of failures: about the last five calls count.
+/// The weight of one verdict in the failure rate, which thus covers about five calls.
 const VERDICT_WEIGHT: f64 = 0.2;
-/// How long an upstream that was full is passed over: a few of its steps.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
-/// How long an upstream that is not what the list says is passed over: until the list has caught up, which takes a report
-/// of the upstream and a reading. A prefill engine that refuses a reading is most often about to change its stage; each
-/// further refusal of it would make the run after it a repeated call, for which the retry budget pays.
-const MISDIRECTED_PAUSE: Duration = Duration::from_millis(2_200);
+/// How long a full upstream is avoided: a few of its steps.
+const FULL_COOLDOWN: Duration = Duration::from_millis(150);
+/// How long an upstream that differs from its record is avoided: until the list is up to date, which takes a report of the
+/// upstream and a read of the list. A prefill engine that refuses a prefill is usually about to change its stage; each
+/// further refusal would turn the run after it into a retry that is charged to the retry budget.
+const MISDIRECTED_COOLDOWN: Duration = Duration::from_millis(2_200);
 
-/// How a call to an upstream ended, as far as it tells about the upstream.
+/// What the end of a call says about its upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallVerdict {
     /// It answered.
     Answered,
-    /// It answered with a failure of its own.
+    /// It answered with an error.
     Failed,
-    /// It had no room.
+    /// It had no free slot.
     Full,
-    /// The answer was cut, can't be read or did not come.
+    /// The answer was truncated, malformed or missing.
     Lost,
-    /// Another upstream has its address, or it does another stage now: the list is behind.
+    /// Its address belongs to another upstream, or its stage has changed: the list is stale.
     Misdirected,
-    /// It tells nothing: the caller went away.
+    /// Nothing: the caller disconnected.
     Neutral,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
 }
 
@@ -51,7 +51,7 @@
         Self::Unreachable,
     ];
 
-    /// The word for it in metrics.
+    /// The label in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -64,8 +64,9 @@
         }
     }
 
-    /// What the verdict counts as a failure, 0 to 1. A failure of its own counts less, since some requests fail anywhere.
-    fn badness(self) -> Option<f64> {
+    /// The weight of the verdict as a failure, 0 to 1; `None` if it says nothing. An error answer counts less, since some requests
+    /// fail at any upstream.
+    fn failure_weight(self) -> Option<f64> {
         match self {
             Self::Answered => Some(0.0),
             Self::Failed => Some(0.4),
@@ -75,39 +76,39 @@
     }
 }
 
-/// The state of one upstream as this instance sees it.
+/// The load, failures and record of one upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamEntry {
-    /// Whether it turns requests away from places that it reserved.
+    /// The cooldown after it has refused requests with reserved slots.
     pub cooldown: RefusalCooldown,
     failure: f64,
     failure_at: Instant,
     full_until: Option<Instant>,
-    /// Since when the list lacks it, while it may still come back.
+    /// Since when it is missing from the list; `None` while it is listed.
     pub missing_since: Option<Instant>,
-    /// The calls of this instance that are under way.
+    /// In-flight calls of this instance.
     pub in_flight: u32,
-    /// The tokens of the calls of this instance that are under way.
+    /// Tokens of the in-flight calls of this instance.
     pub in_flight_tokens: u64,
-    /// How fast it reads prompts, as far as this instance has seen.
+    /// Its estimated prefill time.
     pub prefill: PrefillEstimate,
-    /// What the list says.
+    /// Its record in the latest list that has it.
     pub record: Arc<UpstreamRecord>,
 }
 
 impl UpstreamEntry {
-    /// The share of failures among the last calls, which fades with time.
+    /// The failure rate of recent calls, 0 to 1, which decays over time.
     pub fn failure_share(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.failure_at);
         self.failure * 0.5_f64.powf(age.as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Whether it had no room a moment ago.
+    /// Whether it is avoided since it was recently full or misdirected.
     pub fn is_full(&self, now: Instant) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// An upstream that nothing is known of yet.
+    /// Creates the state of an upstream without observations.
     pub fn new(record: Arc<UpstreamRecord>, now: Instant) -> Self {
         Self {
             cooldown: RefusalCooldown::default(),
@@ -122,23 +123,23 @@
         }
     }
 
-    /// Takes a verdict in.
+    /// Records the verdict of a call.
     pub fn note(&mut self, verdict: CallVerdict, now: Instant) {
-        let pause = match verdict {
-            CallVerdict::Full if self.record.stage != UpstreamStage::Prefill => Some(FULL_PAUSE),
-            CallVerdict::Full | CallVerdict::Misdirected => Some(MISDIRECTED_PAUSE),
+        let cooldown = match verdict {
+            CallVerdict::Full if self.record.stage != UpstreamStage::Prefill => Some(FULL_COOLDOWN),
+            CallVerdict::Full | CallVerdict::Misdirected => Some(MISDIRECTED_COOLDOWN),
             _ => None,
         };
-        if let Some(pause) = pause {
-            self.full_until = Some(now + pause);
+        if let Some(cooldown) = cooldown {
+            self.full_until = Some(now + cooldown);
         }
-        let Some(badness) = verdict.badness() else {
+        let Some(failure_weight) = verdict.failure_weight() else {
             return;
         };
         let before = self.failure_share(now);
         self.failure = match verdict {
             CallVerdict::Unreachable => 1.0,
-            _ => before + (badness - before) * VERDICT_WEIGHT,
+            _ => before + (failure_weight - before) * VERDICT_WEIGHT,
         };
         self.failure_at = now;
     }
--- a/crates/policy/src/upstream_record.rs
+++ b/crates/policy/src/upstream_record.rs
@@ -1,4 +1,4 @@
-//! One upstream as the list of upstreams names it.
+//! One upstream, as described by the list of upstreams.
 
 use {
     kernel::{ServiceId, UpstreamId, ZoneId},
@@ -6,34 +6,34 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// One life of one upstream; a restart has another id here, also one that goes on under its name.
+/// One process of an upstream; a restart has another id, even under the same name.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UpstreamRecord {
-    /// Where it answers.
+    /// Where it accepts connections.
     pub address: SocketAddr,
-    /// The id of this life.
+    /// The id of this process; changes with each restart.
     pub id: UpstreamId,
-    /// Whether it is on its way out.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// What it calls itself, and what calls to it name. Two lives of one upstream may have the same.
+    /// The name that it uses for itself and that calls to it state. Restarts of one upstream may share it.
     pub name: Arc<str>,
-    /// Its service.
+    /// The service it belongs to.
     pub service: ServiceId,
-    /// How many requests it runs at once.
+    /// How many requests it can run concurrently.
     pub slots: u32,
-    /// What it does.
+    /// Its stage.
     pub stage: UpstreamStage,
     /// Its availability zone.
     pub zone: ZoneId,
 }
 
-/// The part that an upstream has in a request.
+/// The stage of a request that an upstream serves.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum UpstreamStage {
     /// Generates tokens.
     Decode,
-    /// Serves whole requests of a plain service.
+    /// Serves complete requests of a plain service.
     Plain,
-    /// Reads prompts.
+    /// Prefills prompts.
     Prefill,
 }
--- a/crates/policy/src/upstream_table.rs
+++ b/crates/policy/src/upstream_table.rs
@@ -1,4 +1,4 @@
-//! The upstreams that this instance may use, and the choice among them. No I/O and no clock.
+//! The upstreams that this instance may use, and the selection among them. Free of I/O; times are passed in.
 
 use {
     crate::{
@@ -12,88 +12,89 @@
     },
 };
 
-/// What a call to another availability zone counts as, in open calls: the way there is short beside the work, but its bytes
-/// are paid for.
+/// The cost of a call to another availability zone, in in-flight calls: the latency is small compared to the work, but the
+/// traffic is charged.
 const OTHER_ZONE_COST: f64 = 2.0;
-/// The same for a stream: it lasts for seconds and breaks when its zone is cut off, and a decode engine is no slower for the
-/// streams that it has until its memory is full, which it says itself. About half of what an engine holds.
+/// The same for a stream, which lasts for seconds and breaks when its zone is partitioned. A decode engine is not slowed
+/// down by its streams until its memory is full, which it reports itself. About half of the streams that an engine holds.
 const OTHER_ZONE_STREAM_COST: f64 = 6.0;
-/// What a share of failures of 1 counts as, in open calls: more than a busy upstream has.
+/// The cost of a failure rate of 1, in in-flight calls: more than a busy upstream has.
 const FAILURE_COST: f64 = 40.0;
-/// What holding the KV cache of the prompt saves, in open calls: more than engines differ by, and less than being full or
-/// failing counts as.
-const HOLDER_GAIN: f64 = 15.0;
-/// What a kept connection saves, in open calls. An instance of many meets each of its zone's engines less often than they
-/// keep connections; so it goes to those first that it knows, as long as none of its own calls runs there. On 59 instances before
-/// 39 engines half of all new connections were for places at engines not met for 10 s.
-const LINK_GAIN: f64 = 0.5;
-/// What having been full a moment ago counts as, in open calls.
+/// The cost saved by a cached KV of the prompt, in in-flight calls: more than the load of engines differs by, and less than
+/// the cost of being full or failing.
+const CACHED_GAIN: f64 = 15.0;
+/// The cost saved by an idle connection, in in-flight calls. With many instances, each of them calls any one engine of its zone
+/// less often than engines keep idle connections. Engines with an open connection are therefore preferred, as long as none of
+/// the own calls runs there. With 59 instances and 39 engines, half of all new connections were reservations at engines that
+/// had not been called for 10 s.
+const CONNECTED_GAIN: f64 = 0.5;
+/// The cost of having recently been full, in in-flight calls.
 const FULL_COST: f64 = 20.0;
-/// What a transfer from another availability zone counts as, in time of reading: it takes longer and is paid for.
-const OTHER_ZONE_READ: Duration = Duration::from_millis(20);
-/// What a share of failures of 1 counts as, in time of reading.
-const FAILURE_READ: Duration = Duration::from_secs(2);
-/// What having refused a moment ago counts as, in time of reading.
-const FULL_READ: Duration = Duration::from_millis(500);
-/// How much dearer than the best of its availability zone a prefill engine may look and still be drawn, as a share. An
-/// instance of many sees few readings: by its view alone each would go on with the engine that it tried first.
-const READ_SPREAD: f64 = 1.0;
-/// An upstream stands out when its share of failures is over so many times the mean of the others'.
-const STANDING_OUT_FACTOR: f64 = 3.0;
-/// And by this much: one failure alone makes no upstream stand out, two in a row do.
-const STANDING_OUT_MARGIN: f64 = 0.09;
-/// Tokens that count as one open call: an ordinary prompt.
-const TOKENS_A_CALL: f64 = 3_000.0;
-/// How long upstreams that lapsed from the list during an outage of the store are kept after it: by then those alive
-/// have reported again.
-const LAPSE_GRACE: Duration = Duration::from_millis(1_900);
+/// The cost of a KV transfer from another availability zone, in prefill time: it takes longer and its traffic is charged.
+const OTHER_ZONE_PREFILL: Duration = Duration::from_millis(20);
+/// The cost of a failure rate of 1, in prefill time.
+const FAILURE_PREFILL: Duration = Duration::from_secs(2);
+/// The cost of a recent refusal, in prefill time.
+const FULL_PREFILL: Duration = Duration::from_millis(500);
+/// The maximum jitter added to the cost of a prefill engine, as a fraction. With many instances each observes few prefills, and
+/// without jitter each would stay with the engine that it tried first.
+const PREFILL_JITTER: f64 = 1.0;
+/// An upstream is an outlier when its failure rate exceeds this multiple of the mean of the others by [`OUTLIER_MARGIN`].
+const OUTLIER_FACTOR: f64 = 3.0;
+/// A single failure alone makes no outlier, two consecutive ones do.
+const OUTLIER_MARGIN: f64 = 0.09;
+/// The number of tokens equivalent to one in-flight call: an ordinary prompt.
+const TOKENS_PER_CALL: f64 = 3_000.0;
+/// How long upstreams whose records expired during an outage of the store are kept after it: by then those alive have
+/// reported again.
+const EXPIRY_GRACE: Duration = Duration::from_millis(1_900);
 
-/// What is asked of a choice.
+/// The criteria for selecting an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceQuery<'a> {
-    /// Upstreams that were tried already.
+    /// Upstreams that have already been tried.
     pub avoid: &'a [UpstreamId],
-    /// Engines that hold the KV cache of the prompt: they go first while they are not full, since they need not read it.
+    /// Engines that have the KV cache of the prompt: preferred while they are not full, since they need no prefill.
     pub holders: &'a [UpstreamId],
-    /// Upstreams that a kept connection goes to.
+    /// Upstreams with an idle connection.
     pub connected: &'a BTreeSet<UpstreamId>,
-    /// Breaks ties, so that instances spread their calls.
+    /// The id of the request, which breaks ties so that calls are spread.
     pub request: &'a str,
-    /// The service.
+    /// The service to call.
     pub service: &'a ServiceId,
-    /// The stage.
+    /// The stage to call.
     pub stage: UpstreamStage,
-    /// The availability zone to prefer.
+    /// The preferred availability zone.
     pub zone: &'a ZoneId,
 }
 
-/// A prefill engine for a prompt.
+/// The prefill engine selected for a prompt.
 #[derive(Clone, Debug)]
 pub struct PrefillChoice {
-    /// The tokens of this instance that are to be read there, the prompt's own included.
+    /// Tokens of this instance to be prefilled there, those of the prompt included.
     pub queued_tokens: u64,
-    /// The time that the choice went by: what is expected, and more for engines that fail or are far.
+    /// The cost used for the selection: the expected time plus penalties for failures and for another zone.
     pub cost: Duration,
-    /// How long the reading is expected to take if nothing of the prompt is held.
+    /// How long the prefill is expected to take if nothing of the prompt is cached.
     pub expected: Duration,
-    /// Whether the engine holds the prompt already, so that the time tells nothing of its pace.
+    /// Whether the engine already has the KV cache of the prompt, so that the time says nothing about its speed.
     pub is_cached: bool,
-    /// The engine.
+    /// The selected engine.
     pub upstream: Arc<UpstreamRecord>,
 }
 
-/// The upstreams by id.
+/// The known upstreams, by id.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamTable {
     entries: BTreeMap<UpstreamId, UpstreamEntry>,
     grace_until: Option<Instant>,
     read_at: Option<Instant>,
-    /// Whether the list was read at least once.
+    /// Whether a list has been received.
     pub is_loaded: bool,
 }
 
 impl UpstreamTable {
-    /// A call to an upstream begins.
+    /// Records the start of a call.
     pub fn begin(&mut self, id: &UpstreamId, tokens: u64) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
@@ -102,37 +103,37 @@
         entry.in_flight_tokens += tokens;
     }
 
-    /// The best upstream for a call; none when there is no upstream to try.
+    /// Selects the upstream with the lowest cost; `None` when there is none to try.
     pub fn choose(&self, query: &ChoiceQuery<'_>, now: Instant) -> Option<Arc<UpstreamRecord>> {
         let mut best: Option<(bool, f64, u64, &UpstreamEntry)> = None;
         let refusals = self.refusals(query);
         for entry in self.entries.values() {
-            if !self.may_take(entry, query) {
+            if !self.is_suitable(entry, query) {
                 continue;
             }
-            let is_closed = entry.cooldown.is_active(now);
+            let in_cooldown = entry.cooldown.is_active(now);
             let cost = call_cost(entry, query, now) + refusals.cost(&entry.record.zone);
             let tie = tie_break(query.request, &entry.record.id);
             let better = match &best {
-                Some((closed, least, least_tie, _)) => {
-                    (is_closed, cost, tie) < (*closed, *least, *least_tie)
+                Some((cooldown, lowest, lowest_tie, _)) => {
+                    (in_cooldown, cost, tie) < (*cooldown, *lowest, *lowest_tie)
                 }
                 None => true,
             };
             if better {
-                best = Some((is_closed, cost, tie, entry));
+                best = Some((in_cooldown, cost, tie, entry));
             }
         }
-        let (is_closed, _, _, entry) = best?;
-        // Where all are closed the signs may be wrong; where some were asked already and are full, they are not.
-        if is_closed && self.any_open(query, now) {
+        let (in_cooldown, _, _, entry) = best?;
+        // If all are in cooldown the refusals may be misleading. If others have been tried and are full, they are not.
+        if in_cooldown && self.any_available(query, now) {
             return None;
         }
         Some(entry.record.clone())
     }
 
-    /// The prefill engine that is expected to be done first with a prompt, and when: one is drawn in each availability zone,
-    /// and the best of these is taken.
+    /// Selects the prefill engine expected to finish a prompt first: one per availability zone is drawn with jitter, and the best
+    /// of these is returned.
     pub fn choose_prefill(
         &self,
         query: &ChoiceQuery<'_>,
@@ -141,13 +142,13 @@
     ) -> Option<PrefillChoice> {
         let mut drawn: BTreeMap<&ZoneId, (Duration, PrefillChoice)> = BTreeMap::new();
         for entry in self.entries.values() {
-            if !self.may_take(entry, query) {
+            if !self.is_suitable(entry, query) {
                 continue;
             }
             let choice = prefill_choice(entry, query, tokens, now);
-            let cost = spread(choice.cost, query.request, &entry.record.id);
+            let cost = with_jitter(choice.cost, query.request, &entry.record.id);
             match drawn.get(&entry.record.zone) {
-                Some((least, _)) if *least <= cost => continue,
+                Some((lowest, _)) if *lowest <= cost => continue,
                 _ => drawn.insert(&entry.record.zone, (cost, choice)),
             };
         }
@@ -155,7 +156,7 @@
         choices.min_by_key(|choice| choice.cost)
     }
 
-    /// A call to an upstream ended; whether the list still has the upstream.
+    /// Records the end of a call; returns whether the upstream is still known.
     pub fn end(
         &mut self,
         id: &UpstreamId,
@@ -172,18 +173,18 @@
         true
     }
 
-    /// The list that was taken in last was read at this moment.
+    /// Sets when the current list was read from the store.
     pub fn set_list_time(&mut self, read: Instant) {
         self.read_at = Some(read);
     }
 
-    /// How long ago the list was read; zero before the first reading.
+    /// The age of the current list; zero before the first one.
     pub fn list_age(&self, now: Instant) -> Duration {
         let read = self.read_at.map(|read| now.saturating_duration_since(read));
         read.unwrap_or_default()
     }
 
-    /// A reading ended. Gives the pace of the engine by now, if the list still has it.
+    /// Records the end of a prefill. Returns the updated estimate; `None` if the engine is no longer known.
     pub fn note_prefill(
         &mut self,
         id: &UpstreamId,
@@ -196,23 +197,23 @@
         Some(entry.prefill)
     }
 
-    /// An engine runs a request for which it had reserved a place.
+    /// Records that an engine runs a request for which it had reserved a slot.
     pub fn note_run(&mut self, id: &UpstreamId) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.cooldown.note_run();
         }
     }
 
-    /// An engine turned a request away from a place that it had reserved; `has_kv` when the request counted on a KV cache
-    /// that may have lapsed.
+    /// Records that an engine refused a request for which it had reserved a slot; `has_kv` is set when the request relied on a KV
+    /// cache that may have been evicted.
     pub fn note_refusal(&mut self, id: &UpstreamId, has_kv: bool, now: Instant) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.cooldown.note_refusal(has_kv, now);
         }
     }
 
-    /// Whether an upstream fails clearly more often than the others of its service. A failure of one that does not is the
-    /// request's own: any other upstream would give the same.
+    /// Whether an upstream fails clearly more often than the others of its service. If it does not, its failure is attributed to
+    /// the request, which would fail at any other upstream as well.
     pub fn is_outlier(&self, id: &UpstreamId, now: Instant) -> bool {
         let Some(entry) = self.entries.get(id) else {
             return false;
@@ -227,17 +228,17 @@
             .map(|other| other.failure_share(now))
             .collect();
         let mean = others.iter().sum::<f64>() / others.len().max(1) as f64;
-        entry.failure_share(now) > STANDING_OUT_FACTOR * mean + STANDING_OUT_MARGIN
+        entry.failure_share(now) > OUTLIER_FACTOR * mean + OUTLIER_MARGIN
     }
 
-    /// Whether new work may go to an upstream now.
+    /// Whether an upstream is known and not draining.
     pub fn accepts_work(&self, id: &UpstreamId) -> bool {
         self.entries
             .get(id)
             .is_some_and(|entry| !entry.record.leaving)
     }
 
-    /// The engines of a service, of both stages, that are not leaving.
+    /// The engines of a service in both stages, without draining ones.
     pub fn engines(&self, service: &ServiceId) -> Vec<Arc<UpstreamRecord>> {
         let records = self.entries.values().map(|entry| &entry.record);
         let engines = records.filter(|record| {
@@ -246,13 +247,13 @@
         engines.cloned().collect()
     }
 
-    /// The upstreams, by id.
+    /// All known upstreams, sorted by id.
     pub fn entries(&self) -> impl Iterator<Item = &UpstreamEntry> {
         self.entries.values()
     }
 
-    /// Takes a list in. `outage_ended` is when an outage of the store ended, if one did since the last list: entries that
-    /// it lacks are kept for a moment, since the upstreams may not have been able to report. Gives those that are gone.
+    /// Applies a new list and returns the upstreams removed. `outage_ended` is when an outage of the store ended, if one did since
+    /// the last list: upstreams missing from the list are kept for a grace period, since they may have been unable to report.
     pub fn replace(
         &mut self,
         records: &[UpstreamRecord],
@@ -260,7 +261,7 @@
         now: Instant,
     ) -> Vec<UpstreamId> {
         if let Some(ended) = outage_ended {
-            self.grace_until = Some(ended + LAPSE_GRACE);
+            self.grace_until = Some(ended + EXPIRY_GRACE);
         }
         let mut gone = Vec::new();
         let in_grace = self.grace_until.is_some_and(|until| now < until);
@@ -279,7 +280,7 @@
             self.entries.insert(record.id.clone(), entry);
         }
         for (id, mut entry) in before {
-            if !in_grace || self.address_taken(&entry) {
+            if !in_grace || self.is_address_reused(&entry) {
                 gone.push(id);
                 continue;
             }
@@ -291,24 +292,25 @@
         gone
     }
 
-    /// Whether an upstream that could take the call is not closed, one that was tried already included.
-    fn any_open(&self, query: &ChoiceQuery<'_>, now: Instant) -> bool {
-        let whole = ChoiceQuery {
+    /// Whether any suitable upstream, including those already tried, is not in cooldown.
+    fn any_available(&self, query: &ChoiceQuery<'_>, now: Instant) -> bool {
+        let unrestricted = ChoiceQuery {
             avoid: &[],
             ..*query
         };
-        let mut fit = self.entries.values();
-        fit.any(|entry| self.may_take(entry, &whole) && !entry.cooldown.is_active(now))
+        let mut suitable = self.entries.values();
+        suitable
+            .any(|entry| self.is_suitable(entry, &unrestricted) && !entry.cooldown.is_active(now))
     }
 
-    fn address_taken(&self, missing: &UpstreamEntry) -> bool {
+    fn is_address_reused(&self, missing: &UpstreamEntry) -> bool {
         let address = missing.record.address;
         self.entries
             .values()
             .any(|entry| entry.missing_since.is_none() && entry.record.address == address)
     }
 
-    /// Where the engines that this call was tried at are.
+    /// The refusals of this request, by availability zone. Empty except for decode engines.
     fn refusals(&self, query: &ChoiceQuery<'_>) -> ZoneRefusals {
         let mut refusals = ZoneRefusals::default();
         if query.stage != UpstreamStage::Decode {
@@ -322,7 +324,7 @@
         refusals
     }
 
-    fn may_take(&self, entry: &UpstreamEntry, query: &ChoiceQuery<'_>) -> bool {
+    fn is_suitable(&self, entry: &UpstreamEntry, query: &ChoiceQuery<'_>) -> bool {
         let record = &entry.record;
         !record.leaving
             && record.stage == query.stage
@@ -332,7 +334,7 @@
 }
 
 fn call_cost(entry: &UpstreamEntry, query: &ChoiceQuery<'_>, now: Instant) -> f64 {
-    let mut cost = f64::from(entry.in_flight).max(entry.in_flight_tokens as f64 / TOKENS_A_CALL);
+    let mut cost = f64::from(entry.in_flight).max(entry.in_flight_tokens as f64 / TOKENS_PER_CALL);
     if entry.record.zone != *query.zone {
         cost += match query.stage {
             UpstreamStage::Decode => OTHER_ZONE_STREAM_COST,
@@ -343,12 +345,12 @@
         cost += FULL_COST;
     }
     if query.holders.contains(&entry.record.id) {
-        cost -= HOLDER_GAIN;
+        cost -= CACHED_GAIN;
     }
     if query.connected.contains(&entry.record.id) {
-        cost -= LINK_GAIN;
+        cost -= CONNECTED_GAIN;
     }
-    // Small shares don't reorder upstreams that are alike.
+    // Small failure rates must not reorder similar upstreams.
     let failure = entry.failure_share(now);
     if failure > 0.05 {
         cost += FAILURE_COST * failure;
@@ -369,12 +371,12 @@
         true => entry.prefill.expected(entry.in_flight_tokens, now),
         false => expected,
     };
-    let mut cost = needed + FAILURE_READ.mul_f64(entry.failure_share(now));
+    let mut cost = needed + FAILURE_PREFILL.mul_f64(entry.failure_share(now));
     if entry.is_full(now) {
-        cost += FULL_READ;
+        cost += FULL_PREFILL;
     }
     if entry.record.zone != *query.zone {
-        cost += OTHER_ZONE_READ;
+        cost += OTHER_ZONE_PREFILL;
     }
     PrefillChoice {
         queued_tokens,
@@ -385,10 +387,10 @@
     }
 }
 
-/// A cost, made greater by a draw that is another one for each request and upstream.
-fn spread(cost: Duration, request: &str, upstream: &str) -> Duration {
-    let draw = tie_break(request, upstream) as f64 / u64::MAX as f64;
-    cost.mul_f64(1.0 + READ_SPREAD * draw)
+/// Adds jitter to a cost, different for each request and upstream.
+fn with_jitter(cost: Duration, request: &str, upstream: &str) -> Duration {
+    let sample = tie_break(request, upstream) as f64 / u64::MAX as f64;
+    cost.mul_f64(1.0 + PREFILL_JITTER * sample)
 }
 
 fn tie_break(request: &str, upstream: &str) -> u64 {
--- a/crates/policy/src/usage_ledger.rs
+++ b/crates/policy/src/usage_ledger.rs
@@ -1,9 +1,9 @@
-//! Adds up what instances use, as they tell it to each other. No I/O and no clock.
+//! Aggregates the usage that instances report to each other. Free of I/O; times are passed in.
 //!
-//! The instances of a zone tell the one that reads for it, and the readers of zones tell each other; each answer says what all
-//! others have used. So an exchange costs an instance the same whatever their number. Amounts only count as differences to what
-//! the same life of the same instance told before: whoever is asked may change at any moment. What is exchanged is an
-//! amount by key; customers' quotas are the first that need it.
+//! The instances of an availability zone report to its aggregator, and the aggregators report to each other; each answer
+//! contains the usage of all others. The cost of an exchange for an instance thus does not depend on the number of instances.
+//! Only differences to the previous report of the same instance since its start are counted, because the aggregator may
+//! change at any time. Amounts are exchanged by key; customer quotas are the first use.
 
 use {
     crate::{
@@ -18,96 +18,96 @@
     },
 };
 
-/// One that has told nothing for so long is forgotten; what it used stays counted.
-const TELLER_LIFE: Duration = Duration::from_secs(30);
+/// A reporter that has been silent for this long is removed; its usage remains counted.
+const REPORTER_TTL: Duration = Duration::from_secs(30);
 
-/// Below this nothing is known of who uses it, units a second.
-const LEAST_RATE: f64 = 1.0;
+/// Below this total rate the shares of the zones are unknown, units per second.
+const MIN_RATE: f64 = 1.0;
 
-/// Amounts by customer, units.
+/// Usage by customer, units.
 pub type UsageTotals = BTreeMap<CustomerId, i64>;
 
-/// What one instance tells of one customer.
+/// The usage of one customer, as reported by one instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageRow {
-    /// The customer.
+    /// The customer that the usage is charged to.
     pub customer: CustomerId,
-    /// Of the total, what nobody has confirmed yet, units.
+    /// The part of the total that no other instance has confirmed yet, units.
     pub fresh: i64,
-    /// What this life has used, with those that told it, units.
+    /// The usage since the start of the instance, including what was reported to it, units.
     pub total: i64,
 }
 
-/// Whose amounts they are.
+/// The origin of reported usage.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UsageReporter {
-    /// The instance.
+    /// The reporting instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Its incarnation; totals start at zero with each.
     pub life: Incarnation,
 }
 
 #[derive(Clone, Debug, Default)]
-struct TellerRow {
-    /// What was counted for it, in all its lives.
+struct ReporterRow {
+    /// The usage counted for it, over all its restarts.
     counted: UsageTotals,
-    heard: Option<Instant>,
+    last_report: Option<Instant>,
     life: Incarnation,
-    /// What its life told last.
-    told: UsageTotals,
+    /// The latest totals of its current incarnation.
+    reported: UsageTotals,
 }
 
-/// The sums of one instance.
+/// The usage known to one instance.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
-    /// What was counted beyond those that tell this instance.
-    beyond: UsageTotals,
-    /// Of the own totals, what somebody has confirmed.
+    /// Usage from elsewhere than the reporters of this instance.
+    remote: UsageTotals,
+    /// The part of the own totals that another instance has confirmed.
     confirmed: UsageTotals,
-    /// The instance that is asked, whichever it is.
-    first: RemoteUsage,
-    /// What the instance and those that tell it had used at a moment.
+    /// The aggregator that this instance reports to, whichever it is.
+    aggregator: RemoteUsage,
+    /// The usage of this instance and its reporters when it was last recorded.
     own_before: Option<(Instant, UsageTotals)>,
     own_rates: BTreeMap<CustomerId, UsageRate>,
-    /// What others last told of what is beyond, by instance and life.
-    streams: BTreeMap<InstanceId, (Incarnation, UsageTotals)>,
-    tellers: BTreeMap<InstanceId, TellerRow>,
-    /// What those that tell this instance have used.
-    within: UsageTotals,
+    /// The latest totals received from aggregators, by instance and incarnation.
+    baselines: BTreeMap<InstanceId, (Incarnation, UsageTotals)>,
+    reporters: BTreeMap<InstanceId, ReporterRow>,
+    /// Usage of the reporters of this instance.
+    local: UsageTotals,
     zones: BTreeMap<ZoneId, ZoneUsage>,
 }
 
 impl UsageLedger {
-    /// Takes other zones to have used until now what is usual there. Those that are cut off are taken to use their parts of
-    /// the limits' rates (units a second), which they go by themselves then. What a zone tells later takes the place of it.
+    /// Extrapolates the usage of other zones up to now. Zones that are partitioned are assumed to use their shares of the rates in
+    /// `limits` (units per second), to which they restrict themselves then. Later reports of a zone replace the estimate.
     pub fn assume(&mut self, limits: &BTreeMap<CustomerId, f64>, now: Instant) {
         let zones = self.zones.len() + 1;
         for row in self.zones.values_mut() {
-            let is_cut = row.is_cut(now);
-            let Some(span) = row.untold_span(now) else {
+            let is_partitioned = row.is_partitioned(now);
+            let Some(span) = row.unreported_span(now) else {
                 continue;
             };
             for (customer, limit) in limits {
-                let rate = match is_cut {
-                    true => limit * row.cut_part(customer, zones),
+                let rate = match is_partitioned {
+                    true => limit * row.partition_share(customer, zones),
                     false => row.source.rate(customer),
                 };
                 let assumed = row.assumed.entry(customer.clone()).or_default();
                 *assumed += rate * span;
-                if !is_cut {
+                if !is_partitioned {
                     continue;
                 }
-                // It goes on for long: what is assumed counts like what is told, until that comes.
+                // A partition may last long, so the estimate counts like reported usage until a report arrives.
                 let amount = std::mem::take(assumed) as i64;
                 add(&mut row.counted, customer, amount);
-                add(&mut self.beyond, customer, amount);
+                add(&mut self.remote, customer, amount);
             }
         }
     }
 
-    /// What the instance itself has used by now: from it and what it is told follows the rate of its zone.
+    /// Records the usage of this instance itself, from which the rate of its zone is derived together with the reports to it.
     pub fn note_own(&mut self, own: &UsageTotals, now: Instant) {
-        let mut totals = self.within.clone();
+        let mut totals = self.local.clone();
         for (customer, amount) in own {
             add(&mut totals, customer, *amount);
         }
@@ -122,8 +122,8 @@
         self.own_before = Some((now, totals));
     }
 
-    /// There are such zones, whether they were heard of or not. An instance that was told of them by the first of its zone goes
-    /// on from there, with equal parts of what was usual.
+    /// Adds zones that are not known yet. A new aggregator starts with equal shares of the rates it received from the previous
+    /// aggregator of its zone.
     pub fn expect_zones<'a>(&mut self, zones: impl IntoIterator<Item = &'a ZoneId>, now: Instant) {
         let missing = zones
             .into_iter()
@@ -132,12 +132,13 @@
         if missing.is_empty() {
             return;
         }
-        let parts = (self.zones.len() + missing.len() + 1) as f64;
+        let zone_count = (self.zones.len() + missing.len() + 1) as f64;
         for zone in missing {
-            let rates = self.first.rates.iter();
-            let rates = rates.map(|(customer, rate)| (customer.clone(), rate.scaled(1.0 / parts)));
+            let rates = self.aggregator.rates.iter();
+            let rates =
+                rates.map(|(customer, rate)| (customer.clone(), rate.scaled(1.0 / zone_count)));
             let source = RemoteUsage {
-                heard: Some(self.first.heard.unwrap_or(now)),
+                last_report: Some(self.aggregator.last_report.unwrap_or(now)),
                 rates: rates.collect(),
             };
             let row = ZoneUsage {
@@ -148,40 +149,44 @@
         }
     }
 
-    /// The first instance of another zone gave no answer.
+    /// Records that the aggregator of another zone did not answer.
     pub fn note_silence(&mut self, zone: &ZoneId) {
         if let Some(row) = self.zones.get_mut(zone) {
             row.is_silent = true;
         }
     }
 
-    /// The part of the zones that this instance hears of, its own among them. Zones that are cut off from each other may not
-    /// each use a whole bucket.
+    /// The fraction of the zones that report to this instance, its own included. Zones partitioned from each other must not each
+    /// use a whole bucket.
     pub fn coverage(&self, now: Instant) -> f64 {
-        let heard = self.zones.values().filter(|row| !row.is_cut(now)).count();
-        (1 + heard) as f64 / (1 + self.zones.len()) as f64
+        let reachable = self
+            .zones
+            .values()
+            .filter(|row| !row.is_partitioned(now))
+            .count();
+        (1 + reachable) as f64 / (1 + self.zones.len()) as f64
     }
 
-    /// What all others have used, for the instance itself.
+    /// The usage of all other instances.
     pub fn others(&self) -> UsageTotals {
-        let mut others = self.beyond.clone();
-        for (customer, amount) in &self.within {
+        let mut others = self.remote.clone();
+        for (customer, amount) in &self.local {
             add(&mut others, customer, *amount);
         }
         others
     }
 
-    /// What all others have used of some customers' quotas, for the instance itself.
+    /// The usage of all other instances for the given customers.
     pub fn others_of<'a>(&self, customers: impl Iterator<Item = &'a CustomerId>) -> UsageTotals {
         let of = |totals: &UsageTotals, customer| totals.get(customer).copied().unwrap_or_default();
         let others = customers.map(|customer| {
-            let others = of(&self.beyond, customer) + of(&self.within, customer);
+            let others = of(&self.remote, customer) + of(&self.local, customer);
             (customer.clone(), others)
         });
         others.collect()
     }
 
-    /// What other zones are taken to have used of some customers' quotas beyond what they have told.
+    /// The estimated usage of other zones that they have not reported, for the given customers.
     pub fn assumed_of<'a>(&self, customers: impl Iterator<Item = &'a CustomerId>) -> UsageTotals {
         let assumed = customers.map(|customer| {
             let rows = self.zones.values();
@@ -191,13 +196,13 @@
         assumed.collect()
     }
 
-    /// What all others have used, for one that tells this instance. `own` is what the instance itself has used.
-    pub fn others_for(&self, teller: &InstanceId, own: &UsageTotals) -> UsageTotals {
+    /// The usage of all others from the point of view of `reporter`. `own` is the usage of this instance itself.
+    pub fn others_for(&self, reporter: &InstanceId, own: &UsageTotals) -> UsageTotals {
         let mut others = self.others();
         for (customer, amount) in own {
             add(&mut others, customer, *amount);
         }
-        if let Some(row) = self.tellers.get(teller) {
+        if let Some(row) = self.reporters.get(reporter) {
             for (customer, amount) in &row.counted {
                 add(&mut others, customer, -amount);
             }
@@ -205,14 +210,14 @@
         others
     }
 
-    /// What this instance and those that tell it have used, less what `to` told.
+    /// The usage of this instance and its reporters, without what `to` has reported itself.
     pub fn report(&self, to: Option<&InstanceId>, own: &UsageTotals) -> Vec<UsageRow> {
-        let mut totals = self.within.clone();
+        let mut totals = self.local.clone();
         for (customer, amount) in own {
             add(&mut totals, customer, *amount);
         }
-        let told = to.and_then(|to| self.tellers.get(to));
-        for (customer, amount) in told.iter().flat_map(|row| &row.counted) {
+        let reported = to.and_then(|to| self.reporters.get(to));
+        for (customer, amount) in reported.iter().flat_map(|row| &row.counted) {
             add(&mut totals, customer, -amount);
         }
         let mut rows = Vec::new();
@@ -227,47 +232,48 @@
         rows
     }
 
-    /// What was told is confirmed.
+    /// Records that another instance has confirmed a report.
     pub fn confirm(&mut self, rows: &[UsageRow]) {
         for row in rows {
             self.confirmed.insert(row.customer.clone(), row.total);
         }
     }
 
-    /// An instance tells what it has used.
-    pub fn note_report(&mut self, teller: &UsageReporter, rows: &[UsageRow], now: Instant) {
-        let known = self.tellers.entry(teller.instance.clone()).or_default();
-        let is_new = known.heard.is_none() || known.life != teller.life;
+    /// Counts a report of another instance to this one.
+    pub fn note_report(&mut self, reporter: &UsageReporter, rows: &[UsageRow], now: Instant) {
+        let known = self.reporters.entry(reporter.instance.clone()).or_default();
+        let is_new = known.last_report.is_none() || known.life != reporter.life;
         if is_new {
-            known.told.clear();
-            known.life = teller.life;
+            known.reported.clear();
+            known.life = reporter.life;
         }
-        known.heard = Some(now);
+        known.last_report = Some(now);
         for row in rows {
-            let before = known.told.insert(row.customer.clone(), row.total);
-            // What was used before this instance was told for the first time, others have counted.
+            let before = known.reported.insert(row.customer.clone(), row.total);
+            // Usage from before the first report to this instance has been counted by others, except for the fresh part.
             let amount = before.map_or(row.fresh, |before| row.total - before);
             add(&mut known.counted, &row.customer, amount);
-            add(&mut self.within, &row.customer, amount);
+            add(&mut self.local, &row.customer, amount);
         }
-        self.tellers.retain(|_, row| {
-            row.heard
-                .is_some_and(|heard| now.saturating_duration_since(heard) < TELLER_LIFE)
+        self.reporters.retain(|_, row| {
+            row.last_report.is_some_and(|last_report| {
+                now.saturating_duration_since(last_report) < REPORTER_TTL
+            })
         });
     }
 
-    /// The instance that was asked tells what all others have used.
+    /// Counts the answer of the aggregator: the usage of all others.
     pub fn note_remote(&mut self, from: &UsageReporter, totals: &UsageTotals, now: Instant) {
-        let news = self.differences(from, totals);
-        let amounts = self.first.take(news, now);
-        add_all(&mut self.beyond, &amounts);
-        // Only one instance is asked at a time; another one counts anew, and zones as well.
-        self.streams
+        let differences = self.differences(from, totals);
+        let amounts = self.aggregator.update(differences, now);
+        add_all(&mut self.remote, &amounts);
+        // There is only one aggregator at a time; after a change it and the zones are counted from scratch.
+        self.baselines
             .retain(|instance, _| *instance == from.instance);
         self.zones.clear();
     }
 
-    /// The first instance of another zone tells what its zone has used.
+    /// Counts a report of the aggregator of another zone about its zone.
     pub fn note_zone(
         &mut self,
         zone: &ZoneId,
@@ -275,27 +281,27 @@
         totals: &UsageTotals,
         now: Instant,
     ) {
-        let news = self.differences(from, totals);
+        let differences = self.differences(from, totals);
         let row = self.zones.entry(zone.clone()).or_default();
         let assumed = std::mem::take(&mut row.assumed);
         let counted = std::mem::take(&mut row.counted);
         row.assumed_until = None;
         row.is_silent = false;
-        let is_known = news.is_some();
-        let amounts = row.source.take(news, now);
-        // Of one that tells for the first time, what was assumed meanwhile is the best that is known.
+        let is_known = differences.is_some();
+        let amounts = row.source.update(differences, now);
+        // For the first report of an aggregator, the estimate made meanwhile is the best available value.
         match is_known {
             true => {
-                add_all(&mut self.beyond, &amounts);
-                take_all(&mut self.beyond, &counted);
+                add_all(&mut self.remote, &amounts);
+                subtract_all(&mut self.remote, &counted);
             }
-            false => add_all(&mut self.beyond, &whole(&assumed)),
+            false => add_all(&mut self.remote, &rounded(&assumed)),
         }
-        self.settle(zone);
+        self.update_shares(zone);
     }
 
-    /// Notes the parts that a zone has of the use of all, while both know of each other.
-    fn settle(&mut self, zone: &ZoneId) {
+    /// Updates the shares of a zone in the total usage, which apply when the zone is partitioned.
+    fn update_shares(&mut self, zone: &ZoneId) {
         let mut all: BTreeMap<CustomerId, f64> = BTreeMap::new();
         let rates = self.zones.values().map(|row| &row.source.rates);
         for (customer, rate) in rates.chain([&self.own_rates]).flatten() {
@@ -304,26 +310,26 @@
         let Some(row) = self.zones.get_mut(zone) else {
             return;
         };
-        row.parts.clear();
+        row.shares.clear();
         for (customer, all) in all {
-            if all > LEAST_RATE {
-                let part = row.source.rate(&customer) / all;
-                row.parts.insert(customer, part);
+            if all > MIN_RATE {
+                let share = row.source.rate(&customer) / all;
+                row.shares.insert(customer, share);
             }
         }
     }
 
-    /// What came in since the same life told last; none when it tells for the first time.
+    /// The differences to the previous totals of the same incarnation; `None` for its first report.
     fn differences(&mut self, from: &UsageReporter, totals: &UsageTotals) -> Option<UsageTotals> {
-        let known = self.streams.get_mut(&from.instance);
+        let known = self.baselines.get_mut(&from.instance);
         let Some((_, before)) = known.filter(|(life, _)| *life == from.life) else {
-            let stream = (from.life, totals.clone());
-            self.streams.insert(from.instance.clone(), stream);
+            let baseline = (from.life, totals.clone());
+            self.baselines.insert(from.instance.clone(), baseline);
             return None;
         };
         let mut differences = UsageTotals::new();
         for (customer, total) in totals {
-            // One that it names for the first time begins here.
+            // The first total of a customer is the baseline.
             let before = before.insert(customer.clone(), *total).unwrap_or(*total);
             differences.insert(customer.clone(), total - before);
         }
@@ -341,14 +347,14 @@
     }
 }
 
-fn take_all(totals: &mut UsageTotals, amounts: &UsageTotals) {
+fn subtract_all(totals: &mut UsageTotals, amounts: &UsageTotals) {
     for (customer, amount) in amounts {
         add(totals, customer, -amount);
     }
 }
 
-fn whole(amounts: &BTreeMap<CustomerId, f64>) -> UsageTotals {
+fn rounded(amounts: &BTreeMap<CustomerId, f64>) -> UsageTotals {
     let amounts = amounts.iter();
-    let whole = amounts.map(|(customer, amount)| (customer.clone(), *amount as i64));
-    whole.collect()
+    let rounded = amounts.map(|(customer, amount)| (customer.clone(), *amount as i64));
+    rounded.collect()
 }
--- a/crates/policy/src/usage_rate.rs
+++ b/crates/policy/src/usage_rate.rs
@@ -1,33 +1,33 @@
-//! How much is used a second, averaged.
+//! A moving average of a usage rate.
 
 use std::time::Duration;
 
-/// What was used longer ago counts for little, seconds: rates have to follow a burst within an exchange or two.
-const RATE_SPAN: f64 = 0.5;
+/// The time constant of the average, seconds: rates have to follow a burst within one or two exchanges.
+const TIME_CONSTANT: f64 = 0.5;
 
-/// An exponential average over irregular intervals.
+/// An exponential moving average over irregular intervals, units per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UsageRate(f64);
 
 impl UsageRate {
-    /// Units a second.
+    /// The average rate, units per second; never negative.
     pub fn get(self) -> f64 {
         self.0.max(0.0)
     }
 
-    /// A part of the rate.
+    /// The rate multiplied by `part`.
     pub fn scaled(self, part: f64) -> Self {
         Self(self.0 * part)
     }
 
-    /// So many units were used in a span; less than none when something was taken back.
+    /// Records that `amount` units were used during `span`; negative after refunds.
     pub fn note(&mut self, amount: i64, span: Duration) {
         let amount = amount as f64;
         let span = span.as_secs_f64();
-        let weight = 1.0 - (-span / RATE_SPAN).exp();
+        let weight = 1.0 - (-span / TIME_CONSTANT).exp();
         self.0 = match span > 0.0 {
             true => self.0 + (amount / span - self.0) * weight,
-            false => self.0 + amount / RATE_SPAN,
+            false => self.0 + amount / TIME_CONSTANT,
         };
     }
 }
--- a/crates/policy/tests/caller_key.rs
+++ b/crates/policy/tests/caller_key.rs
@@ -1,4 +1,4 @@
-//! Keys are compared by keyed digests and have no text form.
+//! Caller keys are compared by keyed digests and have no text form.
 
 use policy::{CallerKey, KeyHasher, KeySalt};
 
--- a/crates/policy/tests/closed_spell.rs
+++ b/crates/policy/tests/closed_spell.rs
@@ -1,4 +1,4 @@
-//! How long an engine that turns requests away from the places that it reserved is left alone.
+//! The cooldown of an engine that refuses requests for which it had reserved a slot.
 
 use {
     policy::RefusalCooldown,
--- a/crates/policy/tests/crash_table.rs
+++ b/crates/policy/tests/crash_table.rs
@@ -1,4 +1,4 @@
-//! Which requests are in quarantine, by the ends that were reported of them.
+//! Which requests are quarantined, depending on the reported crashes.
 
 use {
     policy::{CrashMark, CrashReport, CrashTable, FingerprintParts, RequestFingerprint},
@@ -6,7 +6,7 @@
     std::time::{Duration, Instant},
 };
 
-const LIFE: Duration = Duration::from_secs(600);
+const TTL: Duration = Duration::from_secs(600);
 
 fn fingerprint(target: &str) -> RequestFingerprint {
     RequestFingerprint::new(&FingerprintParts {
@@ -27,7 +27,7 @@
 }
 
 fn table_of(marks: &[CrashMark], now: Instant) -> CrashTable {
-    let mut table = CrashTable::new(LIFE);
+    let mut table = CrashTable::new(TTL);
     for (upstream, mark) in (0..).zip(marks) {
         table.merge(&report("/1", upstream, *mark), now, now);
     }
@@ -37,15 +37,15 @@
 #[test]
 fn three_early_ends_or_five_late_ones_put_a_request_into_quarantine() {
     let now = Instant::now();
-    let held = |marks: &[CrashMark]| table_of(marks, now).quarantine_left(&fingerprint("/1"), now);
+    let left = |marks: &[CrashMark]| table_of(marks, now).quarantine_left(&fingerprint("/1"), now);
     let (early, late) = (CrashMark::Early, CrashMark::Late);
-    assert_eq!(held(&[early, early]), None);
-    assert_eq!(held(&[early, early, early]), Some(LIFE));
-    assert_eq!(held(&[early, early, late]), None);
-    assert_eq!(held(&[early, early, late, late]), Some(LIFE));
-    assert_eq!(held(&[early, late, late, late]), Some(LIFE));
-    assert_eq!(held(&[late; 4]), None);
-    assert_eq!(held(&[late; 5]), Some(LIFE));
+    assert_eq!(left(&[early, early]), None);
+    assert_eq!(left(&[early, early, early]), Some(TTL));
+    assert_eq!(left(&[early, early, late]), None);
+    assert_eq!(left(&[early, early, late, late]), Some(TTL));
+    assert_eq!(left(&[early, late, late, late]), Some(TTL));
+    assert_eq!(left(&[late; 4]), None);
+    assert_eq!(left(&[late; 5]), Some(TTL));
     let other = table_of(&[early; 3], now).quarantine_left(&fingerprint("/2"), now);
     assert_eq!(other, None);
 }
@@ -53,7 +53,7 @@
 #[test]
 fn the_same_end_counts_once() {
     let now = Instant::now();
-    let mut table = CrashTable::new(LIFE);
+    let mut table = CrashTable::new(TTL);
     for _ in 0..9 {
         table.merge(&report("/1", 0, CrashMark::Early), now, now);
     }
@@ -64,12 +64,16 @@
 fn what_is_answered_in_full_is_cleared_and_later_ends_count_anew() {
     let now = Instant::now();
     let mut table = table_of(&[CrashMark::Early; 3], now);
-    let told = table.clear(fingerprint("/1"));
-    assert_eq!(told.len(), 3);
-    assert!(told.iter().all(|report| report.mark == CrashMark::Cleared));
+    let reports = table.clear(fingerprint("/1"));
+    assert_eq!(reports.len(), 3);
+    assert!(
+        reports
+            .iter()
+            .all(|report| report.mark == CrashMark::Cleared)
+    );
     assert_eq!(table.quarantine_left(&fingerprint("/1"), now), None);
     assert_eq!(table.clear(fingerprint("/1")), []);
-    // An instance that has not heard of it yet tells the old ends again.
+    // An instance that has not received the update yet reports the old crashes again.
     for upstream in 0..3 {
         table.merge(&report("/1", upstream, CrashMark::Early), now, now);
     }
@@ -77,19 +81,19 @@
     for upstream in 3..6 {
         table.merge(&report("/1", upstream, CrashMark::Early), now, now);
     }
-    assert_eq!(table.quarantine_left(&fingerprint("/1"), now), Some(LIFE));
+    assert_eq!(table.quarantine_left(&fingerprint("/1"), now), Some(TTL));
 }
 
 #[test]
 fn a_quarantine_lasts_until_too_few_ends_count_and_one_more_renews_it() {
     let now = Instant::now();
     let second = Duration::from_secs(1);
-    let mut table = CrashTable::new(LIFE);
+    let mut table = CrashTable::new(TTL);
     for upstream in 0..3 {
         let at = now + second * upstream;
         table.merge(&report("/1", upstream, CrashMark::Early), at, at);
     }
-    let end = now + LIFE;
+    let end = now + TTL;
     assert_eq!(
         table.quarantine_left(&fingerprint("/1"), end - second),
         Some(second)
@@ -97,7 +101,7 @@
     assert_eq!(table.quarantine_left(&fingerprint("/1"), end), None);
     table.merge(&report("/1", 3, CrashMark::Early), end, end);
     assert!(table.quarantine_left(&fingerprint("/1"), end).is_some());
-    table.sweep(end + LIFE);
+    table.sweep(end + TTL);
     assert!(table.is_empty());
 }
 
@@ -106,10 +110,10 @@
     let now = Instant::now();
     let mut table = table_of(&[CrashMark::Early; 2], now);
     let old = report("/1", 2, CrashMark::Early);
-    assert!(!table.merge(&old, now, now + LIFE));
-    assert!(table.merge(&old, now, now + LIFE / 2));
-    let held = table.quarantine_left(&fingerprint("/1"), now + LIFE / 2);
-    assert_eq!(held, Some(LIFE / 2));
+    assert!(!table.merge(&old, now, now + TTL));
+    assert!(table.merge(&old, now, now + TTL / 2));
+    let left = table.quarantine_left(&fingerprint("/1"), now + TTL / 2);
+    assert_eq!(left, Some(TTL / 2));
 }
 
 #[test]
@@ -133,12 +137,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two instances that get the same reports, in any order and some of them again, hold the same requests for the same time.
+    /// Two instances that receive the same reports, in any order and with duplicates, quarantine the same requests for the same
+    /// time.
     #[test]
     fn the_order_of_reports_makes_no_difference(
         reports in prop::collection::vec((0..3_u32, 0..6_u32, 0..3_usize, 0..500_u64), 1..40),
-        shuffled in any::<prop::sample::Index>(),
-        again in 0..40_usize,
+        shift in any::<prop::sample::Index>(),
+        repeated in 0..40_usize,
     ) {
         let marks = [CrashMark::Late, CrashMark::Early, CrashMark::Cleared];
         let start = Instant::now();
@@ -150,17 +155,17 @@
                 (report, start + Duration::from_secs(at))
             })
             .collect();
-        let mut turned = reports.clone();
-        turned.rotate_left(shuffled.index(reports.len()));
-        turned.reverse();
-        turned.extend(reports.iter().take(again).cloned());
+        let mut shuffled = reports.clone();
+        shuffled.rotate_left(shift.index(reports.len()));
+        shuffled.reverse();
+        shuffled.extend(reports.iter().take(repeated).cloned());
         let fill = |reports: &[(CrashReport, Instant)]| {
-            let mut table = CrashTable::new(LIFE);
+            let mut table = CrashTable::new(TTL);
             for (report, since) in reports {
                 table.merge(report, *since, end);
             }
             table
         };
-        prop_assert_eq!(fill(&reports).rows(end), fill(&turned).rows(end));
+        prop_assert_eq!(fill(&reports).rows(end), fill(&shuffled).rows(end));
     }
 }
--- a/crates/policy/tests/loss_table.rs
+++ b/crates/policy/tests/loss_table.rs
@@ -1,4 +1,4 @@
-//! Runs that are lost with their connections tell something of a request only when their upstream has ended.
+//! A run lost with its connection is reported as a crash only when its upstream has crashed.
 
 use {
     policy::{
@@ -75,10 +75,10 @@
 #[test]
 fn an_upstream_that_answers_or_is_out_of_reach_tells_nothing() {
     let (now, upstream) = (Instant::now(), Arc::from("i-1"));
-    for reach in [ProbeOutcome::Accepted, ProbeOutcome::NoAnswer] {
+    for outcome in [ProbeOutcome::Accepted, ProbeOutcome::NoAnswer] {
         let mut table = LossTable::default();
         table.note(&upstream, run("/1", 100), now);
-        assert_eq!(table.note_probe(&upstream, reach), []);
+        assert_eq!(table.note_probe(&upstream, outcome), []);
         let next = table.note(&upstream, run("/2", 100), now);
         assert_eq!(next, LossAction::Probe);
     }
--- a/crates/policy/tests/manifest.rs
+++ b/crates/policy/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! Decisions need no network, no clock and no task.
+//! Decisions are free of network access, clocks and tasks.
 
 const MANIFEST: &str = include_str!("../Cargo.toml");
 
--- a/crates/policy/tests/place_pace.rs
+++ b/crates/policy/tests/place_pace.rs
@@ -1,4 +1,4 @@
-//! When callers that found no place come back.
+//! When callers that found no free slot are told to retry.
 
 use {policy::SlotHoldTime, std::time::Duration};
 
@@ -6,29 +6,29 @@
 
 #[test]
 fn callers_come_back_after_the_time_that_places_are_held() {
-    let mut pace = SlotHoldTime::new();
+    let mut hold_time = SlotHoldTime::new();
     for _ in 0..200 {
-        pace.note(4 * SECOND);
+        hold_time.note(4 * SECOND);
     }
-    let after = pace.retry_after("r");
+    let after = hold_time.retry_after("r");
     assert!(after > 2 * SECOND && after < 6 * SECOND, "{after:?}");
     for _ in 0..200 {
-        pace.note(SECOND / 2);
+        hold_time.note(SECOND / 2);
     }
-    assert!(pace.retry_after("r") < SECOND);
+    assert!(hold_time.retry_after("r") < SECOND);
 }
 
 #[test]
 fn callers_that_are_refused_together_do_not_come_back_together() {
     const CALLERS: u32 = 400;
-    let pace = SlotHoldTime::new();
+    let hold_time = SlotHoldTime::new();
     let mut times: Vec<Duration> = (0..CALLERS)
-        .map(|caller| pace.retry_after(&format!("r-{caller}")))
+        .map(|caller| hold_time.retry_after(&format!("r-{caller}")))
         .collect();
     times.sort();
     let mean = times.iter().sum::<Duration>() / CALLERS;
     assert!(mean > SECOND + SECOND / 2 && mean < 2 * SECOND + SECOND / 2);
-    // A fifth of them comes within a fifth of the spread, give or take.
+    // About a fifth of them retries within a fifth of the jitter interval.
     let first = times
         .iter()
         .filter(|time| **time < times[0] + SECOND / 5)
@@ -38,9 +38,9 @@
 
 #[test]
 fn one_long_stream_moves_the_time_by_little() {
-    let mut pace = SlotHoldTime::new();
-    let before = pace.retry_after("r");
-    pace.note(10 * SECOND);
-    let after = pace.retry_after("r");
+    let mut hold_time = SlotHoldTime::new();
+    let before = hold_time.retry_after("r");
+    hold_time.note(10 * SECOND);
+    let after = hold_time.retry_after("r");
     assert!(after > before && after < before + SECOND);
 }
