--- a/crates/policy/tests/quota_model/mod.rs
+++ b/crates/policy/tests/quota_model/mod.rs
@@ -1,5 +1,5 @@
-//! Instances that share the quotas of customers, in virtual time: driven as their driver on the network does it, with the
-//! ways that were weighed beside it, and an oracle that counts what ran.
+//! Simulates instances that share customer quotas, in virtual time: the exchange as the network driver runs it, the
+//! alternatives considered, and an oracle that counts the usage.
 
 #![allow(
     dead_code,
@@ -21,88 +21,88 @@
 };
 
 const TICK: Duration = Duration::from_millis(10);
-const CALM_PERIOD: Duration = Duration::from_secs(1);
-const PRESSED_PERIOD: Duration = Duration::from_millis(100);
-/// An answer in vain costs this, and the one that gave none is left alone for a while.
+const NORMAL_PERIOD: Duration = Duration::from_secs(1);
+const SCARCE_PERIOD: Duration = Duration::from_millis(100);
+/// How long a call without an answer takes; the callee is not called during the cooldown after it.
 const CALL_LIMIT: Duration = Duration::from_millis(300);
-const REST: Duration = Duration::from_secs(2);
+const CALL_COOLDOWN: Duration = Duration::from_secs(2);
 
 /// How instances share a quota.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ShareWay {
-    /// They tell each other what they use: what the product does.
+pub enum ShareMode {
+    /// Instances report their usage to each other, as in production.
     Exchange,
-    /// Each has an equal part of rate and burst: how retries are shared.
+    /// Each has an equal share of rate and burst, as for the retry budget.
     Equal,
-    /// Each has the part that its use had of all in the last seconds, as it is told once a second.
+    /// Each has the share that its usage had in the total of the last seconds, updated once a second.
     Following,
-    /// One instance holds the bucket and gives it out in leases; without it nobody has more than it holds.
+    /// One instance holds the bucket and leases parts of it; without it the others only have what they hold.
     Leases,
 }
 
-/// What happens to instances.
+/// A fault of one or more instances.
 #[derive(Clone, Copy, Debug)]
 pub enum QuotaFault {
-    CutZone(usize, Duration),
-    Freeze(usize, Duration),
+    PartitionZone(usize, Duration),
+    Suspend(usize, Duration),
     Kill(usize),
     KillAll,
-    /// The first instance of a zone.
-    KillFirst(usize),
+    /// Crashes the aggregator of a zone.
+    KillAggregator(usize),
 }
 
-/// Requests of one customer.
+/// The load of one customer.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// How many instances its callers are connected to.
+    /// The number of instances its callers are connected to.
     pub spread: usize,
-    /// The first of these.
+    /// The first of these instances.
     pub from: usize,
-    /// Units a request.
+    /// Units per request.
     pub cost: u64,
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
 }
 
 #[derive(Debug)]
 struct Node {
-    frozen_until: Instant,
-    /// What is held of each lease, and when it was asked for last.
+    suspended_until: Instant,
+    /// The units held of each lease, and when it was last extended.
     leases: BTreeMap<CustomerId, (f64, Instant)>,
     ledger: UsageLedger,
     life: u64,
     next_call: Instant,
-    rests: BTreeMap<usize, Instant>,
-    starts: Option<Instant>,
+    cooldowns: BTreeMap<usize, Instant>,
+    starts_at: Option<Instant>,
     table: QuotaTable,
-    told: BTreeMap<(usize, u64), UsageTotals>,
+    reported: BTreeMap<(usize, u64), UsageTotals>,
     last_call: Instant,
-    is_pressed: bool,
-    is_first: bool,
+    is_scarce: bool,
+    is_aggregator: bool,
     recent: VecDeque<(Instant, CustomerId, u64)>,
 }
 
-/// What came of a customer's requests.
+/// The results for one customer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// Units that ran.
+    /// Units granted.
     pub ran: u64,
-    /// Units refused which an ideal bucket had room for.
+    /// Units refused although an ideal bucket would have granted them.
     pub wrongly_refused: u64,
-    /// Units that an ideal bucket had room for.
+    /// Units that an ideal bucket grants.
     pub fitting: u64,
-    /// The most that ran in a window, as a part of what may.
+    /// The peak usage in a window, as a fraction of the maximum.
     pub peak: f64,
 }
 
-/// How all customers fared.
+/// The results over all customers.
 #[derive(Clone, Copy, Debug)]
 pub struct Summary {
-    /// The most that a customer used in a window, as a part of what it may.
+    /// The peak usage of a customer in a window, as a fraction of its maximum.
     pub peak: f64,
-    /// Of the units for which an ideal bucket had room at their moment, the part that was refused.
+    /// The fraction of the units granted by ideal buckets at the same time that was refused.
     pub refused: f64,
-    /// Of the units that ideal buckets give over the day, the part that did not run.
+    /// The fraction of the units granted by ideal buckets over the whole run that was not granted.
     pub short: f64,
 }
 
@@ -120,18 +120,18 @@
     shares: BTreeMap<usize, f64>,
 }
 
-/// The whole.
+/// The simulated instances and customers.
 #[derive(Debug)]
 pub struct QuotaModel {
     customers: BTreeMap<CustomerId, CustomerState>,
-    cut_until: Vec<Instant>,
-    each: usize,
+    partitioned_until: Vec<Instant>,
+    per_zone: usize,
     nodes: Vec<Node>,
     pub now: Instant,
     rng: Pcg64Mcg,
     rule: QuotaRule,
-    way: ShareWay,
-    /// Bytes of the messages that were exchanged.
+    mode: ShareMode,
+    /// The bytes of all messages.
     pub bytes: u64,
     pub calls: u64,
     shared_at: Instant,
@@ -145,8 +145,8 @@
     }
 }
 
-/// The rule that the deployments of today have: a tenth more in 8 s, and some 26 large prompts.
-pub fn usual_rule() -> QuotaRule {
+/// The usual rule of deployments: a tenth more than the limit in 8 s, and a slack of about 26 large prompts.
+pub fn default_rule() -> QuotaRule {
     QuotaRule {
         overage: 0.1,
         slack: 140_000.0,
@@ -155,11 +155,11 @@
 }
 
 impl QuotaModel {
-    pub fn new(zones: usize, each: usize, way: ShareWay, seed: u64) -> Self {
+    pub fn new(zones: usize, per_zone: usize, mode: ShareMode, seed: u64) -> Self {
         let now = Instant::now();
-        let rule = usual_rule();
-        let nodes = (0..zones * each).map(|index| {
-            // Instances start one after the other.
+        let rule = default_rule();
+        let nodes = (0..zones * per_zone).map(|index| {
+            // Instances start at different times.
             let phase = TICK * u32::try_from(index * 7 % 100).unwrap();
             Node::new(now, 1, now + phase)
         });
@@ -167,18 +167,18 @@
             bytes: 0,
             calls: 0,
             customers: BTreeMap::new(),
-            cut_until: vec![now; zones],
-            each,
+            partitioned_until: vec![now; zones],
+            per_zone,
             nodes: nodes.collect(),
             now,
             rng: Pcg64Mcg::new(u128::from(seed) | 1),
             rule,
             shared_at: now,
-            way,
+            mode,
         }
     }
 
-    /// There is a customer with these requests.
+    /// Adds a customer.
     pub fn customer(&mut self, name: &str, limit: CustomerLimit, demand: Demand) {
         let state = CustomerState {
             bound_from: None,
@@ -196,7 +196,7 @@
         self.set_limits();
     }
 
-    /// The requests of a customer change.
+    /// Changes the load of a customer.
     pub fn demand(&mut self, name: &str, change: impl FnOnce(&mut Demand)) {
         change(&mut self.customers.get_mut(name).unwrap().demand);
     }
@@ -204,7 +204,7 @@
     pub fn limit(&mut self, name: &str, limit: CustomerLimit) {
         let state = self.customers.get_mut(name).unwrap();
         state.limit = limit;
-        // A lower limit binds one window later.
+        // A lower limit can only be checked after one window.
         state.bound_from = Some(self.now + self.rule.window);
         self.set_limits();
     }
@@ -223,13 +223,13 @@
     pub fn fault(&mut self, fault: QuotaFault) {
         let now = self.now;
         match fault {
-            QuotaFault::CutZone(zone, span) => self.cut_until[zone] = now + span,
-            QuotaFault::Freeze(node, span) => self.nodes[node].frozen_until = now + span,
+            QuotaFault::PartitionZone(zone, span) => self.partitioned_until[zone] = now + span,
+            QuotaFault::Suspend(node, span) => self.nodes[node].suspended_until = now + span,
             QuotaFault::Kill(node) => self.kill(node),
             QuotaFault::KillAll => (0..self.nodes.len()).for_each(|node| self.kill(node)),
-            QuotaFault::KillFirst(zone) => {
-                if let Some(first) = self.first(zone) {
-                    self.kill(first);
+            QuotaFault::KillAggregator(zone) => {
+                if let Some(aggregator) = self.aggregator(zone) {
+                    self.kill(aggregator);
                 }
             }
         }
@@ -239,7 +239,7 @@
         self.customers[name].outcome
     }
 
-    /// How customers fared.
+    /// Summarizes the results of all customers.
     pub fn summary(&self) -> Summary {
         let outcomes = || self.customers.values().map(|state| state.outcome);
         let fitting: u64 = outcomes().map(|outcome| outcome.fitting).sum();
@@ -265,50 +265,51 @@
     }
 
     fn kill(&mut self, index: usize) {
-        let spread = Duration::from_millis(40 * (index as u64 * 7 % 19));
+        let stagger = Duration::from_millis(40 * (index as u64 * 7 % 19));
         let life = self.nodes[index].life + 1;
-        let starts = self.now + Duration::from_millis(600) + spread;
-        let mut node = Node::new(starts, life, starts);
-        node.starts = Some(starts);
+        let starts_at = self.now + Duration::from_millis(600) + stagger;
+        let mut node = Node::new(starts_at, life, starts_at);
+        node.starts_at = Some(starts_at);
         self.nodes[index] = node;
         self.set_limits();
     }
 
     fn is_up(&self, node: usize) -> bool {
         let node = &self.nodes[node];
-        node.starts.is_none() && self.now >= node.frozen_until
+        node.starts_at.is_none() && self.now >= node.suspended_until
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let (from, to_zone) = (from / self.each, to / self.each);
-        let is_cut = self.now < self.cut_until[from] || self.now < self.cut_until[to_zone];
-        self.is_up(to) && (from == to_zone || !is_cut)
+        let (from, to_zone) = (from / self.per_zone, to / self.per_zone);
+        let is_partitioned =
+            self.now < self.partitioned_until[from] || self.now < self.partitioned_until[to_zone];
+        self.is_up(to) && (from == to_zone || !is_partitioned)
     }
 
-    /// The first instance of a zone that is there.
-    fn first(&self, zone: usize) -> Option<usize> {
-        let mut all = zone * self.each..(zone + 1) * self.each;
+    /// The first running instance of a zone, which is its aggregator.
+    fn aggregator(&self, zone: usize) -> Option<usize> {
+        let mut all = zone * self.per_zone..(zone + 1) * self.per_zone;
         all.find(|node| self.is_up(*node))
     }
 
     fn step(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if node.starts.is_some_and(|starts| now < starts) || now < node.frozen_until {
+        if node.starts_at.is_some_and(|starts_at| now < starts_at) || now < node.suspended_until {
             return;
         }
-        node.starts = None;
-        if self.way != ShareWay::Exchange {
+        node.starts_at = None;
+        if self.mode != ShareMode::Exchange {
             return;
         }
         let is_due =
-            now >= node.next_call || node.is_pressed && now >= node.last_call + PRESSED_PERIOD;
+            now >= node.next_call || node.is_scarce && now >= node.last_call + SCARCE_PERIOD;
         if !is_due {
             return;
         }
-        node.is_pressed = false;
+        node.is_scarce = false;
         node.last_call = now;
-        node.next_call = now + CALM_PERIOD;
+        node.next_call = now + NORMAL_PERIOD;
         self.exchange(index);
     }
 
@@ -321,10 +322,10 @@
         let now = self.now;
         let own = self.own(index);
         self.nodes[index].ledger.note_own(&own, now);
-        let zone = index / self.each;
-        for other in zone * self.each..index {
+        let zone = index / self.per_zone;
+        for other in zone * self.per_zone..index {
             if self.nodes[index]
-                .rests
+                .cooldowns
                 .get(&other)
                 .is_some_and(|until| now < *until)
             {
@@ -332,18 +333,18 @@
             }
             if !self.reaches(index, other) {
                 let node = &mut self.nodes[index];
-                node.rests.insert(other, now + REST);
+                node.cooldowns.insert(other, now + CALL_COOLDOWN);
                 node.next_call = now + CALL_LIMIT;
                 return;
             }
-            self.nodes[index].rests.remove(&other);
-            self.nodes[index].is_first = false;
-            return self.tell_first(index, other, &own);
+            self.nodes[index].cooldowns.remove(&other);
+            self.nodes[index].is_aggregator = false;
+            return self.report_to_aggregator(index, other, &own);
         }
-        if !std::mem::replace(&mut self.nodes[index].is_first, true) {
+        if !std::mem::replace(&mut self.nodes[index].is_aggregator, true) {
             self.nodes[index].table.start_aggregating(now);
         }
-        self.tell_zones(index, &own);
+        self.exchange_zones(index, &own);
     }
 
     fn rows(
@@ -356,10 +357,10 @@
         let key = (to, self.nodes[to].life);
         let node = &mut self.nodes[index];
         let mut rows = node.ledger.report(of, own);
-        let told = node.told.entry(key).or_default();
-        rows.retain(|row| told.get(&row.customer) != Some(&row.total));
+        let reported = node.reported.entry(key).or_default();
+        rows.retain(|row| reported.get(&row.customer) != Some(&row.total));
         for row in &rows {
-            told.insert(row.customer.clone(), row.total);
+            reported.insert(row.customer.clone(), row.total);
         }
         node.ledger.confirm(&rows);
         self.calls += 1;
@@ -367,115 +368,114 @@
         rows
     }
 
-    fn tell_first(&mut self, index: usize, first: usize, own: &UsageTotals) {
+    fn report_to_aggregator(&mut self, index: usize, aggregator: usize, own: &UsageTotals) {
         let now = self.now;
-        let (me, them) = (instance(index), instance(first));
-        let rows = self.rows(index, first, Some(&them), own);
-        let own_there = self.own(first);
+        let (me, them) = (instance(index), instance(aggregator));
+        let rows = self.rows(index, aggregator, Some(&them), own);
+        let their_own = self.own(aggregator);
         let life = self.nodes[index].life;
         let low = self.nodes[index].table.low_balances(now);
-        let there = &mut self.nodes[first];
-        there.table.cap_balances(&low, now);
-        let teller = UsageReporter {
+        let peer = &mut self.nodes[aggregator];
+        peer.table.cap_balances(&low, now);
+        let reporter = UsageReporter {
             instance: me.clone(),
             life,
         };
-        there.ledger.note_report(&teller, &rows, now);
-        let totals = there.ledger.others_for(&me, &own_there);
-        there.go_by(&rows, now);
-        let assumed = there.ledger.assumed_of(totals.keys());
-        let rooms = there.rooms(&totals, now);
-        let is_settled = there.table.is_settled(now);
-        let teller = UsageReporter {
+        peer.ledger.note_report(&reporter, &rows, now);
+        let totals = peer.ledger.others_for(&me, &their_own);
+        peer.update_others(&rows, now);
+        let assumed = peer.ledger.assumed_of(totals.keys());
+        let balances = peer.balances(&totals, now);
+        let is_settled = peer.table.is_settled(now);
+        let reporter = UsageReporter {
             instance: them,
-            life: there.life,
+            life: peer.life,
         };
         self.bytes += 60 + 18 * totals.len() as u64;
-        let reach = there.table.coverage();
-        let here = &mut self.nodes[index];
-        here.table.set_coverage(reach);
-        here.ledger.note_remote(&teller, &totals, now);
-        let others = here.ledger.others_of(totals.keys());
-        here.table.note_synced(now);
-        here.table.note_others(&others, &assumed, now);
-        here.take_rooms(is_settled, &rooms, own, now);
+        let reach = peer.table.coverage();
+        let node = &mut self.nodes[index];
+        node.table.set_coverage(reach);
+        node.ledger.note_remote(&reporter, &totals, now);
+        let others = node.ledger.others_of(totals.keys());
+        node.table.note_synced(now);
+        node.table.note_others(&others, &assumed, now);
+        node.apply_balances(is_settled, &balances, own, now);
     }
 
-    fn tell_zones(&mut self, index: usize, own: &UsageTotals) {
+    fn exchange_zones(&mut self, index: usize, own: &UsageTotals) {
         let now = self.now;
-        let zone = index / self.each;
-        let zones: Vec<usize> = (0..self.cut_until.len())
+        let zone = index / self.per_zone;
+        let zones: Vec<usize> = (0..self.partitioned_until.len())
             .filter(|other| *other != zone)
             .collect();
         let names: Vec<ZoneId> = zones.iter().map(|zone| zone_name(*zone)).collect();
         self.nodes[index].ledger.expect_zones(&names, now);
-        let mut followed: Option<(bool, UsageTotals)> = None;
+        let mut adopted: Option<(bool, UsageTotals)> = None;
         for other in zones {
-            let Some(first) = self
-                .first(other)
-                .filter(|first| self.reaches(index, *first))
+            let Some(aggregator) = self
+                .aggregator(other)
+                .filter(|aggregator| self.reaches(index, *aggregator))
             else {
                 self.nodes[index].ledger.note_silence(&zone_name(other));
                 continue;
             };
-            let rows = self.rows(index, first, None, own);
-            let told = rows
+            let rows = self.rows(index, aggregator, None, own);
+            let reported = rows
                 .iter()
                 .map(|row| (row.customer.clone(), row.total))
                 .collect();
-            let teller = UsageReporter {
+            let reporter = UsageReporter {
                 instance: instance(index),
                 life: self.nodes[index].life,
             };
-            let own_there = self.own(first);
+            let their_own = self.own(aggregator);
             let low = self.nodes[index].table.low_balances(now);
-            let there = &mut self.nodes[first];
-            there.table.cap_balances(&low, now);
-            there
-                .ledger
-                .note_zone(&zone_name(zone), &teller, &told, now);
-            let totals = there.ledger.report(None, &own_there).into_iter();
+            let peer = &mut self.nodes[aggregator];
+            peer.table.cap_balances(&low, now);
+            peer.ledger
+                .note_zone(&zone_name(zone), &reporter, &reported, now);
+            let totals = peer.ledger.report(None, &their_own).into_iter();
             let totals: UsageTotals = totals.map(|row| (row.customer, row.total)).collect();
-            there.go_by(&rows, now);
-            let rooms = there.rooms(&totals, now);
-            let is_settled = there.table.is_settled(now);
-            let teller = UsageReporter {
-                instance: instance(first),
-                life: there.life,
+            peer.update_others(&rows, now);
+            let balances = peer.balances(&totals, now);
+            let is_settled = peer.table.is_settled(now);
+            let reporter = UsageReporter {
+                instance: instance(aggregator),
+                life: peer.life,
             };
             self.bytes += 60 + 18 * totals.len() as u64;
-            let here = &mut self.nodes[index];
-            here.ledger
-                .note_zone(&zone_name(other), &teller, &totals, now);
-            if followed.is_none() && other < zone {
-                followed = Some((is_settled, rooms));
+            let node = &mut self.nodes[index];
+            node.ledger
+                .note_zone(&zone_name(other), &reporter, &totals, now);
+            if adopted.is_none() && other < zone {
+                adopted = Some((is_settled, balances));
             }
         }
-        self.take_zones(index);
-        if let Some((is_settled, rooms)) = followed {
-            self.nodes[index].take_rooms(is_settled, &rooms, own, now);
+        self.apply_zones(index);
+        if let Some((is_settled, balances)) = adopted {
+            self.nodes[index].apply_balances(is_settled, &balances, own, now);
         }
     }
 
-    fn take_zones(&mut self, index: usize) {
+    fn apply_zones(&mut self, index: usize) {
         let now = self.now;
         let limits = self
             .customers
             .iter()
             .map(|(id, state)| (id.clone(), state.limit.rate));
         let limits: BTreeMap<CustomerId, f64> = limits.collect();
-        let here = &mut self.nodes[index];
-        here.ledger.assume(&limits, now);
-        let others = here.ledger.others_of(limits.keys());
-        here.table.set_coverage(here.ledger.coverage(now));
-        here.table.note_synced(now);
-        let assumed = here.ledger.assumed_of(limits.keys());
-        here.table.note_others(&others, &assumed, now);
+        let node = &mut self.nodes[index];
+        node.ledger.assume(&limits, now);
+        let others = node.ledger.others_of(limits.keys());
+        node.table.set_coverage(node.ledger.coverage(now));
+        node.table.note_synced(now);
+        let assumed = node.ledger.assumed_of(limits.keys());
+        node.table.note_others(&others, &assumed, now);
     }
 
-    /// Once a second, parts of the rate follow the use of the last two seconds.
+    /// Once a second, sets the shares to those of the usage of the last two seconds.
     fn share(&mut self) {
-        if self.way != ShareWay::Following || self.now < self.shared_at + CALM_PERIOD {
+        if self.mode != ShareMode::Following || self.now < self.shared_at + NORMAL_PERIOD {
             return;
         }
         self.shared_at = self.now;
@@ -491,7 +491,7 @@
                 }
             }
             let all: f64 = uses.values().sum();
-            // A tenth is left for those that used nothing.
+            // A tenth is reserved for instances without usage.
             state.shares = uses
                 .into_iter()
                 .map(|(index, sum)| (index, 0.9 * sum / all))
@@ -532,48 +532,48 @@
         let now = self.now;
         let limit = self.customers[id].limit;
         let count = self.nodes.len() as f64;
-        match self.way {
-            ShareWay::Exchange => {
+        match self.mode {
+            ShareMode::Exchange => {
                 let node = &mut self.nodes[index];
                 let taken = node.table.take(id, &limit, Some(cost), now).is_ok();
-                node.is_pressed |= node.table.is_scarce(id, now);
+                node.is_scarce |= node.table.is_scarce(id, now);
                 taken
             }
-            ShareWay::Equal => self.take_part(index, id, cost, 1.0 / count),
-            ShareWay::Following => {
+            ShareMode::Equal => self.take_part(index, id, cost, 1.0 / count),
+            ShareMode::Following => {
                 let shares = &self.customers[id].shares;
                 let part = shares.get(&index).copied().unwrap_or(0.1 / count);
                 let taken = self.take_part(index, id, cost, part);
                 self.nodes[index].recent.push_back((now, id.clone(), cost));
                 taken
             }
-            ShareWay::Leases => self.take_lease(index, id, cost),
+            ShareMode::Leases => self.take_lease(index, id, cost),
         }
     }
 
-    /// A part of rate and depth, kept as a lease that refills.
+    /// Charges a fixed share of rate and capacity, kept as a lease that refills.
     fn take_part(&mut self, index: usize, id: &CustomerId, cost: u64, part: f64) -> bool {
         let now = self.now;
         let limit = self.customers[id].limit;
         let node = &mut self.nodes[index];
-        let born = node.last_call;
-        let (room, at) = node.leases.entry(id.clone()).or_insert((0.0, born));
-        let capacity = usual_rule().capacity(&limit) * part;
-        *room =
-            (*room + limit.rate * part * (now - *at).as_secs_f64()).min(capacity.max(cost as f64));
+        let started = node.last_call;
+        let (balance, at) = node.leases.entry(id.clone()).or_insert((0.0, started));
+        let capacity = default_rule().capacity(&limit) * part;
+        *balance = (*balance + limit.rate * part * (now - *at).as_secs_f64())
+            .min(capacity.max(cost as f64));
         *at = now;
-        let taken = *room >= cost as f64;
+        let taken = *balance >= cost as f64;
         if taken {
-            *room -= cost as f64;
+            *balance -= cost as f64;
         }
         taken
     }
 
-    /// Asks the holder for what it has not: as much as its requests of the next half second, and more than it needs now.
+    /// Requests the missing units from the holder, plus the expected usage of the next half second.
     fn take_lease(&mut self, index: usize, id: &CustomerId, cost: u64) -> bool {
         let now = self.now;
-        // The holder is the first instance that lives; one that was chosen anew begins with an empty bucket.
-        let holder = (0..self.nodes.len()).find(|node| self.nodes[*node].starts.is_none());
+        // The holder is the first running instance; a new one starts with an empty bucket.
+        let holder = (0..self.nodes.len()).find(|node| self.nodes[*node].starts_at.is_none());
         let node = &mut self.nodes[index];
         let (held, _) = *node.leases.entry(id.clone()).or_insert((0.0, now));
         if held < cost as f64 {
@@ -583,8 +583,9 @@
                 return false;
             };
             let state = self.customers.get_mut(id).unwrap();
-            let wish = cost as f64 - held + state.demand.rate * 0.5 / state.demand.spread as f64;
-            let given = wish.min(state.holder.max(0.0));
+            let requested =
+                cost as f64 - held + state.demand.rate * 0.5 / state.demand.spread as f64;
+            let given = requested.min(state.holder.max(0.0));
             state.holder -= given;
             self.calls += u64::from(holder != index);
             self.bytes += 160;
@@ -605,7 +606,7 @@
     fn refill(&mut self, span: Duration) {
         let gain = self.limit.rate * span.as_secs_f64();
         self.ideal = (self.ideal + gain).min(self.limit.burst);
-        self.holder = (self.holder + gain).min(usual_rule().capacity(&self.limit));
+        self.holder = (self.holder + gain).min(default_rule().capacity(&self.limit));
     }
 
     fn note(&mut self, is_taken: bool, cost: u64, rule: &QuotaRule, now: Instant) {
@@ -640,51 +641,51 @@
 }
 
 impl Node {
-    fn rooms(&self, totals: &UsageTotals, now: Instant) -> UsageTotals {
-        let rooms = totals
+    fn balances(&self, totals: &UsageTotals, now: Instant) -> UsageTotals {
+        let balances = totals
             .keys()
             .filter_map(|id| Some((id.clone(), self.table.reported_balance(id, now)? as i64)));
-        rooms.collect()
+        balances.collect()
     }
 
-    /// Goes by what others of the told customers used.
-    fn go_by(&mut self, rows: &[UsageRow], now: Instant) {
+    /// Updates the usage of others for the customers in a report.
+    fn update_others(&mut self, rows: &[UsageRow], now: Instant) {
         let is_scarce = |row: &UsageRow| self.table.is_scarce(&row.customer, now);
-        self.is_pressed |= rows.iter().any(is_scarce);
-        let told = rows.iter().map(|row| &row.customer);
-        let others = self.ledger.others_of(told.clone());
-        let assumed = self.ledger.assumed_of(told);
+        self.is_scarce |= rows.iter().any(is_scarce);
+        let reported = rows.iter().map(|row| &row.customer);
+        let others = self.ledger.others_of(reported.clone());
+        let assumed = self.ledger.assumed_of(reported);
         self.table.note_others(&others, &assumed, now);
     }
 
-    fn take_rooms(
+    fn apply_balances(
         &mut self,
         is_settled: bool,
-        rooms: &UsageTotals,
+        balances: &UsageTotals,
         own: &UsageTotals,
         now: Instant,
     ) {
         match is_settled {
-            true => self.table.follow_balances(rooms, own, now),
-            false => self.table.cap_balances(rooms, now),
+            true => self.table.follow_balances(balances, own, now),
+            false => self.table.cap_balances(balances, now),
         }
     }
 
-    fn new(born: Instant, life: u64, first_call: Instant) -> Self {
+    fn new(started: Instant, life: u64, first_call: Instant) -> Self {
         Self {
-            frozen_until: born,
-            is_first: false,
-            is_pressed: false,
-            last_call: born,
+            suspended_until: started,
+            is_aggregator: false,
+            is_scarce: false,
+            last_call: started,
             leases: BTreeMap::new(),
             ledger: UsageLedger::default(),
             life,
             next_call: first_call,
             recent: VecDeque::new(),
-            rests: BTreeMap::new(),
-            starts: None,
-            table: QuotaTable::new(usual_rule(), false, born),
-            told: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
+            starts_at: None,
+            table: QuotaTable::new(default_rule(), false, started),
+            reported: BTreeMap::new(),
         }
     }
 }
--- a/crates/policy/tests/quota_table.rs
+++ b/crates/policy/tests/quota_table.rs
@@ -1,4 +1,4 @@
-//! One instance's buckets.
+//! The quota buckets of one instance.
 
 use {
     kernel::CustomerId,
@@ -18,38 +18,41 @@
     "port-a".into()
 }
 
-/// The buckets of an instance that is alone, and when they were made.
-fn alone() -> (QuotaTable, Instant) {
-    let born = Instant::now();
-    (QuotaTable::new(QuotaRule::default(), true, born), born)
+/// The table of a single instance, and when it was created.
+fn standalone() -> (QuotaTable, Instant) {
+    let started = Instant::now();
+    (
+        QuotaTable::new(QuotaRule::default(), true, started),
+        started,
+    )
 }
 
-/// How many requests of a size fit at a moment.
-fn fitting(table: &mut QuotaTable, limit: &CustomerLimit, cost: u64, now: Instant) -> usize {
-    let takes = std::iter::repeat_with(|| table.take(&customer(), limit, Some(cost), now));
-    takes.take_while(Result::is_ok).count()
+/// How many requests of a given cost are granted at `now`.
+fn granted(table: &mut QuotaTable, limit: &CustomerLimit, cost: u64, now: Instant) -> usize {
+    let results = std::iter::repeat_with(|| table.take(&customer(), limit, Some(cost), now));
+    results.take_while(Result::is_ok).count()
 }
 
 #[test]
 fn an_instance_that_is_alone_fills_its_bucket_from_empty_and_no_further_than_the_burst() {
-    let (mut table, born) = alone();
+    let (mut table, started) = standalone();
     let limit = limit(1_000.0, 3_000.0);
-    assert_eq!(fitting(&mut table, &limit, 500, born), 0);
+    assert_eq!(granted(&mut table, &limit, 500, started), 0);
     assert_eq!(
-        fitting(&mut table, &limit, 500, born + Duration::from_secs(1)),
+        granted(&mut table, &limit, 500, started + Duration::from_secs(1)),
         2
     );
-    // An hour later there is one burst, not an hour's rate.
-    let later = born + Duration::from_secs(3_600);
-    assert_eq!(fitting(&mut table, &limit, 500, later), 6);
-    assert_eq!(fitting(&mut table, &limit, 500, later), 0);
+    // An hour later one burst is available, not the refill of an hour.
+    let later = started + Duration::from_secs(3_600);
+    assert_eq!(granted(&mut table, &limit, 500, later), 6);
+    assert_eq!(granted(&mut table, &limit, 500, later), 0);
 }
 
 #[test]
 fn a_refusal_says_when_there_is_room_and_what_did_not_run_is_given_back() {
-    let (mut table, born) = alone();
+    let (mut table, started) = standalone();
     let limit = limit(1_000.0, 1_000.0);
-    let now = born + Duration::from_secs(1);
+    let now = started + Duration::from_secs(1);
     assert_eq!(table.take(&customer(), &limit, Some(900), now), Ok(900));
     let refusal = table.take(&customer(), &limit, None, now).unwrap_err();
     assert_eq!(
@@ -62,9 +65,9 @@
 
 #[test]
 fn a_request_that_is_larger_than_the_bucket_takes_a_full_one() {
-    let (mut table, born) = alone();
+    let (mut table, started) = standalone();
     let limit = limit(1_000.0, 1_000.0);
-    let full = born + Duration::from_secs(1);
+    let full = started + Duration::from_secs(1);
     assert!(
         table
             .take(
@@ -76,7 +79,7 @@
             .is_err()
     );
     assert!(table.take(&customer(), &limit, Some(2_500), full).is_ok());
-    // The rest is owed.
+    // The excess is a debt.
     assert!(
         table
             .take(
@@ -101,11 +104,11 @@
 
 #[test]
 fn what_others_use_is_taken_out_and_an_instance_that_hears_nothing_keeps_to_its_part() {
-    let born = Instant::now();
-    let mut table = QuotaTable::new(QuotaRule::default(), false, born);
+    let started = Instant::now();
+    let mut table = QuotaTable::new(QuotaRule::default(), false, started);
     let limit = limit(1_000.0, 1_000.0);
-    table.set_limits([(&customer(), limit)], born);
-    let mut now = born;
+    table.set_limits([(&customer(), limit)], started);
+    let mut now = started;
     let mut others = 0;
     for _ in 0..10 {
         now += Duration::from_millis(100);
@@ -114,19 +117,19 @@
         table.note_synced(now);
         table.note_others(&totals, &UsageTotals::new(), now);
     }
-    // Of 1,000 in a second others used 900.
-    assert_eq!(fitting(&mut table, &limit, 50, now), 2);
-    // Nothing is heard for ten seconds: a sixteenth of the rate and of the burst is left to it.
+    // Others used 900 of the 1,000 per second.
+    assert_eq!(granted(&mut table, &limit, 50, now), 2);
+    // Without an exchange for ten seconds, a sixteenth of the rate and of the burst is granted.
     now += Duration::from_secs(10);
-    assert!(fitting(&mut table, &limit, 10, now) <= 6);
+    assert!(granted(&mut table, &limit, 10, now) <= 6);
 }
 
 #[test]
 fn a_new_life_that_hears_of_nobody_keeps_to_a_small_part() {
-    let born = Instant::now();
-    let mut table = QuotaTable::new(QuotaRule::default(), false, born);
+    let started = Instant::now();
+    let mut table = QuotaTable::new(QuotaRule::default(), false, started);
     let limit = limit(16_000.0, 16_000.0);
-    // A sixteenth of the rate in half a second.
-    let now = born + Duration::from_millis(500);
-    assert_eq!(fitting(&mut table, &limit, 100, now), 5);
+    // A sixteenth of the refill of half a second.
+    let now = started + Duration::from_millis(500);
+    assert_eq!(granted(&mut table, &limit, 100, now), 5);
 }
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! The retry budget holds over all instances, in every window, without a message between them.
+//! The retry budget holds over all instances in every window, without communication between them.
 
 use {
     policy::{RetryBounds, RetryWindow},
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 enum StepKind {
     Request,
-    /// The instance is killed and starts again.
+    /// The instance crashes and restarts.
     Restart,
     Retry,
 }
@@ -39,7 +39,7 @@
     })
 }
 
-/// How many of the times are in the window that ends at `end`.
+/// How many of `times` are in the window that ends at `end`.
 fn count_in(times: &[Instant], end: Instant) -> f64 {
     let inside = |time: &&Instant| **time <= end && end.duration_since(**time) < WINDOW;
     times.iter().filter(inside).count() as f64
@@ -64,7 +64,7 @@
         let mut now = Instant::now() + 4 * WINDOW;
         let mut windows = vec![RetryWindow::new(now); INSTANCES];
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for step in &steps {
             now += Duration::from_millis(step.pause);
             let window = &mut windows[step.instance];
@@ -74,18 +74,18 @@
                     requests.push(now);
                 }
                 StepKind::Restart => *window = RetryWindow::new(now),
-                StepKind::Retry if window.take(&bounds, Some(INSTANCES), now) => repeats.push(now),
+                StepKind::Retry if window.take(&bounds, Some(INSTANCES), now) => retries.push(now),
                 StepKind::Retry => {}
             }
         }
-        for end in &repeats {
-            let made = count_in(&repeats, *end);
-            // Requests count in the window, in the one before it or in the one half a window before it.
-            let asked = [Duration::ZERO, WINDOW / 2, WINDOW]
+        for end in &retries {
+            let retried = count_in(&retries, *end);
+            // Requests of the window itself, of the one before it or of the one half a window earlier may fund the retries.
+            let requested = [Duration::ZERO, WINDOW / 2, WINDOW]
                 .into_iter()
                 .map(|back| count_in(&requests, *end - back))
                 .fold(0.0, f64::max);
-            prop_assert!(made <= RATIO * asked + SLACK, "{made} repeats for {asked} requests");
+            prop_assert!(retried <= RATIO * requested + SLACK, "{retried} retries for {requested} requests");
         }
     }
 }
@@ -97,13 +97,13 @@
         .slack(3.0)
         .window(WINDOW)
         .build();
-    let born = Instant::now();
-    let mut window = RetryWindow::new(born);
+    let started = Instant::now();
+    let mut window = RetryWindow::new(started);
     assert!(
-        !window.take(&bounds, Some(2), born),
-        "the life before may have used it"
+        !window.take(&bounds, Some(2), started),
+        "the slack may have been used before the restart"
     );
-    let now = born + WINDOW;
+    let now = started + WINDOW;
     assert!(window.take(&bounds, Some(2), now));
     assert!(!window.take(&bounds, Some(2), now + WINDOW / 2));
     assert!(window.take(&bounds, Some(2), now + WINDOW));
@@ -116,11 +116,11 @@
         .slack(54.0)
         .window(WINDOW)
         .build();
-    let born = Instant::now();
-    let now = born + WINDOW;
-    for (instances, most) in [(Some(1), 37), (Some(7), 5), (Some(60), 0), (None, 0)] {
-        let mut window = RetryWindow::new(born);
+    let started = Instant::now();
+    let now = started + WINDOW;
+    for (instances, limit) in [(Some(1), 37), (Some(7), 5), (Some(60), 0), (None, 0)] {
+        let mut window = RetryWindow::new(started);
         let taken = (0..100).filter(|_| window.take(&bounds, instances, now));
-        assert_eq!(taken.count(), most, "{instances:?}");
+        assert_eq!(taken.count(), limit, "{instances:?}");
     }
 }
--- a/crates/policy/tests/stream_tries.rs
+++ b/crates/policy/tests/stream_tries.rs
@@ -1,4 +1,4 @@
-//! Which further calls a request of a model service may make.
+//! Which further calls are allowed for a request of a model service.
 
 use policy::{AttemptEnd, RepeatRule, StreamAttempts};
 
@@ -10,44 +10,44 @@
     true
 }
 
-fn unasked() -> bool {
-    unreachable!("the budget is not asked")
+fn unused() -> bool {
+    unreachable!("the budget must not be used")
 }
 
 #[test]
 fn the_first_call_and_an_accepted_reading_take_nothing_out_of_the_budget() {
-    let mut tries = StreamAttempts::new(RepeatRule::Once, 1);
-    tries.note(AttemptEnd::Prefilled);
-    assert!(tries.allow_call(unasked));
-    tries.note(AttemptEnd::Ran);
-    assert!(tries.has_run());
-    assert!(!tries.can_continue());
+    let mut attempts = StreamAttempts::new(RepeatRule::Once, 1);
+    attempts.note(AttemptEnd::Prefilled);
+    assert!(attempts.allow_call(unused));
+    attempts.note(AttemptEnd::Ran);
+    assert!(attempts.has_run());
+    assert!(!attempts.can_continue());
 }
 
 #[test]
 fn a_refused_reading_makes_the_run_a_repeated_call() {
-    let mut tries = StreamAttempts::new(RepeatRule::Once, 1);
-    tries.note(AttemptEnd::PrefillRefused);
-    assert!(!tries.allow_call(spent));
-    assert!(!tries.can_continue());
-    assert!(!tries.has_run());
+    let mut attempts = StreamAttempts::new(RepeatRule::Once, 1);
+    attempts.note(AttemptEnd::PrefillRefused);
+    assert!(!attempts.allow_call(spent));
+    assert!(!attempts.can_continue());
+    assert!(!attempts.has_run());
 }
 
 #[test]
 fn a_call_that_did_not_leave_costs_nothing() {
-    let mut tries = StreamAttempts::new(RepeatRule::Once, 1);
-    tries.note(AttemptEnd::Unsent);
-    assert!(tries.allow_call(unasked));
-    assert!(tries.can_continue());
+    let mut attempts = StreamAttempts::new(RepeatRule::Once, 1);
+    attempts.note(AttemptEnd::Unsent);
+    assert!(attempts.allow_call(unused));
+    assert!(attempts.can_continue());
 }
 
 #[test]
 fn a_retry_that_is_paid_ahead_is_not_paid_twice() {
-    let mut tries = StreamAttempts::new(RepeatRule::Resumable, 2);
-    tries.note(AttemptEnd::Ran);
-    assert!(tries.reserve_retry(funded));
-    assert!(tries.allow_call(unasked));
-    assert!(!tries.allow_call(spent));
+    let mut attempts = StreamAttempts::new(RepeatRule::Resumable, 2);
+    attempts.note(AttemptEnd::Ran);
+    assert!(attempts.reserve_retry(funded));
+    assert!(attempts.allow_call(unused));
+    assert!(!attempts.allow_call(spent));
 }
 
 #[test]
@@ -64,23 +64,26 @@
 
 #[test]
 fn refusals_end() {
-    let mut tries = StreamAttempts::new(RepeatRule::Resumable, 2);
+    let mut attempts = StreamAttempts::new(RepeatRule::Resumable, 2);
     for _ in 0..4 {
-        assert!(tries.can_continue());
-        tries.note(AttemptEnd::Refused);
+        assert!(attempts.can_continue());
+        attempts.note(AttemptEnd::Refused);
     }
-    assert!(!tries.can_continue());
+    assert!(!attempts.can_continue());
 }
 
 #[test]
 fn a_prompt_is_read_again_only_when_the_run_after_it_is_paid_for() {
-    let mut tries = StreamAttempts::new(RepeatRule::Resumable, 2);
-    assert!(tries.allow_prefill(unasked));
-    tries.note(AttemptEnd::Prefilled);
-    tries.note(AttemptEnd::Ran);
-    assert!(!tries.allow_prefill(unasked), "the run is not paid for");
-    assert!(tries.reserve_retry(funded));
-    assert!(!tries.allow_prefill(spent));
-    assert!(tries.allow_prefill(funded));
-    assert!(tries.allow_call(unasked));
+    let mut attempts = StreamAttempts::new(RepeatRule::Resumable, 2);
+    assert!(attempts.allow_prefill(unused));
+    attempts.note(AttemptEnd::Prefilled);
+    attempts.note(AttemptEnd::Ran);
+    assert!(
+        !attempts.allow_prefill(unused),
+        "no retry is reserved for the run"
+    );
+    assert!(attempts.reserve_retry(funded));
+    assert!(!attempts.allow_prefill(spent));
+    assert!(attempts.allow_prefill(funded));
+    assert!(attempts.allow_call(unused));
 }
--- a/crates/policy/tests/upstream_table.rs
+++ b/crates/policy/tests/upstream_table.rs
@@ -1,4 +1,4 @@
-//! Which upstream a call goes to, and what becomes of the list's changes.
+//! Which upstream is selected for a call, and how changes of the list are applied.
 
 use {
     kernel::{ServiceId, ZoneId},
@@ -132,15 +132,15 @@
 fn one_that_leaves_or_is_gone_from_the_list_is_not_chosen() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let mut one = record("a", "near", UpstreamStage::Plain);
-    table.replace(std::slice::from_ref(&one), None, now);
-    assert!(table.accepts_work(&one.id));
-    one.leaving = true;
-    table.replace(std::slice::from_ref(&one), None, now);
+    let mut record_a = record("a", "near", UpstreamStage::Plain);
+    table.replace(std::slice::from_ref(&record_a), None, now);
+    assert!(table.accepts_work(&record_a.id));
+    record_a.leaving = true;
+    table.replace(std::slice::from_ref(&record_a), None, now);
     assert_eq!(chosen(&table, UpstreamStage::Plain, now), None);
-    assert!(!table.accepts_work(&one.id));
-    one.leaving = false;
-    table.replace(std::slice::from_ref(&one), None, now);
+    assert!(!table.accepts_work(&record_a.id));
+    record_a.leaving = false;
+    table.replace(std::slice::from_ref(&record_a), None, now);
     table.replace(&[], None, now);
     assert_eq!(chosen(&table, UpstreamStage::Plain, now), None);
 }
@@ -149,8 +149,8 @@
 fn what_lapsed_during_an_outage_is_kept_for_two_seconds_after_it() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let one = record("a", "near", UpstreamStage::Plain);
-    table.replace(std::slice::from_ref(&one), None, now);
+    let record_a = record("a", "near", UpstreamStage::Plain);
+    table.replace(std::slice::from_ref(&record_a), None, now);
     table.replace(&[], Some(now), now);
     assert!(chosen(&table, UpstreamStage::Plain, now).is_some());
     let soon = now + SECOND;
@@ -165,12 +165,12 @@
 fn what_lapsed_during_an_outage_is_gone_when_its_address_has_another_upstream() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let one = record("a", "near", UpstreamStage::Plain);
+    let record_a = record("a", "near", UpstreamStage::Plain);
     let mut other = record("b", "near", UpstreamStage::Plain);
-    other.address = one.address;
-    table.replace(std::slice::from_ref(&one), None, now);
+    other.address = record_a.address;
+    table.replace(std::slice::from_ref(&record_a), None, now);
     table.replace(&[other], Some(now), now);
-    assert!(!table.accepts_work(&one.id));
+    assert!(!table.accepts_work(&record_a.id));
 }
 
 #[test]
@@ -196,7 +196,7 @@
         choice.upstream.id.to_string()
     };
     assert_eq!(id(&table, now), "a");
-    // A reading that took a second longer than its pace tells of a queue, which is gone a few seconds later.
+    // A prefill that took a second longer than expected indicates a queue, which is gone a few seconds later.
     table.note_prefill(&near.id, 3_000, Duration::from_millis(150), now);
     table.note_prefill(&near.id, 3_000, Duration::from_millis(1_150), now);
     assert_eq!(id(&table, now), "b");
@@ -218,17 +218,20 @@
     fail(&mut table, 0);
     assert!(
         !table.is_outlier(&records[0].id, now),
-        "one failure is the request's own"
+        "a single failure is attributed to the request"
     );
     fail(&mut table, 0);
     assert!(table.is_outlier(&records[0].id, now));
     for index in [1, 1, 2, 2] {
         fail(&mut table, index);
     }
-    assert!(!table.is_outlier(&records[0].id, now), "all fail alike");
+    assert!(
+        !table.is_outlier(&records[0].id, now),
+        "all fail equally often"
+    );
 }
 
-/// Sixteen instances, each with a view of its own, have prompts read one after the other.
+/// Sixteen instances, each with its own table, have prompts prefilled one after the other.
 #[test]
 fn instances_that_see_few_readings_do_not_all_go_to_the_same_prefill_engine() {
     const ENGINES: usize = 8;
@@ -239,7 +242,7 @@
     let records = names.map(|name| record(name, "near", UpstreamStage::Prefill));
     let service: ServiceId = "s".into();
     let zone: ZoneId = "near".into();
-    let mut readings = std::collections::BTreeMap::new();
+    let mut prefills = std::collections::BTreeMap::new();
     for instance in 0..INSTANCES {
         let mut table = UpstreamTable::default();
         table.replace(&records, None, now);
@@ -258,13 +261,13 @@
             let choice = table.choose_prefill(&query, 3_000, at).unwrap();
             let id = choice.upstream.id.clone();
             table.note_prefill(&id, choice.queued_tokens, Duration::from_millis(100), at);
-            *readings.entry(id).or_insert(0) += 1;
+            *prefills.entry(id).or_insert(0) += 1;
         }
     }
     let fair = INSTANCES * ROUNDS / ENGINES;
-    let most = *readings.values().max().unwrap();
-    assert!(most <= 2 * fair, "{readings:?}");
-    assert_eq!(readings.len(), ENGINES, "{readings:?}");
+    let most = *prefills.values().max().unwrap();
+    assert!(most <= 2 * fair, "{prefills:?}");
+    assert_eq!(prefills.len(), ENGINES, "{prefills:?}");
 }
 
 #[test]
@@ -300,16 +303,16 @@
     let mut table = UpstreamTable::default();
     let records = ["a", "b"].map(|id| record(id, "near", UpstreamStage::Decode));
     table.replace(&records, None, now);
-    // The other one is nearly full, so the idle one looks better.
+    // The other engine is nearly full, so the idle one costs less.
     for _ in 0..10 {
         table.begin(&"b".into(), 3_000);
     }
-    let asked = |table: &UpstreamTable, now| chosen(table, UpstreamStage::Decode, now);
-    assert_eq!(asked(&table, now).as_deref(), Some("a"));
+    let selected = |table: &UpstreamTable, now| chosen(table, UpstreamStage::Decode, now);
+    assert_eq!(selected(&table, now).as_deref(), Some("a"));
     table.note_refusal(&"a".into(), false, now);
-    assert_eq!(asked(&table, now).as_deref(), Some("b"));
+    assert_eq!(selected(&table, now).as_deref(), Some("b"));
     table.note_run(&"a".into());
-    assert_eq!(asked(&table, now).as_deref(), Some("a"));
+    assert_eq!(selected(&table, now).as_deref(), Some("a"));
 }
 
 #[test]
@@ -318,8 +321,8 @@
     let mut table = UpstreamTable::default();
     table.replace(&[record("a", "near", UpstreamStage::Decode)], None, now);
     table.note_refusal(&"a".into(), false, now);
-    let asked = chosen(&table, UpstreamStage::Decode, now);
-    assert_eq!(asked.as_deref(), Some("a"));
+    let selected = chosen(&table, UpstreamStage::Decode, now);
+    assert_eq!(selected.as_deref(), Some("a"));
 }
 
 #[test]
@@ -401,7 +404,7 @@
     }
 }
 
-/// Ten engines of each of two zones, all idle.
+/// Ten idle engines in each of two zones.
 fn two_zones(stage: UpstreamStage, now: Instant) -> UpstreamTable {
     let mut records = Vec::new();
     for zone in ["a", "b"] {
@@ -414,7 +417,7 @@
     table
 }
 
-/// Where a request of zone `a` goes that was refused by these.
+/// The zone selected for a request in zone `a` after refusals by the given engines.
 fn chosen_after(
     table: &UpstreamTable,
     stage: UpstreamStage,
@@ -443,7 +446,7 @@
     assert_eq!(zone(&[]), "a");
     assert_eq!(zone(&["a-0"]), "a");
     assert_eq!(zone(&["a-0", "a-1", "a-2"]), "b");
-    // Where the other zone is as full, the own one is looked at again.
+    // After as many refusals in the other zone, the own one is tried again.
     assert_eq!(zone(&["a-0", "a-1", "a-2", "b-0", "b-1"]), "a");
 }
 
@@ -480,7 +483,7 @@
     for id in &connected {
         table.begin(id, 3_000);
     }
-    // A call runs at each of them: another engine is as good for it, and idle.
+    // A call runs at each of them, so another, idle engine costs less.
     let id = choose(&table, "r");
     assert!(!connected.contains(&id), "{id}");
 }
--- a/crates/route/src/decode_option.rs
+++ b/crates/route/src/decode_option.rs
@@ -1,24 +1,24 @@
-//! One decode engine that a request may go to.
+//! A candidate decode engine for one request.
 
 use kernel::UpstreamId;
 
-/// What the choice of a decode engine looks at.
+/// The load and speed of one decode engine.
 #[derive(Clone, Copy, Debug)]
 pub struct DecodeOption<'a> {
-    /// How many more streams it takes.
+    /// How many more streams it can accept.
     pub free: u32,
-    /// Streams that run or are on their way.
+    /// Streams running there or already assigned to it.
     pub used: u32,
-    /// Between-token time at one running stream, seconds.
+    /// Time between tokens with a single running stream, seconds.
     pub base_seconds: f64,
-    /// Between-token time added by each further stream, seconds.
+    /// Increase of the time between tokens per additional stream, seconds.
     pub slope_seconds: f64,
-    /// The engine.
+    /// The candidate.
     pub upstream: &'a UpstreamId,
 }
 
 impl DecodeOption<'_> {
-    /// The between-token time in seconds once one more stream runs there.
+    /// The predicted time between tokens with one more stream running there, seconds.
     pub fn step_seconds(&self) -> f64 {
         self.base_seconds + self.slope_seconds * f64::from(self.used)
     }
--- a/crates/route/src/engine_selector.rs
+++ b/crates/route/src/engine_selector.rs
@@ -1,22 +1,22 @@
-//! The choice among engines.
+//! Selects engines by predicted cost.
 
 use crate::{
     decode_option::DecodeOption, pair_sampler::PairSampler, prefill_option::PrefillOption,
 };
 
-/// Options whose cost is within this share of the best one's count as equal.
+/// Options whose cost exceeds the lowest by at most this fraction are tied.
 const TIE_SHARE: f64 = 0.01;
 
-/// Chooses engines by cost; among equal ones the better of two that the seed picks.
+/// Selects the engine with the lowest predicted cost; among ties the less loaded of two sampled at random.
 ///
-/// Prefix affinity needs no rule of its own: an engine that holds the prefix finishes earlier.
+/// Prefix affinity needs no separate rule: an engine that has the prefix cached finishes earlier.
 #[derive(Clone, Debug)]
 pub struct EngineSelector {
-    draws: PairSampler,
+    sampler: PairSampler,
 }
 
 impl EngineSelector {
-    /// The decode engine with the least predicted between-token time among those with a free place.
+    /// The decode engine with the lowest predicted time between tokens among those with a free slot.
     pub fn decode<'a>(&mut self, options: &[DecodeOption<'a>]) -> Option<DecodeOption<'a>> {
         let mut costs = Vec::with_capacity(options.len());
         for option in options {
@@ -25,17 +25,17 @@
             }
             costs.push((option.step_seconds(), *option));
         }
-        self.least(&costs, |option| f64::from(option.used))
+        self.lowest(&costs, |option| f64::from(option.used))
     }
 
-    /// A choice whose ties the seed settles.
+    /// Creates a selector; the seed determines how ties are broken.
     pub fn new(seed: u64) -> Self {
         Self {
-            draws: PairSampler::new(seed),
+            sampler: PairSampler::new(seed),
         }
     }
 
-    /// The prefill engine that would have read the prompt first.
+    /// The prefill engine predicted to finish the prompt first.
     pub fn prefill<'a>(
         &mut self,
         prompt_tokens: f64,
@@ -45,10 +45,10 @@
         for option in options {
             costs.push((option.finish_seconds(prompt_tokens), *option));
         }
-        self.least(&costs, |option| option.queue_seconds)
+        self.lowest(&costs, |option| option.queue_seconds)
     }
 
-    fn least<T: Copy>(&mut self, costs: &[(f64, T)], second: impl Fn(&T) -> f64) -> Option<T> {
+    fn lowest<T: Copy>(&mut self, costs: &[(f64, T)], load: impl Fn(&T) -> f64) -> Option<T> {
         let best = costs.iter().map(|(cost, _)| *cost).reduce(f64::min)?;
         let bound = best + best.abs() * TIE_SHARE;
         let ties = costs.iter().filter(|(cost, _)| *cost <= bound);
@@ -56,9 +56,9 @@
         if ties.is_empty() {
             return None;
         }
-        let (left, right) = self.draws.pair(ties.len());
+        let (left, right) = self.sampler.pair(ties.len());
         let (left, right) = (ties[left], ties[right]);
-        if second(&right) < second(&left) {
+        if load(&right) < load(&left) {
             return Some(right);
         }
         Some(left)
--- a/crates/route/src/lagged_load.rs
+++ b/crates/route/src/lagged_load.rs
@@ -1,19 +1,19 @@
-//! A load that others report late and that this process changes meanwhile.
+//! The load of an engine, estimated from stale reports and from what this process has assigned since.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// How long before a report's time stamp the engine's books and ours may differ.
-const BOOK_SKEW: Duration = Duration::from_millis(100);
-/// How many changes are remembered; older ones are folded into one.
+/// How long before the timestamp of a report the accounts of engine and process may already differ.
+const ACCOUNTING_SKEW: Duration = Duration::from_millis(100);
+/// How many changes of the own load are kept; the oldest are dropped first.
 const HISTORY_LIMIT: usize = 256;
 
-/// What we hold at an engine, and what others hold there by its last report.
+/// The load of this process at an engine, and the load of others by the last report of the engine.
 ///
-/// A report tells the past: it is compared with what we held when it was taken, and only the difference counts
-/// as foreign. What we granted or freed since then is in our own count.
+/// A report describes the past. It is compared with the own load at the time it was taken, and only the difference
+/// counts as foreign load. What was assigned or released since then is part of the own load.
 #[derive(Clone, Debug, Default)]
 pub struct LaggedLoad {
     foreign: u64,
@@ -23,23 +23,23 @@
 }
 
 impl LaggedLoad {
-    /// We hold `amount` more from now on.
+    /// Adds `amount` to the own load.
     pub fn add(&mut self, now: Instant, amount: u64) {
         self.own += amount;
         self.note(now);
     }
 
-    /// What others hold there, by the last report.
+    /// The load of other processes, by the last report.
     pub fn foreign(&self) -> u64 {
         self.foreign
     }
 
-    /// What we hold there.
+    /// The load assigned by this process.
     pub fn own(&self) -> u64 {
         self.own
     }
 
-    /// Takes a report in; one that is older than the last is left out. Whether it was taken in.
+    /// Applies a report; returns `false` and ignores it if it is older than the last one.
     pub fn report(&mut self, taken: Instant, used: u64) -> bool {
         if self.taken.is_some_and(|last| taken < last) {
             return false;
@@ -49,13 +49,13 @@
         true
     }
 
-    /// We hold `amount` less from now on.
+    /// Subtracts `amount` from the own load.
     pub fn sub(&mut self, now: Instant, amount: u64) {
         self.own = self.own.saturating_sub(amount);
         self.note(now);
     }
 
-    /// What is held there now, as well as can be told.
+    /// The estimated current load.
     pub fn used(&self) -> u64 {
         self.own + self.foreign
     }
@@ -67,9 +67,9 @@
         self.history.push_back((now, self.own));
     }
 
-    /// The most that we held shortly before a time.
+    /// The greatest own load shortly before `taken`. The engine may release load later than this process does.
     fn own_around(&mut self, taken: Instant) -> u64 {
-        let from = taken.checked_sub(BOOK_SKEW).unwrap_or(taken);
+        let from = taken.checked_sub(ACCOUNTING_SKEW).unwrap_or(taken);
         while self.history.len() > 1 && self.history[1].0 <= from {
             self.history.pop_front();
         }
--- a/crates/route/src/leaving_bound.rs
+++ b/crates/route/src/leaving_bound.rs
@@ -1,43 +1,43 @@
-//! How long new work may still reach an upstream that leaves.
+//! How long new work may still reach an upstream that is draining or has failed.
 
 use std::time::Duration;
 
-/// The periods from which the worst case follows. Everything is in real time.
+/// The delays that add up to the worst case, in wall-clock time.
 #[derive(Clone, Debug)]
 pub struct LeavingBound {
-    /// How long one call takes to fail.
+    /// How long a call to a dead upstream takes to fail.
     pub call_timeout: Duration,
-    /// How often heartbeats go out.
+    /// The interval between heartbeats.
     pub heartbeat: Duration,
-    /// How many heartbeats a mark needs to reach every instance.
+    /// How many gossip rounds a mark needs to reach every instance.
     pub hops: u32,
-    /// How often the platform's list is polled.
+    /// The polling interval of the platform's list.
     pub list_poll: Duration,
-    /// How far the platform's list lags behind reality.
+    /// The staleness of the platform's list.
     pub list_lag: Duration,
-    /// How often load reports come.
+    /// The interval between load reports.
     pub report: Duration,
 }
 
 impl LeavingBound {
-    /// The worst case for an upstream that says itself that it leaves: a report to one instance, then heartbeats.
+    /// The worst case for an upstream that announces its drain: a load report to one instance, then gossip.
     pub fn announced(&self) -> Duration {
         self.report + self.propagation()
     }
 
-    /// The worst case for an upstream that fails without a word: failed calls or the list, whichever is first.
+    /// The worst case for an upstream that fails unannounced: failed calls or the list, whichever comes first, then gossip.
     pub fn unannounced(&self) -> Duration {
         let listed = self.list_lag + self.list_poll;
         let failed = self.call_timeout;
         failed.min(listed) + self.propagation()
     }
 
-    /// How long a mark needs from one instance to all others that are not cut off.
+    /// How long a mark takes from one instance to all others, network partitions aside.
     pub fn propagation(&self) -> Duration {
         self.heartbeat * self.hops
     }
 
-    /// The worst of all cases.
+    /// The upper bound over all cases.
     pub fn worst(&self) -> Duration {
         self.announced().max(self.unannounced())
     }
--- a/crates/route/src/leaving_mark.rs
+++ b/crates/route/src/leaving_mark.rs
@@ -1,4 +1,4 @@
-//! One word on whether an upstream is leaving.
+//! An observation of whether an upstream takes new work.
 
 use {
     crate::load_report::LeavingCause,
@@ -7,15 +7,15 @@
     std::time::SystemTime,
 };
 
-/// Says that an upstream is leaving, or that it is back, by one cause at one time.
+/// States that an upstream takes no new work, or takes it again, for one cause at one time.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeavingMark {
-    /// When this was seen, by the clock of the instance that saw it.
+    /// When it was observed, by the clock of the observing instance.
     pub at: SystemTime,
-    /// How it was seen.
+    /// How it was observed.
     pub cause: LeavingCause,
-    /// Whether the upstream is leaving; `false` takes an earlier mark of the cause back.
+    /// Whether the upstream takes no new work; `false` revokes an earlier mark of the same cause.
     pub leaving: bool,
-    /// The upstream.
+    /// The upstream that the mark is about.
     pub upstream: UpstreamId,
 }
--- a/crates/route/src/leaving_table.rs
+++ b/crates/route/src/leaving_table.rs
@@ -1,4 +1,4 @@
-//! Which upstreams take no new work, and why.
+//! The upstreams that take no new work, and why.
 
 use {
     crate::{leaving_mark::LeavingMark, load_report::LeavingCause},
@@ -9,11 +9,12 @@
     },
 };
 
-/// Marks by upstream and cause; instances merge them with every heartbeat.
+/// The latest mark per upstream and cause; instances merge them with every heartbeat.
 ///
-/// The later mark of a cause wins, at one time `leaving` wins, so that merging is commutative, associative and
-/// idempotent: marks may come twice and in any order. A mark by failed calls ends by itself, for calls may fail for
-/// reasons of the caller; the others stand until their cause takes them back or they are `forgotten_after` old.
+/// The later mark of a cause wins, and of two marks with the same time the one that is `leaving`. Merging is therefore
+/// commutative, associative and idempotent: marks may arrive repeatedly and in any order. A mark by failed calls expires
+/// after `failed_for`, since calls may also fail because of the caller. The others hold until they are revoked or
+/// `forgotten_after` old.
 #[derive(Clone, Debug)]
 pub struct LeavingTable {
     failed_for: Duration,
@@ -22,7 +23,7 @@
 }
 
 impl LeavingTable {
-    /// Drops marks that no longer count. Returns how many went.
+    /// Removes marks older than `forgotten_after`, and returns how many.
     pub fn expire(&mut self, now: SystemTime) -> usize {
         let before = self.marks.len();
         let forgotten_after = self.forgotten_after;
@@ -31,7 +32,7 @@
         before - self.marks.len()
     }
 
-    /// Why an upstream takes no new work; none when it takes work.
+    /// Why an upstream takes no new work; `None` when it does.
     pub fn leaving_cause(&self, now: SystemTime, upstream: &UpstreamId) -> Option<LeavingCause> {
         let causes = [
             LeavingCause::Failed,
@@ -49,12 +50,12 @@
         None
     }
 
-    /// All marks, for a heartbeat or a dump, by upstream and cause.
+    /// All marks, sorted by upstream and cause.
     pub fn marks(&self) -> impl Iterator<Item = &LeavingMark> {
         self.marks.values()
     }
 
-    /// Takes a mark in. Whether it changed anything, and so has to be passed on.
+    /// Merges a mark; returns whether it changed the table and has to be forwarded.
     pub fn merge(&mut self, mark: LeavingMark) -> bool {
         let key = (mark.upstream.clone(), mark.cause);
         let known = self.marks.get(&key);
@@ -65,7 +66,7 @@
         true
     }
 
-    /// A table in which marks by failed calls end after `failed_for`, and all marks after `forgotten_after`.
+    /// Creates a table whose marks by failed calls expire after `failed_for`, and all others after `forgotten_after`.
     pub fn new(failed_for: Duration, forgotten_after: Duration) -> Self {
         Self {
             failed_for,
@@ -83,7 +84,7 @@
     }
 }
 
-/// How old a mark is; zero when its clock is ahead of ours.
+/// The age of a mark; zero when the clock of its origin is ahead.
 fn age(now: SystemTime, at: SystemTime) -> Duration {
     now.duration_since(at).unwrap_or_default()
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which replica: by prefix cache, by load reports that lag, by link, and never one that is leaving. No I/O, no clock.
+//! Selects upstreams by cached prefixes, stale load reports and failures, and never one that takes no new work. Free of
+//! I/O; times are passed in.
 //!
-//! [`EngineSelector`] ranks engines, [`ReplicaSelector`] picks a replica of a plain service, and [`LaggedLoad`] corrects a
-//! report by what was sent since.
+//! [`EngineSelector`] selects an engine, [`ReplicaSelector`] a replica of a plain service, and [`LaggedLoad`] corrects a
+//! load report by the work sent since it was taken.
 
 pub mod decode_option;
 pub mod engine_selector;
--- a/crates/route/src/load_report.rs
+++ b/crates/route/src/load_report.rs
@@ -1,4 +1,4 @@
-//! What an engine says of its load.
+//! The load of an engine, as reported by the engine.
 
 use {
     kernel::UpstreamId,
@@ -6,18 +6,18 @@
     std::time::Instant,
 };
 
-/// One load report, as it arrived. It tells the past: what was sent since `taken` is not in it.
+/// One load report. It describes the past: work sent since `taken` is not included.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Decode places in use.
+    /// Decode slots in use.
     pub decode_used: u32,
-    /// Whether the engine says that it is leaving.
+    /// Whether the engine reports that it is draining.
     pub leaving: bool,
-    /// Prompt tokens that wait to be read or are being read.
+    /// Prompt tokens queued for prefill or being prefilled.
     pub prefill_tokens: u64,
-    /// When the engine took the report, by this process's clock.
+    /// When the engine created the report, converted to the clock of this process.
     pub taken: Instant,
-    /// The engine.
+    /// The reporting engine.
     pub upstream: UpstreamId,
 }
 
@@ -26,8 +26,8 @@
 pub enum LeavingCause {
     /// Calls to it failed.
     Failed,
-    /// The platform's list says so.
+    /// The platform's list has it as draining.
     Listed,
-    /// The upstream said so itself.
+    /// The upstream announced it.
     Said,
 }
--- a/crates/route/src/pair_sampler.rs
+++ b/crates/route/src/pair_sampler.rs
@@ -1,8 +1,8 @@
-//! Seeded draws of two positions.
+//! Seeded samples of two indices, for power-of-two-choices selection.
 
 use kernel::seeded_rng;
 
-/// A sequence of draws that a seed fixes.
+/// A pseudo-random sequence determined by its seed.
 #[derive(Clone, Debug)]
 pub(crate) struct PairSampler {
     count: u64,
@@ -14,7 +14,7 @@
         Self { count: 0, seed }
     }
 
-    /// Two positions below `length`, different ones when there are two.
+    /// Two indices below `length`, distinct when `length` is at least two; both zero otherwise.
     pub(crate) fn pair(&mut self, length: usize) -> (usize, usize) {
         if length < 2 {
             return (0, 0);
--- a/crates/route/src/prefix_table.rs
+++ b/crates/route/src/prefix_table.rs
@@ -1,21 +1,21 @@
-//! Which engine holds which prompt prefix, as far as known.
+//! An approximate index of the prompt prefixes cached by engines.
 
 use {
     kernel::{BlockHash, UpstreamId},
     std::collections::{BTreeMap, HashMap},
 };
 
-/// Up to this block of a prompt every block is looked at.
+/// Every block of a prompt before this one is indexed.
 const DENSE_BLOCKS: usize = 16;
-/// Beyond it, this many blocks for each doubling.
+/// Beyond it, this many blocks are indexed per doubling of the position.
 const OCTAVE_BLOCKS: usize = 8;
 
 /// An approximate index of the prefix caches of engines, in bounded memory.
 ///
-/// It is fed by what was sent to an engine and by the engine's cache events. Both may be wrong: events come late and
-/// with gaps. A wrong entry costs a longer reading than predicted, nothing else. The least recently used blocks of an
-/// engine go first. Long prompts are looked at in steps that grow with the position (an eighth of it), so that a
-/// lookup costs the logarithm of the prompt's length.
+/// It is updated from the prompts sent to an engine and from its cache events. Both may be wrong, since events arrive
+/// late and with gaps. A wrong entry only makes a prefill take longer than predicted. The least recently used blocks of
+/// an engine are evicted first. Long prompts are sampled in steps that grow with the position (an eighth of it), so that
+/// the cost of a lookup is logarithmic in the length of the prompt.
 #[derive(Clone, Debug)]
 pub struct PrefixTable {
     block_limit: usize,
@@ -54,14 +54,14 @@
 }
 
 impl PrefixTable {
-    /// How many blocks are known of an engine.
+    /// The number of blocks indexed for an engine.
     pub fn blocks(&self, upstream: &UpstreamId) -> usize {
         self.caches
             .get(upstream)
             .map_or(0, |cache| cache.by_hash.len())
     }
 
-    /// The engine says that it dropped these blocks.
+    /// Records that the engine reported these blocks as evicted.
     pub fn evicted(&mut self, upstream: &UpstreamId, blocks: &[BlockHash]) {
         let Some(cache) = self.caches.get_mut(upstream) else {
             return;
@@ -71,14 +71,15 @@
         }
     }
 
-    /// Forgets an engine, for one that is gone or restarted.
+    /// Removes an engine that is gone or has restarted.
     pub fn forget(&mut self, upstream: &UpstreamId) {
         self.caches.remove(upstream);
     }
 
-    /// How many leading blocks of a prompt the engine is thought to hold.
+    /// How many leading blocks of a prompt the engine has cached, as far as known.
     ///
-    /// The hashes are chained, so a block that is held tells that those before it were: the end is searched by halves.
+    /// The hashes are chained, so a cached block implies that all blocks before it were cached. This allows a binary
+    /// search for the last one.
     pub fn matched(&self, upstream: &UpstreamId, prefix: &[BlockHash]) -> usize {
         let Some(cache) = self.caches.get(upstream) else {
             return 0;
@@ -90,11 +91,11 @@
             return 0;
         }
         let positions: Vec<usize> = sampled_positions(prefix.len()).collect();
-        let held = positions.partition_point(|index| cache.by_hash.contains_key(&prefix[*index]));
-        held.checked_sub(1).map_or(0, |last| positions[last] + 1)
+        let cached = positions.partition_point(|index| cache.by_hash.contains_key(&prefix[*index]));
+        cached.checked_sub(1).map_or(0, |last| positions[last] + 1)
     }
 
-    /// A table that keeps at most `block_limit` blocks an engine.
+    /// Creates a table of at most `block_limit` blocks per engine.
     pub fn new(block_limit: usize) -> Self {
         Self {
             block_limit,
@@ -103,18 +104,18 @@
         }
     }
 
-    /// A prompt was sent there: the engine will hold its blocks.
+    /// Records that a prompt was sent to the engine, which will cache its blocks.
     pub fn sent(&mut self, upstream: &UpstreamId, prefix: &[BlockHash]) {
         let mut blocks: Vec<BlockHash> = Vec::new();
         for index in sampled_positions(prefix.len()) {
             blocks.push(prefix[index]);
         }
-        // The first blocks are shared most: they are the youngest, so that a prompt loses its tail first.
+        // The first blocks are shared most. They are marked as the most recent, so that a prompt loses its tail first.
         blocks.reverse();
         self.touch(upstream, &blocks);
     }
 
-    /// The engine says that it keeps these blocks. Those that are known already get no younger: the event is late.
+    /// Records that the engine reported these blocks as cached. Blocks already known keep their age, since the event is late.
     pub fn stored(&mut self, upstream: &UpstreamId, blocks: &[BlockHash]) {
         let mut fresh = blocks.to_vec();
         if let Some(cache) = self.caches.get(upstream) {
@@ -138,7 +139,7 @@
     }
 }
 
-/// The positions of a prompt's blocks that are looked at, ascending; the last block is always among them.
+/// The positions of the indexed blocks of a prompt, ascending; the last block is always included.
 fn sampled_positions(length: usize) -> impl Iterator<Item = usize> {
     let mut next = 0;
     std::iter::from_fn(move || {
--- a/crates/route/src/replica_selector.rs
+++ b/crates/route/src/replica_selector.rs
@@ -1,4 +1,4 @@
-//! The choice among replicas of one plain service.
+//! Selects a replica of one plain service.
 
 use {
     crate::{pair_sampler::PairSampler, replica_state::ReplicaState},
@@ -10,36 +10,37 @@
     },
 };
 
-/// Takes the less loaded of two replicas that the seed picks; leaving ones and outliers are left out.
+/// Selects the less loaded of two replicas sampled at random, leaving out draining replicas and outliers.
 ///
-/// A replica whose calls fail in a row backs off, longer each time. When every replica backs off, the one whose
-/// back-off ends first is tried, since an answer late is better than none; leaving ones get nothing ever.
+/// A replica with several consecutive failures is in backoff, which doubles each time. When every replica is in backoff,
+/// the one whose backoff ends first is tried, since a late answer is better than none. A draining replica is never
+/// selected.
 #[derive(Clone, Debug)]
 pub struct ReplicaSelector {
     back_off: Duration,
-    draws: PairSampler,
+    sampler: PairSampler,
     failure_limit: u32,
     replicas: BTreeMap<UpstreamId, ReplicaState>,
 }
 
 #[bon]
 impl ReplicaSelector {
-    /// A choice that knows no replica yet.
+    /// Creates a selector without replicas.
     #[builder]
     pub fn new(
-        /// How long the first back-off of an outlier is.
+        /// The duration of the first backoff of an outlier.
         #[builder(default = Duration::from_secs(1))]
         back_off: Duration,
-        /// How many failures in a row make an outlier; at least one.
+        /// The number of consecutive failures that make an outlier; at least one.
         #[builder(default = 3)]
         failure_limit: u32,
-        /// Settles the draws.
+        /// The seed of the sampling.
         #[builder(default)]
         seed: u64,
     ) -> Self {
         Self {
             back_off,
-            draws: PairSampler::new(seed),
+            sampler: PairSampler::new(seed),
             failure_limit: failure_limit.max(1),
             replicas: BTreeMap::new(),
         }
@@ -47,7 +48,7 @@
 }
 
 impl ReplicaSelector {
-    /// A call was answered by the replica.
+    /// Records that the replica answered a call.
     pub fn answered(&mut self, upstream: &UpstreamId) {
         let Some(state) = self.replicas.get_mut(upstream) else {
             return;
@@ -56,7 +57,7 @@
         state.answered();
     }
 
-    /// A call ended without a word on the replica: its caller left, or it was never sent.
+    /// Records a call that says nothing about the replica: its caller disconnected, or it was never sent.
     pub fn cancelled(&mut self, upstream: &UpstreamId) {
         let Some(state) = self.replicas.get_mut(upstream) else {
             return;
@@ -64,7 +65,7 @@
         state.outstanding = state.outstanding.saturating_sub(1);
     }
 
-    /// A call failed at the replica.
+    /// Records that a call to the replica failed.
     pub fn failed(&mut self, now: Instant, upstream: &UpstreamId) {
         let Some(state) = self.replicas.get_mut(upstream) else {
             return;
@@ -73,57 +74,57 @@
         state.failed(now, self.failure_limit, self.back_off);
     }
 
-    /// A replica is gone.
+    /// Removes a replica.
     pub fn remove(&mut self, upstream: &UpstreamId) {
         self.replicas.remove(upstream);
     }
 
-    /// A replica takes no new work.
+    /// Marks a replica as draining: it gets no new calls until it is added again.
     pub fn mark_leaving(&mut self, upstream: &UpstreamId) {
         if let Some(state) = self.replicas.get_mut(upstream) {
             state.leaving = true;
         }
     }
 
-    /// Calls under way at a replica.
+    /// The number of in-flight calls to a replica.
     pub fn outstanding(&self, upstream: &UpstreamId) -> u32 {
         self.replicas
             .get(upstream)
             .map_or(0, |state| state.outstanding)
     }
 
-    /// Takes a replica for one call; none when no replica takes work. The call has to be ended by [`Self::answered`],
-    /// [`Self::failed`] or [`Self::cancelled`].
+    /// Selects a replica for one call; `None` when there is none or all are draining. The call has to be ended with
+    /// [`Self::answered`], [`Self::failed`] or [`Self::cancelled`].
     pub fn pick(&mut self, now: Instant) -> Option<UpstreamId> {
         self.pick_except(now, &[])
     }
 
-    /// As [`Self::pick`], leaving out replicas that an earlier try used, unless there is no other.
+    /// Like [`Self::pick`], but avoids replicas of earlier attempts unless there is no other.
     pub fn pick_except(&mut self, now: Instant, tried: &[UpstreamId]) -> Option<UpstreamId> {
-        let fresh = self.open(now, tried);
-        let open = if fresh.is_empty() {
-            self.open(now, &[])
+        let untried = self.eligible(now, tried);
+        let candidates = if untried.is_empty() {
+            self.eligible(now, &[])
         } else {
-            fresh
+            untried
         };
-        let upstream = match open.len() {
-            0 => self.first_back()?,
+        let upstream = match candidates.len() {
+            0 => self.first_recovering()?,
             length => {
-                let (first, second) = self.draws.pair(length);
-                self.less_loaded(&open[first], &open[second])
+                let (first, second) = self.sampler.pair(length);
+                self.less_loaded(&candidates[first], &candidates[second])
             }
         };
         self.replicas.get_mut(&upstream)?.outstanding += 1;
         Some(upstream)
     }
 
-    /// A replica is there, or is back.
+    /// Adds a replica, or marks a known one as accepting calls again.
     pub fn add(&mut self, upstream: UpstreamId) {
         self.replicas.entry(upstream).or_default().leaving = false;
     }
 
-    /// The replica whose back-off ends first.
-    fn first_back(&self) -> Option<UpstreamId> {
+    /// The replica whose backoff ends first.
+    fn first_recovering(&self) -> Option<UpstreamId> {
         let staying = self.replicas.iter().filter(|(_, state)| !state.leaving);
         let first = staying.min_by_key(|(_, state)| state.back_off_until());
         first.map(|(upstream, _)| upstream.clone())
@@ -136,14 +137,14 @@
         first.clone()
     }
 
-    fn open(&self, now: Instant, tried: &[UpstreamId]) -> Vec<UpstreamId> {
-        let mut open = Vec::new();
+    fn eligible(&self, now: Instant, tried: &[UpstreamId]) -> Vec<UpstreamId> {
+        let mut eligible = Vec::new();
         for (upstream, state) in &self.replicas {
             if state.leaving || state.is_backing_off(now) || tried.contains(upstream) {
                 continue;
             }
-            open.push(upstream.clone());
+            eligible.push(upstream.clone());
         }
-        open
+        eligible
     }
 }
--- a/crates/route/src/retry_budget.rs
+++ b/crates/route/src/retry_budget.rs
@@ -1,37 +1,37 @@
-//! How many retries the successes pay for.
+//! A retry budget funded by successful requests.
 
-/// Retries as a share of successes, so that retries cannot multiply an overload.
+/// Limits retries to a fraction of successes, so that retries cannot amplify an overload.
 ///
-/// Each success adds `ratio` of a retry, each retry takes a whole one. The budget holds at most `most` retries and
+/// Each success adds `ratio` of a retry, each retry takes a whole one. The budget holds at most `capacity` retries and
 /// starts full, so that a few early failures are retried.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     balance: f64,
-    most: f64,
+    capacity: f64,
     ratio: f64,
 }
 
 impl RetryBudget {
-    /// How many retries are left now.
+    /// The number of retries available now.
     pub fn left(&self) -> u32 {
         self.balance as u32
     }
 
-    /// A budget of `ratio` retries a success, and at most `most` saved up.
-    pub fn new(ratio: f64, most: u32) -> Self {
+    /// Creates a full budget of `ratio` retries per success and at most `capacity` accumulated retries.
+    pub fn new(ratio: f64, capacity: u32) -> Self {
         Self {
-            balance: f64::from(most),
-            most: f64::from(most),
+            balance: f64::from(capacity),
+            capacity: f64::from(capacity),
             ratio: ratio.max(0.0),
         }
     }
 
-    /// A request was answered.
+    /// Records a successful request.
     pub fn succeeded(&mut self) {
-        self.balance = (self.balance + self.ratio).min(self.most);
+        self.balance = (self.balance + self.ratio).min(self.capacity);
     }
 
-    /// Takes one retry out; `false` when the budget is spent.
+    /// Takes one retry out of the budget; `false` when it is spent.
     #[must_use]
     pub fn take(&mut self) -> bool {
         if self.balance < 1.0 {
--- a/crates/route/src/upstream_info.rs
+++ b/crates/route/src/upstream_info.rs
@@ -1,41 +1,41 @@
-//! What is known of an upstream before any load.
+//! The static properties of an upstream.
 
 use {
     kernel::{ModelId, ServiceId, UpstreamId, ZoneId},
     serde::{Deserialize, Serialize},
 };
 
-/// What an upstream does.
+/// The role of an upstream.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamRole {
     /// Generates tokens from an imported KV cache.
     Decode,
-    /// A plain service.
+    /// Serves a plain service.
     Plain,
-    /// Reads prompts and exports the KV cache.
+    /// Prefills prompts and exports the KV cache.
     Prefill,
 }
 
-/// One upstream.
+/// The properties of one upstream; those of another role than its own are unused.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UpstreamInfo {
-    /// Between-token time at one running stream, seconds. Decode engines.
+    /// Time between tokens with a single running stream, seconds. Decode engines only.
     pub decode_base_seconds: f64,
-    /// Between-token time added by each further running stream, seconds. Decode engines.
+    /// Increase of the time between tokens per additional running stream, seconds. Decode engines only.
     pub decode_slope_seconds: f64,
-    /// How many streams the engine's memory holds. Decode engines.
+    /// How many streams fit into the memory of the engine. Decode engines only.
     pub decode_places: u32,
-    /// The model; none for plain services.
+    /// The model it serves; `None` for plain services.
     pub model: Option<ModelId>,
-    /// Prompt tokens read a second. Prefill engines.
+    /// Prompt tokens prefilled per second. Prefill engines only.
     pub prefill_rate: f64,
-    /// What it does.
+    /// Its role.
     pub role: UpstreamRole,
-    /// The service that it belongs to.
+    /// The service it belongs to.
     pub service: ServiceId,
-    /// Its name.
+    /// Its id.
     pub upstream: UpstreamId,
-    /// Where it runs.
+    /// Its availability zone.
     pub zone: ZoneId,
 }
--- a/crates/route/tests/leaving_table.rs
+++ b/crates/route/tests/leaving_table.rs
@@ -1,4 +1,4 @@
-//! Marks of leaving upstreams and how they merge.
+//! Merging and expiry of the marks of upstreams that take no new work.
 
 use {
     proptest::prelude::*,
@@ -72,7 +72,7 @@
     assert_eq!(table.leaving_cause(at(104), &"a".into()), None);
     assert!(
         !table.merge(mark(100, LeavingCause::Said, true, "a")),
-        "a late mark is old"
+        "a mark that arrives late is outdated"
     );
 }
 
--- a/crates/route/tests/replica_choice.rs
+++ b/crates/route/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which engine is taken, the prefix index, the load with lag and the retry budget.
+//! Engine selection, the prefix index, load estimates from stale reports, and the retry budget.
 
 use {
     kernel::UpstreamId,
@@ -7,7 +7,7 @@
     std::time::{Duration, Instant},
 };
 
-fn reading<'a>(upstream: &'a UpstreamId, cached: f64, queue: f64) -> PrefillOption<'a> {
+fn prefill_option<'a>(upstream: &'a UpstreamId, cached: f64, queue: f64) -> PrefillOption<'a> {
     PrefillOption {
         cached_tokens: cached,
         queue_seconds: queue,
@@ -16,7 +16,7 @@
     }
 }
 
-fn decoding<'a>(upstream: &'a UpstreamId, used: u32, free: u32) -> DecodeOption<'a> {
+fn decode_option<'a>(upstream: &'a UpstreamId, used: u32, free: u32) -> DecodeOption<'a> {
     DecodeOption {
         base_seconds: 0.01,
         free,
@@ -29,10 +29,17 @@
 #[test]
 fn a_cached_prefix_beats_an_idle_engine_until_its_queue_is_longer() {
     let (idle, warm): (UpstreamId, UpstreamId) = ("a".into(), "b".into());
-    let mut choice = EngineSelector::new(7);
+    let mut selector = EngineSelector::new(7);
     let mut pick = |queue| {
-        let options = [reading(&idle, 0.0, 0.0), reading(&warm, 8_000.0, queue)];
-        choice.prefill(10_000.0, &options).unwrap().upstream.clone()
+        let options = [
+            prefill_option(&idle, 0.0, 0.0),
+            prefill_option(&warm, 8_000.0, queue),
+        ];
+        selector
+            .prefill(10_000.0, &options)
+            .unwrap()
+            .upstream
+            .clone()
     };
     assert_eq!(pick(0.5), warm);
     assert_eq!(pick(0.9), idle);
@@ -42,14 +49,14 @@
 fn a_decode_engine_is_taken_by_its_step_and_never_when_full() {
     let (full, near, far): (UpstreamId, UpstreamId, UpstreamId) =
         ("a".into(), "b".into(), "c".into());
-    let mut choice = EngineSelector::new(7);
+    let mut selector = EngineSelector::new(7);
     let options = [
-        decoding(&full, 0, 0),
-        decoding(&near, 5, 9),
-        decoding(&far, 9, 9),
+        decode_option(&full, 0, 0),
+        decode_option(&near, 5, 9),
+        decode_option(&far, 9, 9),
     ];
-    assert_eq!(choice.decode(&options).unwrap().upstream, &near);
-    assert!(choice.decode(&options[..1]).is_none());
+    assert_eq!(selector.decode(&options).unwrap().upstream, &near);
+    assert!(selector.decode(&options[..1]).is_none());
 }
 
 #[test]
@@ -61,12 +68,12 @@
     load.add(after(500), 3);
     assert!(load.report(after(400), 6));
     assert_eq!((load.foreign(), load.used()), (2, 9));
-    assert!(!load.report(after(300), 20), "an older report is left out");
+    assert!(!load.report(after(300), 20), "an older report is ignored");
     load.sub(after(600), 7);
     assert_eq!(load.used(), 2);
     assert!(
         load.report(after(650), 7),
-        "the engine may free later than we do"
+        "the engine may release load later than this process"
     );
     assert_eq!(load.foreign(), 0);
 }
