--- a/crates/kernel/src/seeded_rng.rs
+++ b/crates/kernel/src/seeded_rng.rs
@@ -5,7 +5,8 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(value, seed)
 }
 
-/// Picks the candidate for `key` by rendezvous hashing: the greatest score, ties broken by name; `None` without candidates.
+/// Picks the candidate for `key` by rendezvous hashing: the greatest score, ties broken by name; `None` without
+/// candidates.
 pub fn rendezvous<'a, T: AsRef<str>>(
     key: &str,
     candidates: impl IntoIterator<Item = &'a T>,
--- a/crates/kernel/src/shutdown_signal.rs
+++ b/crates/kernel/src/shutdown_signal.rs
@@ -14,7 +14,7 @@
         self.token.is_cancelled()
     }
 
-    /// A signal that is not raised.
+    /// Creates a signal that is not raised.
     pub fn new() -> Self {
         Self::default()
     }
--- a/crates/kernel/src/steady_clock.rs
+++ b/crates/kernel/src/steady_clock.rs
@@ -1,8 +1,8 @@
 //! A monotonic clock that also advances while the host is suspended.
 //!
-//! `CLOCK_MONOTONIC`, which [`Instant`] uses, stops during a suspension. Measured by it, an expired lease would still be
-//! valid after the host resumes, an old list would count as fresh, and the time that a caller spent waiting would not
-//! count against its deadline.
+//! `CLOCK_MONOTONIC`, which [`Instant`] uses, stops during a suspension. Measured by it, an expired lease would still
+//! be valid after the host resumes, an old list would count as fresh, and the time that a caller spent waiting would
+//! not count against its deadline.
 
 use {
     rustix::time::{ClockId, Timespec, clock_gettime},
@@ -22,8 +22,8 @@
 pub struct SuspendCount {
     /// The difference of the two clocks at the first reading, nanoseconds.
     before: OnceLock<u64>,
-    /// The greatest difference seen since then, nanoseconds. The two clocks can't be read at the same instant, and a delay
-    /// between the readings makes the difference smaller, so the greatest value is the most accurate.
+    /// The greatest difference seen since then, nanoseconds. The two clocks can't be read at the same instant, and a
+    /// delay between the readings makes the difference smaller, so the greatest value is the most accurate.
     longest: AtomicU64,
 }
 
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Returns the total suspended time since the first call; never decreases. `counting` is read from a clock that includes
-    /// suspensions, `steady` from one that does not.
+    /// Returns the total suspended time since the first call; never decreases. `counting` is read from a clock that
+    /// includes suspensions, `steady` from one that does not.
     pub fn note(&self, counting: Duration, steady: Duration) -> Duration {
         let all = counting.saturating_sub(steady).as_nanos();
         let all = u64::try_from(all).unwrap_or(u64::MAX);
--- a/crates/kernel/tests/steady_clock.rs
+++ b/crates/kernel/tests/steady_clock.rs
@@ -56,10 +56,10 @@
                     // Timers of the runtime only bound waits.
                     let is_timer = line.contains("time::Instant::now()");
                     let reads = line.contains("Instant::now()") || line.contains(".elapsed()");
-                    let place = format!("{}:{}", path.display(), number + 1);
+                    let location = format!("{}:{}", path.display(), number + 1);
                     assert!(
                         !reads || is_timer || path.ends_with("start_gate.rs"),
-                        "{place}"
+                        "{location}"
                     );
                 }
             }
--- a/crates/policy/src/cache_index.rs
+++ b/crates/policy/src/cache_index.rs
@@ -1,9 +1,9 @@
 //! An index of the engines that hold the KV cache of a prompt, from the lists they return.
 //!
-//! When an instance crashes, its streams break and their callers reconnect to other instances, or to the same one after its
-//! restart. The engines keep running, and keep the KV cache for some seconds, until the memory is needed. A prompt that is
-//! still cached needs no second prefill. 3.6 s after all instances had lost power, two thirds of some 35 callers that
-//! reconnected found their prompts listed.
+//! When an instance crashes, its streams break and their callers reconnect to other instances, or to the same one after
+//! its restart. The engines keep running, and keep the KV cache for some seconds, until the memory is needed. A prompt
+//! that is still cached needs no second prefill. 3.6 s after all instances had lost power, two thirds of some 35
+//! callers that reconnected found their prompts listed.
 
 use {
     kernel::UpstreamId,
@@ -14,11 +14,11 @@
     },
 };
 
-/// How long a list is used. Callers of a crashed instance reconnect within a second of each other, and an engine prefills
-/// about three prompts in that time.
+/// How long a list is used. Callers of a crashed instance reconnect within a second of each other, and an engine
+/// prefills about three prompts in that time.
 const LIST_TTL: Duration = Duration::from_secs(1);
 
-/// The latest list of each engine; an entry names the prompt of a cached KV.
+/// The latest list of each engine; an entry names the prompt of a KV cache.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
     lists: BTreeMap<UpstreamId, CacheList>,
--- a/crates/policy/src/crash_report.rs
+++ b/crates/policy/src/crash_report.rs
@@ -7,7 +7,8 @@
     std::time::Duration,
 };
 
-/// How strongly a crash suggests that a request caused it. Of two marks for the same request and upstream the greater wins.
+/// How strongly a crash suggests that a request caused it. Of two marks for the same request and upstream the greater
+/// wins.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrashMark {
--- a/crates/policy/src/crash_table.rs
+++ b/crates/policy/src/crash_table.rs
@@ -1,10 +1,10 @@
 //! Quarantine of requests that crash upstreams. Free of I/O; times are passed in.
 //!
-//! A request that crashes its upstream is retried, possibly at another instance. Each crash breaks all other requests running
-//! there, so after a few crashes the request is no longer forwarded. The others that ran there are suspects as well, so a
-//! single crash proves little: a request is quarantined after three crashes soon after it started, or five later ones, and a
-//! request that is answered in full is cleared. Reports form a grow-only set: merging is commutative, associative and
-//! idempotent.
+//! A request that crashes its upstream is retried, possibly at another instance. Each crash breaks all other requests
+//! running there, so after a few crashes the request is no longer forwarded. The others that ran there are suspects as
+//! well, so a single crash proves little: a request is quarantined after three crashes soon after it started, or five
+//! later ones, and a request that is answered in full is cleared. Reports form a grow-only set: merging is commutative,
+//! associative and idempotent.
 
 use {
     crate::{CrashMark, CrashReport, RequestFingerprint},
@@ -18,15 +18,15 @@
 /// The score of a crash soon after the request started.
 const EARLY_POINTS: u32 = 3;
 /// The score of a later crash: a stream that has run for seconds is more likely a bystander than the cause. Over 1,000
-/// simulated days for each kind of cause, with 1.6 million bystander requests, a request that crashes engines at once crashed
-/// three, and one that does so after seconds five; none and one of the bystanders were refused. With equal scores for all
-/// crashes 371 and 37 would have been.
+/// simulated days for each kind of cause, with 1.6 million bystander requests, a request that crashes engines at once
+/// crashed three, and one that does so after seconds five; none and one of the bystanders were refused. With equal
+/// scores for all crashes 371 and 37 would have been.
 const LATE_POINTS: u32 = 2;
-/// The score at which a request is quarantined: three early crashes, or five late ones. A caller that retries once causes two
-/// at most.
+/// The score at which a request is quarantined: three early crashes, or five late ones. A caller that retries once
+/// causes two at most.
 const QUARANTINE_POINTS: u32 = 9;
-/// The maximum number of requests kept: all that run at a few dozen full engines. Those reported longest ago are evicted
-/// first.
+/// The maximum number of requests kept: all that run at a few dozen full engines. Those reported longest ago are
+/// evicted first.
 const MAX_REQUESTS: usize = 4_096;
 
 /// The suspected requests, by fingerprint.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of an instance about its requests: which upstream to use, where to prefill, quotas, retries and quarantine,
-//! and which engines change their stage.
+//! The decisions of an instance about its requests: which upstream to use, where to prefill, quotas, retries and
+//! quarantine, and which engines change their stage.
 //!
-//! Free of I/O, clocks and tasks: times are passed in, and the same inputs give the same decision. The `relay` crate moves
-//! the bytes and calls this one.
+//! Free of I/O, clocks and tasks: times are passed in, and the same inputs give the same decision. The `relay` crate
+//! moves the bytes and calls this one.
 
 pub mod cache_index;
 pub mod caller_key;
--- a/crates/policy/src/loss_table.rs
+++ b/crates/policy/src/loss_table.rs
@@ -1,7 +1,9 @@
-//! Runs lost with their connections, until it is known whether their upstreams crashed. Free of I/O; times are passed in.
+//! Runs lost with their connections, until it is known whether their upstreams crashed. Free of I/O; times are passed
+//! in.
 //!
-//! A connection may be reset or an answer break off while the upstream is healthy, which says nothing about the request. The
-//! upstream is therefore probed first: if it refuses connections it has crashed, and each run lost there is reported.
+//! A connection may be reset or an answer break off while the upstream is healthy, which says nothing about the
+//! request. The upstream is therefore probed first: if it refuses connections it has crashed, and each run lost there
+//! is reported.
 
 use {
     crate::{CrashMark, CrashReport, RequestFingerprint},
@@ -12,8 +14,9 @@
     },
 };
 
-/// A crash within this time after the start of a run is early. A request that crashes its upstream does so within the time
-/// to the first token, or the duration of a plain call. Most bystanders have started earlier, since streams last for seconds.
+/// A crash within this time after the start of a run is early. A request that crashes its upstream does so within the
+/// time to the first token, or the duration of a plain call. Most bystanders have started earlier, since streams last
+/// for seconds.
 const EARLY_CRASH: Duration = Duration::from_secs(1);
 /// How long losses at one upstream are kept: when it crashes, all its connections break within a short time.
 const LOSS_TTL: Duration = Duration::from_secs(10);
--- a/crates/policy/src/prefill_estimate.rs
+++ b/crates/policy/src/prefill_estimate.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant};
 
-/// The initial time per token: about that of a current engine for an ordinary prompt, first step included. Corrected by the
-/// first prefill.
+/// The initial time per token: about that of a current engine for an ordinary prompt, first step included. Corrected by
+/// the first prefill.
 const INITIAL_TOKEN_TIME: Duration = Duration::from_micros(50);
-/// The maximum increase of the time per token by one prefill. A slow prefill mostly indicates a queue; a part of the delay is
-/// attributed to the engine, so that an engine that has become slow is noticed.
+/// The maximum increase of the time per token by one prefill. A slow prefill mostly indicates a queue; a part of the
+/// delay is attributed to the engine, so that an engine that has become slow is noticed.
 const MAX_SLOWDOWN: f64 = 1.03;
 /// The half-life of the observed queueing time. The queue of an engine changes within a few prefills.
 const WAIT_HALF_LIFE: Duration = Duration::from_millis(300);
@@ -27,7 +27,8 @@
         Duration::from_secs_f64(self.token_time * tokens as f64)
     }
 
-    /// How long a prefill is expected to take; `tokens` are all of this instance to be prefilled there, its own included.
+    /// How long a prefill is expected to take; `tokens` is the total of this instance to be prefilled
+    /// there, the prompt included.
     pub fn expected(&self, tokens: u64, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.observed_at);
         let left = 0.5_f64.powf(age.as_secs_f64() / WAIT_HALF_LIFE.as_secs_f64());
--- a/crates/policy/src/quota_bucket.rs
+++ b/crates/policy/src/quota_bucket.rs
@@ -7,9 +7,9 @@
 
 /// How long after the last exchange the usage rates of others are extrapolated.
 const FORECAST_SPAN: Duration = Duration::from_millis(1_500);
-/// The minimum share of a rate that an instance grants while it hears nothing from others. An instance that has just started
-/// knows of no others; the callers of a customer are connected to about a dozen instances at a time.
-const BLIND_SHARE: f64 = 1.0 / 16.0;
+/// The minimum share of a rate that an instance grants while it hears nothing from others. An instance that has just
+/// started knows of no others; the callers of a customer are connected to about a dozen instances at a time.
+const MIN_SHARE: f64 = 1.0 / 16.0;
 /// How long a bucket counts as in use after a request.
 const IN_USE_SPAN: Duration = Duration::from_secs(1);
 
@@ -42,8 +42,8 @@
     }
 }
 
-/// A token bucket shared by all instances: known usage is subtracted, and the usage of others since the last exchange is
-/// estimated.
+/// A token bucket shared by all instances: known usage is subtracted, and the usage of others since the last exchange
+/// is estimated.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaBucket {
     /// When `balance` was last updated.
@@ -65,7 +65,8 @@
 }
 
 impl QuotaBucket {
-    /// Creates an empty bucket for an instance that started at `started`: before a restart it may have used all there was.
+    /// Creates an empty bucket for an instance that started at `started`: before a restart it may have used all there
+    /// was.
     pub fn new(limit: CustomerLimit, started: Instant) -> Self {
         Self {
             limit,
@@ -92,7 +93,8 @@
         self.last_use = Some(now);
     }
 
-    /// Adopts a balance reported by another instance, from which the caller has subtracted what this one has used since.
+    /// Adopts a balance reported by another instance, from which the caller has subtracted what this one has used
+    /// since.
     pub fn follow_balance(&mut self, reported: f64, now: Instant) {
         self.balance += reported - self.reported_balance(now);
     }
@@ -180,8 +182,8 @@
         let known = known_until
             .saturating_duration_since(self.updated)
             .min(span);
-        let blind = (span - known).as_secs_f64();
-        (rate - self.others_rate.get()) * known.as_secs_f64() + rate * self.share(sync) * blind
+        let unknown = (span - known).as_secs_f64();
+        (rate - self.others_rate.get()) * known.as_secs_f64() + rate * self.share(sync) * unknown
     }
 
     /// The share of the rate granted to this instance while it hears nothing: its own share of the recent usage.
@@ -189,8 +191,8 @@
         let own = self.own_rate.get();
         let all = own + self.others_rate.get();
         match sync {
-            QuotaSync::Synced(_) if all > 0.0 => (own / all).clamp(BLIND_SHARE, 1.0),
-            _ => BLIND_SHARE,
+            QuotaSync::Synced(_) if all > 0.0 => (own / all).clamp(MIN_SHARE, 1.0),
+            _ => MIN_SHARE,
         }
     }
 }
--- a/crates/policy/src/quota_rule.rs
+++ b/crates/policy/src/quota_rule.rs
@@ -3,12 +3,13 @@
 use {crate::CustomerLimit, std::time::Duration};
 
 /// The reserve for usage that instances do not know of yet or that crashed instances had not reported, in seconds of a
-/// customer's rate. In random runs of 24 instances that crash, are partitioned and are suspended, with customers that demand up
-/// to five times their rates, one in about 4,000 exceeds the bound, by 0.7 %, the same as without any tolerance beyond the
-/// burst; with 1.8 s it is one in about 300, by 2.3 %.
+/// customer's rate. In random runs of 24 instances that crash, are partitioned and are suspended, with customers that
+/// demand up to five times their rates, one in about 4,000 exceeds the bound, by 0.7 %, the same as without any
+/// tolerance beyond the burst; with 1.8 s it is one in about 300, by 2.3 %.
 const UNREPORTED_SPAN: f64 = 2.5;
 
-/// The upper bound on the usage of a customer in any window: what rate and burst allow, increased by a ratio and a slack.
+/// The upper bound on the usage of a customer in any window: what rate and burst allow, increased by a ratio and a
+/// slack.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRule {
     /// The tolerated overuse, as a fraction of what rate and burst allow.
@@ -20,8 +21,8 @@
 }
 
 impl QuotaRule {
-    /// The capacity of the bucket of a customer, units: its burst plus the tolerated overuse, less the reserve for unreported
-    /// usage. Small customers gain most, since a few large requests at once can exceed their bursts.
+    /// The capacity of the bucket of a customer, units: its burst plus the tolerated overuse, less the reserve for
+    /// unreported usage. Small customers gain most, since a few large requests at once can exceed their bursts.
     pub fn capacity(&self, limit: &CustomerLimit) -> f64 {
         let beyond =
             self.window_limit(limit) - self.base_allowance(limit) - limit.rate * UNREPORTED_SPAN;
--- a/crates/policy/src/quota_table.rs
+++ b/crates/policy/src/quota_table.rs
@@ -1,11 +1,11 @@
 //! Customer quotas, as enforced by one instance. Free of I/O; times are passed in.
 //!
-//! Limits a customer that sends several times its rate through many instances at once, each of which sees a small part of it.
-//! The instances report their usage to each other ([`UsageLedger`](crate::UsageLedger)), once a second and more often while
-//! a balance is low; in between each extrapolates the usage of the others. A bucket that has been overdrawn meanwhile is
-//! refilled before it grants again. The total usage in a window thus stays within the tolerance that operators allow
-//! beyond rate and burst, except in one of about 4,000 random runs. What fits is granted: with 90 instances, partitions and
-//! a restart of all, 92 of 100, where equal shares grant 11.
+//! Limits a customer that sends several times its rate through many instances at once, each of which sees a small part
+//! of it. The instances report their usage to each other ([`UsageLedger`](crate::UsageLedger)), once a second and more
+//! often while a balance is low; in between each extrapolates the usage of the others. A bucket that has been overdrawn
+//! meanwhile is refilled before it grants again. The total usage in a window thus stays within the tolerance that
+//! operators allow beyond rate and burst, except in one of about 4,000 random runs. What fits is granted: with 90
+//! instances, partitions and a restart of all, 92 of 100, where equal shares grant 11.
 
 use {
     crate::{CustomerLimit, QuotaBucket, QuotaRule, QuotaSync, QuotaView, UsageTotals},
@@ -95,8 +95,8 @@
         self.view.sync = QuotaSync::Synced(now);
     }
 
-    /// Records the total usage reported by others since this instance started, by customer, and the estimate of what they have
-    /// not reported. Customers not listed in `totals` are unchanged.
+    /// Records the total usage reported by others since this instance started, by customer, and the estimate of what
+    /// they have not reported. Customers not listed in `totals` are unchanged.
     pub fn note_others(&mut self, totals: &UsageTotals, assumed: &UsageTotals, now: Instant) {
         let view = self.view;
         for (customer, total) in totals {
@@ -107,8 +107,9 @@
         }
     }
 
-    /// Adopts the reported balances of another instance, which include `own`, the usage of this one that was reported to it.
-    /// All instances follow a single one, since errors in their own balances would persist until the bucket is full.
+    /// Adopts the reported balances of another instance, which include `own`, the usage of this one that was reported
+    /// to it. All instances follow a single one, since errors in their own balances would persist until the bucket is
+    /// full.
     pub fn follow_balances(&mut self, balances: &UsageTotals, own: &UsageTotals, now: Instant) {
         for (customer, balance) in balances {
             let Some(bucket) = self.buckets.get_mut(customer) else {
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Whether this instance has been running, and aggregating if it does, for long enough that others can use its balances.
+    /// Whether this instance has been running, and aggregating if it does, for long enough that others can use its
+    /// balances.
     pub fn is_settled(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.unsettled_since) >= SETTLING_SPAN
     }
@@ -129,8 +131,8 @@
         self.unsettled_since = now;
     }
 
-    /// Applies overdrawn balances of another instance, while this one is not settled. It can't know of the overdraft otherwise,
-    /// and would grant what others are still refilling.
+    /// Applies overdrawn balances of another instance, while this one is not settled. It can't know of the overdraft
+    /// otherwise, and would grant what others are still refilling.
     pub fn cap_balances(&mut self, balances: &UsageTotals, now: Instant) {
         if self.is_settled(now) {
             return;
@@ -228,7 +230,8 @@
         self.view.rule = rule;
     }
 
-    /// Charges a request to its customer's bucket and returns the cost. A request larger than the bucket needs a full one.
+    /// Charges a request to its customer's bucket and returns the cost. A request larger than the bucket needs a full
+    /// one.
     ///
     /// # Errors
     ///
--- a/crates/policy/src/refusal_cooldown.rs
+++ b/crates/policy/src/refusal_cooldown.rs
@@ -1,10 +1,10 @@
 //! The cooldown of an engine that refuses requests for which it had reserved a slot.
 //!
 //! An engine that changes its stage or is about to drain keeps granting reservations for seconds and then refuses the
-//! requests that come to use them. Since nothing runs there, it looks better than any other engine by load. Without this
-//! rule every request would go there first, have its prompt prefilled for nothing, and spend its share of the retry budget
-//! on the next engine: one role change during a burst over seven instances, ten seconds long, turned away 116 requests
-//! instead of 18.
+//! requests that come to use them. Since nothing runs there, it looks better than any other engine by load. Without
+//! this rule every request would go there first, have its prompt prefilled for nothing, and spend its share of the
+//! retry budget on the next engine. In a burst of ten seconds over seven instances, one stage change turned away 116
+//! requests without the rule and 18 with it.
 
 use std::time::{Duration, Instant};
 
@@ -12,8 +12,8 @@
 const FIRST_COOLDOWN: Duration = Duration::from_secs(2);
 /// The longest cooldown: the duration of a whole stage change, so that the engine is used again soon after it.
 const LONGEST_COOLDOWN: Duration = Duration::from_secs(8);
-/// The refusal score that starts a cooldown. A request that relied on a KV cache may have been refused because the cache
-/// had been evicted, so such a refusal counts half.
+/// The refusal score that starts a cooldown. A request that relied on a KV cache may have been refused because the
+/// cache had been evicted, so such a refusal counts half.
 const COOLDOWN_SCORE: u32 = 2;
 
 /// Tracks the refusals of one engine for requests with a reserved slot.
@@ -35,8 +35,8 @@
         *self = Self::default();
     }
 
-    /// Records that the engine refused a request for which it had reserved a slot. `has_kv` is set when the request relied
-    /// on a KV cache that may have been evicted. Refusals during a cooldown do not extend it.
+    /// Records that the engine refused a request for which it had reserved a slot. `has_kv` is set when the request
+    /// relied on a KV cache that may have been evicted. Refusals during a cooldown do not extend it.
     pub fn note_refusal(&mut self, has_kv: bool, now: Instant) {
         self.score += match has_kv {
             true => 1,
--- a/crates/policy/src/remote_usage.rs
+++ b/crates/policy/src/remote_usage.rs
@@ -44,8 +44,8 @@
         rate.copied().unwrap_or_default().get()
     }
 
-    /// Updates the rates and returns the usage since the last report. `None` stands for the first report of a new aggregator:
-    /// the usage is extrapolated then.
+    /// Updates the rates and returns the usage since the last report. `None` stands for the first report of a new
+    /// aggregator: the usage is extrapolated then.
     pub(crate) fn update(&mut self, differences: Option<UsageTotals>, now: Instant) -> UsageTotals {
         let last_report = self.last_report.replace(now);
         let span = last_report.map(|last_report| now.saturating_duration_since(last_report));
@@ -76,8 +76,8 @@
             || last_report.is_none_or(|last_report| now >= last_report + PARTITION_TIMEOUT)
     }
 
-    /// The share of a customer's rate that the zone has while it is partitioned: mostly its share of the usage, and a part for
-    /// callers that reconnect to it from other zones. The shares of all zones add up to one.
+    /// The share of a customer's rate that the zone has while it is partitioned: mostly its share of the usage, and a
+    /// part for callers that reconnect to it from other zones. The shares of all zones add up to one.
     pub(crate) fn partition_share(&self, customer: &CustomerId, zones: usize) -> f64 {
         let equal = 1.0 / zones as f64;
         match self.shares.get(customer) {
--- a/crates/policy/src/request_fingerprint.rs
+++ b/crates/policy/src/request_fingerprint.rs
@@ -9,8 +9,8 @@
 /// Half of a SHA-256 digest, bytes: long enough to prevent collisions, and short in logs and rows.
 const LENGTH: usize = 16;
 
-/// Identifies a request across retries and instances by what its caller sends: credentials, method, host, target and body.
-/// Other headers are excluded, since they differ between retries.
+/// Identifies a request across retries and instances by what its caller sends: credentials, method, host, target and
+/// body. Other headers are excluded, since they differ between retries.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestFingerprint([u8; LENGTH]);
 
@@ -19,7 +19,8 @@
 pub struct FingerprintParts<'a> {
     /// The complete body.
     pub body: &'a [u8],
-    /// The credentials of the caller; empty without any. Another caller that sends the same content has another fingerprint.
+    /// The credentials of the caller; empty without any. Another caller that sends the same content has another
+    /// fingerprint, so that it is not quarantined because of this one.
     pub caller: &'a str,
     /// The requested host.
     pub host: &'a str,
--- a/crates/policy/src/retry_window.rs
+++ b/crates/policy/src/retry_window.rs
@@ -5,9 +5,9 @@
     time::{Duration, Instant},
 };
 
-/// The fraction of the ratio that an instance uses. Retries may fall into a window that the requests which funded them have
-/// just left; the remainder covers this. The fuzz test over all instances fails at 1 and passes at this value. The same
-/// fraction of the slack is used, since an instance may learn a few seconds late of one that joined or left.
+/// The fraction of the ratio that an instance uses. Retries may fall into a window that the requests which funded them
+/// have just left; the remainder covers this. The fuzz test over all instances fails at 1 and passes at this value. The
+/// same fraction of the slack is used, since an instance may learn a few seconds late of one that joined or left.
 const SAFE_SHARE: f64 = 0.7;
 
 /// The bounds of a [`RetryWindow`].
@@ -23,11 +23,12 @@
 
 /// Counts the requests and retries of one service in a sliding window.
 ///
-/// Each instance keeps its retries below `ratio` times its own requests plus an equal share of the slack, so that the sum
-/// over all instances stays within the budget without any communication.
+/// Each instance keeps its retries below `ratio` times its own requests plus an equal share of the slack, so that the
+/// sum over all instances stays within the budget without any communication.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
-    /// When this instance started. It may have used its slack just before a restart, so there is none during the first window.
+    /// When this instance started. It may have used its slack just before a restart, so there is none during the first
+    /// window.
     started: Instant,
     retries: VecDeque<Instant>,
     requests: VecDeque<Instant>,
@@ -49,8 +50,8 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one retry out of the budget; `false` when it is spent. `instances` is how many share the slack; while it is
-    /// unknown, `None`, this instance has no share of it.
+    /// Takes one retry out of the budget; `false` when it is spent. `instances` is how many share the slack; while it
+    /// is unknown, `None`, this instance has no share of it.
     #[must_use]
     pub fn take(&mut self, bounds: &RetryBounds, instances: Option<usize>, now: Instant) -> bool {
         self.expire(bounds.window, now);
--- a/crates/policy/src/slot_hold_time.rs
+++ b/crates/policy/src/slot_hold_time.rs
@@ -18,8 +18,8 @@
 }
 
 impl SlotHoldTime {
-    /// When a caller that found no free slot should retry: by then the requests that hold the slots now have ended. The jitter
-    /// depends on the id of the request.
+    /// When a caller that found no free slot should retry: by then the requests that hold the slots now have ended. The
+    /// jitter depends on the id of the request.
     pub fn retry_after(&self, request: &str) -> Duration {
         let sample = seeded_rng::mix(JITTER_SEED, request.as_bytes()) as f64 / u64::MAX as f64;
         self.mean.mul_f64(1.0 + RETRY_JITTER * (sample - 0.5))
--- a/crates/policy/src/stage_planner.rs
+++ b/crates/policy/src/stage_planner.rs
@@ -1,10 +1,11 @@
 //! Plans stage changes of the engines of a model service. Free of I/O; times are passed in.
 //!
-//! Most deployments run out of decode memory first, and a decode engine can prefill a prompt itself when the prefill engines
-//! are late. The target is therefore a small number of prefill engines, and a surplus returns to decoding as engines join
-//! and leave. Observed load takes precedence: prefill engines that are needed stay, and a stage that is overloaded for long
-//! gets an engine of the other stage if that has capacity to spare. Long prompts load the prefill engines, long answers the
-//! memory of the decode engines. A change takes an engine out of service for some seconds, so bursts cause none.
+//! Most deployments run out of decode memory first, and a decode engine can prefill a prompt itself when the prefill
+//! engines are late. The target is therefore a small number of prefill engines, and a surplus returns to decoding as
+//! engines join and leave. Observed load takes precedence: prefill engines that are needed stay, and a stage that is
+//! overloaded for long gets an engine of the other stage if that has capacity to spare. Long prompts load the prefill
+//! engines, long answers the memory of the decode engines. A change takes an engine out of service for some seconds, so
+//! bursts cause none.
 
 use {
     crate::{StagePressure, UpstreamRecord, UpstreamStage},
@@ -16,14 +17,14 @@
     },
 };
 
-/// Prefill engines are overloaded when at least this fraction of prefills has to wait: the queue of one server at this load is
-/// four prefills long.
+/// Prefill engines are overloaded when at least this fraction of prefills has to wait: the queue of one server at this
+/// load is four prefills long.
 const PREFILL_OVERLOADED: f64 = 0.8;
-/// The maximum fraction of waiting prefills expected after a prefill engine is given away: a wait of one prefill. A surplus
-/// that would exceed it is kept.
+/// The maximum fraction of waiting prefills expected after a prefill engine is given away: a wait of one prefill. A
+/// surplus that would exceed it is kept.
 const PREFILL_AFTER_CHANGE: f64 = 0.65;
-/// Decode engines are overloaded when at least this fraction of requests finds no free slot at once: one in three waits or is
-/// refused.
+/// Decode engines are overloaded when at least this fraction of requests finds no free slot at once: one in three waits
+/// or is refused.
 const DECODE_OVERLOADED: f64 = 0.35;
 /// Decode engines have spare capacity when at most this fraction of requests finds no free slot at once.
 const DECODE_SPARE: f64 = 0.1;
@@ -35,8 +36,8 @@
     pub patience: Duration,
     /// The cooldown after a change by this instance or another.
     pub pause: Duration,
-    /// How long a stage has to be overloaded before an engine changes: longer than a burst, since an engine serves nothing for
-    /// some seconds during the change.
+    /// How long a stage has to be overloaded before an engine changes: longer than a burst, since an engine serves
+    /// nothing for some seconds during the change.
     pub pressed_patience: Duration,
     /// The target fraction of prefill engines of a service, rounded up, while the load requires no other.
     pub prefill_share: f64,
@@ -70,8 +71,8 @@
 #[derive(Debug)]
 pub struct StagePlanner {
     goal: StageGoal,
-    /// Whether the load was ever known. From then on, an instance that receives too few requests to know the load leaves a
-    /// surplus to the instances that do.
+    /// Whether the load was ever known. From then on, an instance that receives too few requests to know the load
+    /// leaves a surplus to the instances that do.
     has_known_load: bool,
     cooldown_until: Option<Instant>,
     wanting_since: Option<(UpstreamStage, Instant)>,
@@ -161,8 +162,8 @@
         (surplus > 0 && !is_needed).then_some((UpstreamStage::Decode, surplus))
     }
 
-    /// The target number of prefill engines. With few engines one is enough: the others can prefill prompts themselves, and
-    /// nothing else can hold the streams that they generate.
+    /// The target number of prefill engines. With few engines one is enough: the others can prefill prompts themselves,
+    /// and nothing else can hold the streams that they generate.
     fn target_prefill(&self, snapshot: &StageSnapshot) -> usize {
         let all = snapshot.prefill + snapshot.decode;
         (all as f64 * self.goal.prefill_share).ceil() as usize
--- a/crates/policy/src/stage_pressure.rs
+++ b/crates/policy/src/stage_pressure.rs
@@ -1,8 +1,8 @@
 //! The load of the engines of each stage, as observed by the requests of one instance.
 //!
-//! Arriving requests sample the state of the engines: the fraction of prefills that had to wait estimates the utilization of
-//! the prefill engines, whoever else uses them, and the fraction of requests that found no free slot at once that of the decode
-//! engines. No further calls to the engines are needed.
+//! Arriving requests sample the state of the engines: the fraction of prefills that had to wait estimates the
+//! utilization of the prefill engines, whoever else uses them, and the fraction of requests that found no free slot at
+//! once that of the decode engines. No further calls to the engines are needed.
 
 use std::time::{Duration, Instant};
 
@@ -10,8 +10,8 @@
 const HALF_LIFE: Duration = Duration::from_secs(6);
 /// The minimum weight of observations for an estimate: fewer leave an error of more than a sixth.
 const MIN_WEIGHT: f64 = 8.0;
-/// A prefill counts as delayed if it took more than this multiple of its time with an empty queue. Smaller differences are
-/// variation between prompts.
+/// A prefill counts as delayed if it took more than this multiple of its time with an empty queue. Smaller differences
+/// are variation between prompts.
 const DELAY_FACTOR: f64 = 1.5;
 
 /// The observed load of one service.
@@ -35,8 +35,8 @@
         Self::default()
     }
 
-    /// Records whether a request found the engines full when it first looked for a slot. Its further attempts must not be
-    /// recorded, otherwise a burst would affect the fraction for long.
+    /// Records whether a request found the engines full when it first looked for a slot. Its further attempts must not
+    /// be recorded, otherwise a burst would affect the fraction for long.
     pub fn note_slot_search(&mut self, is_full: bool, now: Instant) {
         self.slots.note(is_full, now);
     }
--- a/crates/policy/src/store_clock.rs
+++ b/crates/policy/src/store_clock.rs
@@ -1,7 +1,7 @@
 //! Maps the monotonic clock of the store to the local one, to date answers that the store delays.
 //!
-//! A watch is answered up to seconds after it was sent. The arrival proves only that the answer is not older than the
-//! question; the clock of the store, which is part of each answer, shows when it was really sent.
+//! A watch is answered up to seconds after it was sent. By itself, its answer can only be assumed to be as old as the
+//! question. The clock of the store, which is part of each answer, shows when the answer was really sent.
 
 use std::time::{Duration, Instant};
 
@@ -22,8 +22,8 @@
 }
 
 impl StoreClock {
-    /// A lower bound of the local time at which the store sent an answer. The question was sent at `asked`, the answer received at
-    /// `received`, and `store` is the clock of the store in the answer. The result is never before `asked`.
+    /// A lower bound of the local time at which the store sent an answer. The question was sent at `asked`, the answer
+    /// received at `received`, and `store` is the clock of the store in the answer. The result is never before `asked`.
     pub fn answer_time(&self, store: Duration, asked: Instant, received: Instant) -> Instant {
         let Some(anchor) = self.anchor else {
             return asked;
--- a/crates/policy/src/stream_attempts.rs
+++ b/crates/policy/src/stream_attempts.rs
@@ -24,8 +24,8 @@
 
 /// Counts the calls of one request.
 ///
-/// Each call after the first that reached an engine takes a retry from the budget of the service. The first prefill that an
-/// engine accepts is free.
+/// Each call after the first that reached an engine takes a retry from the budget of the service. The first prefill
+/// that an engine accepts is free.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamAttempts {
     /// Calls that reached an engine, the first included.
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Takes the retry for the next call from the budget in advance, so that a stream is not abandoned for a call that is not
-    /// allowed; `false` when the budget is spent.
+    /// Takes the retry for the next call from the budget in advance, so that a stream is not abandoned for a call that
+    /// is not allowed; `false` when the budget is spent.
     pub fn reserve_retry(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
         self.is_reserved = self.allow_call(take_retry);
         self.is_reserved
@@ -98,9 +98,10 @@
 
     /// Whether the prompt may be prefilled at a prefill engine now.
     ///
-    /// The first prefill is free if it is accepted. The prompt of a broken stream may be prefilled again: a prefill engine
-    /// needs half the time of the decode engine, which the caller sees as a pause, and does not slow down the streams running
-    /// there. Such a prefill takes a retry, and is allowed only if the retry for the run after it has been reserved.
+    /// The first prefill is free if it is accepted. The prompt of a broken stream may be prefilled again: a prefill
+    /// engine needs half the time of the decode engine, which the caller sees as a pause, and does not slow down the
+    /// streams running there. Such a prefill takes a retry, and is allowed only if the retry for the run after it has
+    /// been reserved.
     pub fn allow_prefill(&mut self, take_retry: impl FnOnce() -> bool) -> bool {
         match self.has_prefilled {
             true => self.has_run() && self.is_reserved && take_retry(),
--- a/crates/policy/src/upstream_entry.rs
+++ b/crates/policy/src/upstream_entry.rs
@@ -8,16 +8,16 @@
     },
 };
 
-/// The half-life of the failure rate without new verdicts. An upstream that has recovered gets a trial request within a few
-/// seconds.
+/// The half-life of the failure rate without new verdicts. An upstream that has recovered gets a trial request within a
+/// few seconds.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 /// The weight of one verdict in the failure rate, which thus covers about five calls.
 const VERDICT_WEIGHT: f64 = 0.2;
 /// How long a full upstream is avoided: a few of its steps.
 const FULL_COOLDOWN: Duration = Duration::from_millis(150);
-/// How long an upstream that differs from its record is avoided: until the list is up to date, which takes a report of the
-/// upstream and a read of the list. A prefill engine that refuses a prefill is usually about to change its stage; each
-/// further refusal would turn the run after it into a retry that is charged to the retry budget.
+/// How long an upstream that differs from its record is avoided: until the list is up to date, which takes a report of
+/// the upstream and a read of the list. A prefill engine that refuses a prefill is usually about to change its stage;
+/// each further refusal would turn the run after it into a retry that is charged to the retry budget.
 const MISDIRECTED_COOLDOWN: Duration = Duration::from_millis(2_200);
 
 /// What the end of a call says about its upstream.
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The weight of the verdict as a failure, 0 to 1; `None` if it says nothing. An error answer counts less, since some requests
-    /// fail at any upstream.
+    /// The weight of the verdict as a failure, 0 to 1; `None` if it says nothing. An error answer counts less, since
+    /// some requests fail at any upstream.
     fn failure_weight(self) -> Option<f64> {
         match self {
             Self::Answered => Some(0.0),
--- a/crates/policy/src/upstream_table.rs
+++ b/crates/policy/src/upstream_table.rs
@@ -12,34 +12,37 @@
     },
 };
 
-/// The cost of a call to another availability zone, in in-flight calls: the latency is small compared to the work, but the
-/// traffic is charged.
+/// The cost of a call to another availability zone, in in-flight calls: the latency is small compared to the work, but
+/// the traffic is charged.
 const OTHER_ZONE_COST: f64 = 2.0;
-/// The same for a stream, which lasts for seconds and breaks when its zone is partitioned. A decode engine is not slowed
-/// down by its streams until its memory is full, which it reports itself. About half of the streams that an engine holds.
+/// The same for a stream, which lasts for seconds and breaks when its zone is partitioned. A decode engine is not
+/// slowed down by its streams until its memory is full, which it reports itself. About half of the streams that an
+/// engine holds.
 const OTHER_ZONE_STREAM_COST: f64 = 6.0;
 /// The cost of a failure rate of 1, in in-flight calls: more than a busy upstream has.
 const FAILURE_COST: f64 = 40.0;
-/// The cost saved by a cached KV of the prompt, in in-flight calls: more than the load of engines differs by, and less than
-/// the cost of being full or failing.
+/// The cost saved by having the KV cache of the prompt, in in-flight calls: more than the load of engines differs by, and
+/// less than the cost of being full or failing.
 const CACHED_GAIN: f64 = 15.0;
-/// The cost saved by an idle connection, in in-flight calls. With many instances, each of them calls any one engine of its zone
-/// less often than engines keep idle connections. Engines with an open connection are therefore preferred, as long as none of
-/// the own calls runs there. With 59 instances and 39 engines, half of all new connections were reservations at engines that
-/// had not been called for 10 s.
+/// The cost saved by an idle connection, in in-flight calls. With many instances, each of them calls any one engine of
+/// its zone less often than engines keep idle connections. Engines with an open connection are therefore preferred, as
+/// long as none of the own calls runs there. With 59 instances and 39 engines, half of all new connections were
+/// reservations at engines that had not been called for 10 s.
 const CONNECTED_GAIN: f64 = 0.5;
 /// The cost of having recently been full, in in-flight calls.
 const FULL_COST: f64 = 20.0;
-/// The cost of a KV transfer from another availability zone, in prefill time: it takes longer and its traffic is charged.
+/// The cost of a KV transfer from another availability zone, in prefill time: it takes longer and its traffic is
+/// charged.
 const OTHER_ZONE_PREFILL: Duration = Duration::from_millis(20);
 /// The cost of a failure rate of 1, in prefill time.
 const FAILURE_PREFILL: Duration = Duration::from_secs(2);
 /// The cost of a recent refusal, in prefill time.
 const FULL_PREFILL: Duration = Duration::from_millis(500);
-/// The maximum jitter added to the cost of a prefill engine, as a fraction. With many instances each observes few prefills, and
-/// without jitter each would stay with the engine that it tried first.
+/// The maximum jitter added to the cost of a prefill engine, as a fraction. With many instances each observes few
+/// prefills, and without jitter each would stay with the engine that it tried first.
 const PREFILL_JITTER: f64 = 1.0;
-/// An upstream is an outlier when its failure rate exceeds this multiple of the mean of the others by [`OUTLIER_MARGIN`].
+/// An upstream is an outlier when its failure rate exceeds this multiple of the mean of the others by
+/// more than [`OUTLIER_MARGIN`].
 const OUTLIER_FACTOR: f64 = 3.0;
 /// A single failure alone makes no outlier, two consecutive ones do.
 const OUTLIER_MARGIN: f64 = 0.09;
@@ -132,8 +135,8 @@
         Some(entry.record.clone())
     }
 
-    /// Selects the prefill engine expected to finish a prompt first: one per availability zone is drawn with jitter, and the best
-    /// of these is returned.
+    /// Selects the prefill engine expected to finish a prompt first: one per availability zone is drawn with jitter,
+    /// and the best of these is returned.
     pub fn choose_prefill(
         &self,
         query: &ChoiceQuery<'_>,
@@ -204,16 +207,16 @@
         }
     }
 
-    /// Records that an engine refused a request for which it had reserved a slot; `has_kv` is set when the request relied on a KV
-    /// cache that may have been evicted.
+    /// Records that an engine refused a request for which it had reserved a slot; `has_kv` is set when the request
+    /// relied on a KV cache that may have been evicted.
     pub fn note_refusal(&mut self, id: &UpstreamId, has_kv: bool, now: Instant) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.cooldown.note_refusal(has_kv, now);
         }
     }
 
-    /// Whether an upstream fails clearly more often than the others of its service. If it does not, its failure is attributed to
-    /// the request, which would fail at any other upstream as well.
+    /// Whether an upstream fails clearly more often than the others of its service. If it does not, its failure is
+    /// attributed to the request, which would fail at any other upstream as well.
     pub fn is_outlier(&self, id: &UpstreamId, now: Instant) -> bool {
         let Some(entry) = self.entries.get(id) else {
             return false;
@@ -252,8 +255,9 @@
         self.entries.values()
     }
 
-    /// Applies a new list and returns the upstreams removed. `outage_ended` is when an outage of the store ended, if one did since
-    /// the last list: upstreams missing from the list are kept for a grace period, since they may have been unable to report.
+    /// Applies a new list and returns the upstreams removed. `outage_ended` is when an outage of the store ended, if
+    /// one did since the last list: upstreams missing from the list are kept for a grace period, since they may have
+    /// been unable to report.
     pub fn replace(
         &mut self,
         records: &[UpstreamRecord],
--- a/crates/policy/src/usage_ledger.rs
+++ b/crates/policy/src/usage_ledger.rs
@@ -1,9 +1,9 @@
 //! Aggregates the usage that instances report to each other. Free of I/O; times are passed in.
 //!
-//! The instances of an availability zone report to its aggregator, and the aggregators report to each other; each answer
-//! contains the usage of all others. The cost of an exchange for an instance thus does not depend on the number of instances.
-//! Only differences to the previous report of the same instance since its start are counted, because the aggregator may
-//! change at any time. Amounts are exchanged by key; customer quotas are the first use.
+//! The instances of an availability zone report to its aggregator, and the aggregators report to each other; each
+//! answer contains the usage of all others. The cost of an exchange for an instance thus does not depend on the number
+//! of instances. Only differences to the previous report of the same instance since its start are counted, because the
+//! aggregator may change at any time. Amounts are exchanged by key; customer quotas are the first use.
 
 use {
     crate::{
@@ -78,8 +78,9 @@
 }
 
 impl UsageLedger {
-    /// Extrapolates the usage of other zones up to now. Zones that are partitioned are assumed to use their shares of the rates in
-    /// `limits` (units per second), to which they restrict themselves then. Later reports of a zone replace the estimate.
+    /// Extrapolates the usage of other zones up to now. Zones that are partitioned are assumed to use their shares of
+    /// the rates in `limits` (units per second), to which they restrict themselves then. Later reports of a zone
+    /// replace the estimate.
     pub fn assume(&mut self, limits: &BTreeMap<CustomerId, f64>, now: Instant) {
         let zones = self.zones.len() + 1;
         for row in self.zones.values_mut() {
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Records the usage of this instance itself, from which the rate of its zone is derived together with the reports to it.
+    /// Records the usage of this instance itself, from which the rate of its zone is derived together with the reports
+    /// to it.
     pub fn note_own(&mut self, own: &UsageTotals, now: Instant) {
         let mut totals = self.local.clone();
         for (customer, amount) in own {
@@ -122,8 +124,8 @@
         self.own_before = Some((now, totals));
     }
 
-    /// Adds zones that are not known yet. A new aggregator starts with equal shares of the rates it received from the previous
-    /// aggregator of its zone.
+    /// Adds zones that are not known yet. A new aggregator starts with equal shares of the rates it received from the
+    /// previous aggregator of its zone.
     pub fn expect_zones<'a>(&mut self, zones: impl IntoIterator<Item = &'a ZoneId>, now: Instant) {
         let missing = zones
             .into_iter()
@@ -156,8 +158,8 @@
         }
     }
 
-    /// The fraction of the zones that report to this instance, its own included. Zones partitioned from each other must not each
-    /// use a whole bucket.
+    /// The fraction of the zones that report to this instance, its own included. Zones partitioned from each other must
+    /// not each use a whole bucket.
     pub fn coverage(&self, now: Instant) -> f64 {
         let reachable = self
             .zones
@@ -250,7 +252,8 @@
         known.last_report = Some(now);
         for row in rows {
             let before = known.reported.insert(row.customer.clone(), row.total);
-            // Usage from before the first report to this instance has been counted by others, except for the fresh part.
+            // Usage from before the first report to this instance has been counted by others, except for the fresh
+            // part.
             let amount = before.map_or(row.fresh, |before| row.total - before);
             add(&mut known.counted, &row.customer, amount);
             add(&mut self.local, &row.customer, amount);
--- a/crates/policy/tests/crash_table.rs
+++ b/crates/policy/tests/crash_table.rs
@@ -137,8 +137,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Two instances that receive the same reports, in any order and with duplicates, quarantine the same requests for the same
-    /// time.
+    /// Two instances that receive the same reports, in any order and with duplicates, quarantine the same requests for
+    /// the same time.
     #[test]
     fn the_order_of_reports_makes_no_difference(
         reports in prop::collection::vec((0..3_u32, 0..6_u32, 0..3_usize, 0..500_u64), 1..40),
--- a/crates/policy/tests/quarantine_errors.rs
+++ b/crates/policy/tests/quarantine_errors.rs
@@ -1,9 +1,9 @@
-//! The two errors of the quarantine, counted over simulated days: a request that crashes engines is let through too often, or
-//! a bystander is refused.
+//! The two errors of the quarantine, counted over simulated days: a request that crashes engines is let through too
+//! often, or a bystander is refused.
 //!
-//! Twelve engines that take five seconds to restart, streams of three seconds, callers that retry a broken stream, some of
-//! them up to four times, and callers whose request crashes each engine that runs it. Reports are known everywhere at once
-//! here; their propagation is tested with the instances.
+//! Twelve engines that take five seconds to restart, streams of three seconds, callers that retry a broken stream, some
+//! of them up to four times, and callers whose request crashes each engine that runs it. Reports are known everywhere
+//! at once here; their propagation is tested with the instances.
 
 use {
     kernel::seeded_rng,
@@ -75,7 +75,7 @@
     let mut sampler = Sampler(seed);
     let mut table = CrashTable::new(Duration::from_secs(600));
     let mut count = DayCount::default();
-    let mut lives = [0_u32; ENGINES];
+    let mut incarnations = [0_u32; ENGINES];
     let mut restarted_at = [0_u64; ENGINES];
     let mut runs: Vec<Run> = Vec::new();
     let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
@@ -129,7 +129,7 @@
             }
             *crashes.entry(cause.request).or_default() += 1;
             restarted_at[cause.engine] = now + RESTART;
-            lives[cause.engine] += 1;
+            incarnations[cause.engine] += 1;
             let (lost, left): (Vec<Run>, Vec<Run>) =
                 runs.into_iter().partition(|run| run.engine == cause.engine);
             runs = left;
@@ -140,7 +140,7 @@
                         true => CrashMark::Early,
                         false => CrashMark::Late,
                     },
-                    upstream: format!("i-{}-{}", cause.engine, lives[cause.engine]).into(),
+                    upstream: format!("i-{}-{}", cause.engine, incarnations[cause.engine]).into(),
                 };
                 table.merge(&report, at(now), at(now));
                 if run.request < CRASHING {
--- a/crates/policy/tests/quota_fuzz.rs
+++ b/crates/policy/tests/quota_fuzz.rs
@@ -1,4 +1,5 @@
-//! Quotas under random crashes, partitions, suspensions and changes of limits and demand never exceed the tolerated usage.
+//! Quotas under random crashes, partitions, suspensions and changes of limits and demand never exceed the tolerated
+//! usage.
 
 mod quota_model;
 
--- a/crates/policy/tests/quota_ways.rs
+++ b/crates/policy/tests/quota_ways.rs
@@ -1,5 +1,6 @@
-//! Ways to share a quota, compared on the same requests: the usage refused although it fits, and the peak usage in a window.
-//! `QUOTA_WAYS=1 cargo test -p policy --test quota_ways -- --nocapture` prints the table of docs/design/shifted.md.
+//! Ways to share a quota, compared on the same requests: the usage refused although it fits, and the peak usage in a
+//! window. `QUOTA_WAYS=1 cargo test -p policy --test quota_ways -- --nocapture` prints the table of
+//! docs/design/shifted.md.
 
 mod quota_model;
 
@@ -16,7 +17,8 @@
     Duration::from_secs(count)
 }
 
-/// Sixteen customers at 55 % of their limits, a few of them large. The callers of each are connected to a dozen instances.
+/// Sixteen customers at 55 % of their limits, a few of them large. The callers of each are connected to a dozen
+/// instances.
 fn normal_load(mode: ShareMode, per_zone: usize, seed: u64) -> QuotaModel {
     let mut model = QuotaModel::new(3, per_zone, mode, seed);
     for number in 0..16_usize {
--- a/crates/policy/tests/retry_window.rs
+++ b/crates/policy/tests/retry_window.rs
@@ -80,7 +80,8 @@
         }
         for end in &retries {
             let retried = count_in(&retries, *end);
-            // Requests of the window itself, of the one before it or of the one half a window earlier may fund the retries.
+            // Requests of the window itself, of the one before it or of the one half a window earlier may fund the
+            // retries.
             let requested = [Duration::ZERO, WINDOW / 2, WINDOW]
                 .into_iter()
                 .map(|back| count_in(&requests, *end - back))
--- a/crates/policy/tests/stage_plan.rs
+++ b/crates/policy/tests/stage_plan.rs
@@ -45,8 +45,8 @@
     list
 }
 
-/// Records one second of load: of ten prefills `waited` percent were delayed, and of ten reservations `refused` percent were
-/// refused.
+/// Records one second of load: of ten prefills `waited` percent were delayed, and of ten reservations `refused` percent
+/// were refused.
 fn note(pressure: &mut StagePressure, waited: u32, refused: u32, now: Instant) {
     for step in 0..10 {
         let took = match step * 10 < waited {
@@ -257,5 +257,5 @@
     assert_eq!(planned[0].1.stage, UpstreamStage::Decode);
     let mut planner = StagePlanner::new(goal(), Duration::ZERO);
     let planned = changes(&mut planner, &engines(3, 1), (20, 90), (start, 60));
-    assert_eq!(planned, [], "the last reader stays");
+    assert_eq!(planned, [], "the last prefill engine stays");
 }
--- a/crates/route/src/leaving_bound.rs
+++ b/crates/route/src/leaving_bound.rs
@@ -25,7 +25,8 @@
         self.report + self.propagation()
     }
 
-    /// The worst case for an upstream that fails unannounced: failed calls or the list, whichever comes first, then gossip.
+    /// The worst case for an upstream that fails unannounced: failed calls or the list, whichever comes first, then
+    /// gossip.
     pub fn unannounced(&self) -> Duration {
         let listed = self.list_lag + self.list_poll;
         let failed = self.call_timeout;
--- a/crates/route/src/leaving_table.rs
+++ b/crates/route/src/leaving_table.rs
@@ -12,9 +12,9 @@
 /// The latest mark per upstream and cause; instances merge them with every heartbeat.
 ///
 /// The later mark of a cause wins, and of two marks with the same time the one that is `leaving`. Merging is therefore
-/// commutative, associative and idempotent: marks may arrive repeatedly and in any order. A mark by failed calls expires
-/// after `failed_for`, since calls may also fail because of the caller. The others hold until they are revoked or
-/// `forgotten_after` old.
+/// commutative, associative and idempotent: marks may arrive repeatedly and in any order. A mark by failed calls
+/// expires after `failed_for`, since calls may also fail because of the caller. The others hold until they are revoked
+/// or `forgotten_after` old.
 #[derive(Clone, Debug)]
 pub struct LeavingTable {
     failed_for: Duration,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,8 +1,8 @@
 //! Selects upstreams by cached prefixes, stale load reports and failures, and never one that takes no new work. Free of
 //! I/O; times are passed in.
 //!
-//! [`EngineSelector`] selects an engine, [`ReplicaSelector`] a replica of a plain service, and [`LaggedLoad`] corrects a
-//! load report by the work sent since it was taken.
+//! [`EngineSelector`] selects an engine, [`ReplicaSelector`] a replica of a plain service, and [`LaggedLoad`] corrects
+//! a load report by the work sent since it was taken.
 
 pub mod decode_option;
 pub mod engine_selector;
--- a/crates/route/src/prefix_table.rs
+++ b/crates/route/src/prefix_table.rs
@@ -14,8 +14,8 @@
 ///
 /// It is updated from the prompts sent to an engine and from its cache events. Both may be wrong, since events arrive
 /// late and with gaps. A wrong entry only makes a prefill take longer than predicted. The least recently used blocks of
-/// an engine are evicted first. Long prompts are sampled in steps that grow with the position (an eighth of it), so that
-/// the cost of a lookup is logarithmic in the length of the prompt.
+/// an engine are evicted first. Long prompts are sampled in steps that grow with the position (an eighth of it), so
+/// that the cost of a lookup is logarithmic in the length of the prompt.
 #[derive(Clone, Debug)]
 pub struct PrefixTable {
     block_limit: usize,
@@ -115,7 +115,8 @@
         self.touch(upstream, &blocks);
     }
 
-    /// Records that the engine reported these blocks as cached. Blocks already known keep their age, since the event is late.
+    /// Records that the engine reported these blocks as cached. Blocks already known keep their age, since the event is
+    /// late.
     pub fn stored(&mut self, upstream: &UpstreamId, blocks: &[BlockHash]) {
         let mut fresh = blocks.to_vec();
         if let Some(cache) = self.caches.get(upstream) {
--- a/crates/route/src/replica_selector.rs
+++ b/crates/route/src/replica_selector.rs
@@ -12,9 +12,9 @@
 
 /// Selects the less loaded of two replicas sampled at random, leaving out draining replicas and outliers.
 ///
-/// A replica with several consecutive failures is in backoff, which doubles each time. When every replica is in backoff,
-/// the one whose backoff ends first is tried, since a late answer is better than none. A draining replica is never
-/// selected.
+/// A replica with several consecutive failures is in backoff, which doubles each time. When every replica is in
+/// backoff, the one whose backoff ends first is tried, since a late answer is better than none. A draining replica is
+/// never selected.
 #[derive(Clone, Debug)]
 pub struct ReplicaSelector {
     back_off: Duration,
