--- a/crates/admit/src/admit_action.rs
+++ b/crates/admit/src/admit_action.rs
@@ -1,4 +1,4 @@
-//! What an allocator decides.
+//! Decisions of an allocator.
 
 use {
     crate::request_key::RequestKey,
@@ -6,39 +6,40 @@
     std::time::{Duration, Instant},
 };
 
-/// One decision.
+/// One decision for one request, or a request for a timer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmitAction {
-    /// The transfer may start now, to a place at this decode engine.
+    /// The KV cache transfer may start now, to a place at this decode engine.
     GrantDecode {
-        /// The decode engine.
+        /// The engine that reserves a decode place.
         decode: UpstreamId,
         /// The request.
         key: RequestKey,
     },
-    /// Reading may start now, at this prefill engine.
+    /// Prefill may start now, at this engine.
     GrantPrefill {
         /// The request.
         key: RequestKey,
-        /// The prefill engine.
+        /// The engine that prefills the prompt.
         prefill: UpstreamId,
     },
-    /// The request won't be served: its final answer, at once.
+    /// The request is rejected. This is its final answer.
     Refuse {
-        /// Why.
+        /// The result code for the caller.
         code: ResultCode,
         /// The request.
         key: RequestKey,
-        /// When to come back, from the queue's length.
+        /// When the caller may retry, estimated from the queue length.
         retry_after: Duration,
     },
-    /// The entry instance is to tell anew how far the request has come, by [`AdmitEvent::Announce`](crate::AdmitEvent),
-    /// [`AdmitEvent::Submit`](crate::AdmitEvent) or [`AdmitEvent::Cancel`](crate::AdmitEvent): the allocator does not
-    /// hold it any more.
+    /// The allocator does not hold this request. Its entry instance reports the current phase by
+    /// [`AdmitEvent::Announce`](crate::AdmitEvent), [`AdmitEvent::Submit`](crate::AdmitEvent) or
+    /// [`AdmitEvent::Cancel`](crate::AdmitEvent).
     Resync {
         /// The request.
         key: RequestKey,
     },
-    /// Send [`AdmitEvent::Tick`](crate::AdmitEvent) at this time; the earliest one given counts.
+    /// Requests an [`AdmitEvent::Tick`](crate::AdmitEvent) at this time. If several are pending, the earliest one
+    /// counts.
     WakeAt(Instant),
 }
--- a/crates/admit/src/admit_event.rs
+++ b/crates/admit/src/admit_event.rs
@@ -1,4 +1,4 @@
-//! What an allocator hears.
+//! Inputs of an allocator.
 
 use {
     crate::{admit_request::AdmitRequest, link_info::LinkInfo, request_key::RequestKey},
@@ -8,90 +8,92 @@
     table::WorkTable,
 };
 
-/// How far a request has come, as its entry instance announces it to a new allocator.
+/// The phase of a request, as its entry instance announces it to a new allocator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnnouncedPhase {
-    /// It generates tokens.
+    /// The request generates tokens.
     Decoding {
-        /// The engine whose place it holds.
+        /// The engine on which the request holds a decode place.
         decode: UpstreamId,
-        /// The tokens so far.
+        /// Tokens generated so far.
         tokens: u32,
     },
-    /// A prefill engine reads the prompt.
+    /// A prefill engine processes the prompt.
     Prefilling {
-        /// The engine that reads.
+        /// The engine that prefills the prompt.
         prefill: UpstreamId,
-        /// When the reading started.
+        /// When prefill started.
         since: Instant,
     },
-    /// Its KV cache lies at the prefill engine and may be evicted.
+    /// The KV cache is kept by the prefill engine and may be evicted.
     Prefilled {
-        /// The engine that has the KV cache.
+        /// The engine that keeps the KV cache.
         prefill: UpstreamId,
-        /// When the reading ended.
+        /// When prefill ended.
         since: Instant,
     },
-    /// Its KV cache crosses the link.
+    /// The KV cache is being transferred over the link.
     Transferring {
-        /// The engine whose place it holds.
+        /// The engine on which the request holds a decode place.
         decode: UpstreamId,
-        /// The engine that has the KV cache.
+        /// The engine that keeps the KV cache.
         prefill: UpstreamId,
         /// When the transfer started.
         since: Instant,
     },
 }
 
-/// One event. Times inside events are by the clock of whoever drives the allocator.
+/// One event. Timestamps inside events use the clock of the allocator's driver.
 #[derive(Clone, Debug)]
 pub enum AdmitEvent {
-    /// An entry instance announces what a request holds, to an allocator that did not grant it.
+    /// An entry instance reports what a request holds to an allocator that did not grant it.
     Announce {
-        /// How far the request has come.
+        /// The phase of the request.
         phase: AnnouncedPhase,
         /// The request.
         request: AdmitRequest,
     },
-    /// An engine's cache events: blocks kept and evicted. They come late and with gaps.
+    /// Cache events of an engine. They arrive with a delay, and some are lost.
     CacheEvents {
-        /// Blocks that the engine evicted.
+        /// Blocks evicted by the engine.
         evicted: Vec<BlockHash>,
-        /// Blocks that the engine keeps.
+        /// Blocks stored by the engine.
         stored: Vec<BlockHash>,
-        /// The engine.
+        /// The engine that reported them.
         upstream: UpstreamId,
     },
-    /// The caller is gone, or the entry instance gave the request up. At any phase; all that it holds is free.
+    /// The caller disconnected, or the entry instance gave up. Valid in any phase; frees everything that the request
+    /// holds.
     Cancel {
         /// The request.
         key: RequestKey,
     },
-    /// The decode engine refused the request as full, or could not be reached; nothing was transferred.
+    /// The decode engine refused the request because it is full, or was unreachable. Nothing was transferred.
     DecodeRefused {
         /// The request.
         key: RequestKey,
     },
-    /// The decode engine failed after the transfer began; its place is to be taken as free.
+    /// The decode engine failed after the transfer began. Its decode place counts as free.
     DecodeLost {
         /// The request.
         key: RequestKey,
     },
-    /// The last token came; the decode place is free.
+    /// The last token arrived, and the decode place is free.
     Finished {
         /// The request.
         key: RequestKey,
-        /// The length of the answer.
+        /// The length of the answer in tokens.
         output_tokens: u32,
     },
-    /// The first token came from the decode engine: the transfer ended and the link is free.
+    /// The first token arrived from the decode engine, so the transfer has ended and the link is free.
     FirstToken {
         /// The request.
         key: RequestKey,
     },
-    /// An entry instance died, or came back in a later life: all that its earlier lives hold is free.
+    /// An entry instance died or restarted with a later incarnation. Everything held by its earlier incarnations is
+    /// freed.
     HolderGone {
-        /// The first life that is not gone; `Incarnation::MAX` when the instance is gone for good.
+        /// The lowest incarnation that is still valid; `Incarnation::MAX` when the instance will not return.
         before: Incarnation,
         /// The entry instance.
         instance: InstanceId,
@@ -101,44 +103,44 @@
         /// The request.
         key: RequestKey,
     },
-    /// What is known of the cell's links.
+    /// Bandwidth and eviction time of the cell's link.
     Link(LinkInfo),
-    /// A load report.
+    /// A load report of an engine.
     Load(LoadReport),
-    /// The prefill engine has read the prompt; the KV cache lies there until it is evicted.
+    /// Prefill is complete. The prefill engine keeps the KV cache until it evicts it.
     PrefillDone {
         /// The request.
         key: RequestKey,
     },
-    /// The prefill engine refused or failed; nothing is held there.
+    /// The prefill engine refused or failed, and holds nothing for the request.
     PrefillFailed {
         /// The request.
         key: RequestKey,
     },
-    /// An entry instance whose session was lost tells anew how far a request has come. It counts in place of what the
-    /// allocator holds: a grant may have been lost with the session.
+    /// An entry instance reports the phase of a request again after its session broke. The report replaces the
+    /// allocator's state, because a grant may have been lost with the session.
     Reconcile {
-        /// How far the request has come; none when it waits for a prefill engine.
+        /// The phase of the request; `None` if it waits for a prefill engine.
         phase: Option<AnnouncedPhase>,
         /// The request.
         request: AdmitRequest,
     },
-    /// A new request. Its answer is [`AdmitAction::GrantPrefill`](crate::AdmitAction) or
-    /// [`AdmitAction::Refuse`](crate::AdmitAction), at once or later.
+    /// A new request. The answer is [`AdmitAction::GrantPrefill`](crate::AdmitAction) or
+    /// [`AdmitAction::Refuse`](crate::AdmitAction), immediately or later.
     Submit(AdmitRequest),
-    /// The table in force, and this cell's share of each row's limit: 0 to 1.
+    /// The active table and this cell's share of each row's limit.
     Table {
-        /// This cell's share of each row's limit.
+        /// This cell's share of each row's limit, from 0 to 1.
         share: f64,
-        /// The table.
+        /// The active table.
         table: Arc<WorkTable>,
     },
-    /// Time passed; drivers send it when [`AdmitAction::WakeAt`](crate::AdmitAction) asks.
+    /// Time has passed. Sent when [`AdmitAction::WakeAt`](crate::AdmitAction) asks for it.
     Tick,
-    /// An upstream is gone: all that requests hold there is free.
+    /// An upstream is gone. Everything that requests hold there is freed.
     UpstreamGone(UpstreamId),
-    /// An upstream takes no new work; what runs there goes on.
+    /// An upstream takes no new work. Requests that run there continue.
     UpstreamDraining(UpstreamId, LeavingCause),
-    /// An upstream is there, or changed its role or rates, or is back.
+    /// An upstream is available: it is new, has returned, or changed its role or rates.
     UpstreamUp(UpstreamInfo),
 }
--- a/crates/admit/src/admit_policy.rs
+++ b/crates/admit/src/admit_policy.rs
@@ -1,4 +1,4 @@
-//! What the drivers ask of an allocator.
+//! The interface between a driver and an allocator.
 
 use {
     crate::{admit_action::AdmitAction, admit_event::AdmitEvent},
@@ -7,6 +7,6 @@
 
 /// A policy that admits requests to one cell.
 pub trait AdmitPolicy {
-    /// Takes one event and appends what it decides to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting decisions to `actions`. `now` never decreases.
     fn on_event(&mut self, now: Instant, event: AdmitEvent, actions: &mut Vec<AdmitAction>);
 }
--- a/crates/admit/src/admit_request.rs
+++ b/crates/admit/src/admit_request.rs
@@ -1,4 +1,4 @@
-//! What an allocator is told of a request.
+//! The description of a request that an allocator receives.
 
 use {
     crate::request_key::RequestKey,
@@ -6,19 +6,19 @@
     std::time::Instant,
 };
 
-/// One attempt that asks for a prefill engine, a link turn and a decode place.
+/// One attempt that asks for a prefill engine, a transfer and a decode place.
 #[derive(Clone, Debug)]
 pub struct AdmitRequest {
-    /// When the caller's request arrived, by the clock of whoever drives the allocator.
+    /// When the caller's request arrived, by the clock of the allocator's driver.
     pub arrived: Instant,
     /// The request.
     pub key: RequestKey,
-    /// The most tokens that the caller takes.
+    /// The maximum length of the answer in tokens.
     pub max_tokens: u32,
-    /// The chained hashes of the prompt's blocks, first block first.
+    /// Chained hashes of the prompt's blocks, in prompt order.
     pub prefix: Vec<BlockHash>,
-    /// The prompt's length in tokens, as well as the entry instance can tell.
+    /// The prompt length in tokens, as estimated by the entry instance.
     pub prompt_tokens: u32,
-    /// The row of the table.
+    /// The work that names the row of the table.
     pub work: WorkId,
 }
--- a/crates/admit/src/cell_allocator.rs
+++ b/crates/admit/src/cell_allocator.rs
@@ -28,27 +28,27 @@
     table::WorkTable,
 };
 
-/// Orders the queue of one cell and grants prefill engines, link turns and decode places.
+/// Orders the queue of one cell and grants prefill engines, transfers and decode places.
 ///
-/// Pure: the same seed and the same events give the same decisions. Every request that was submitted gets exactly one
-/// of: a refusal, a chain of grants, or nothing more after its cancellation. Events of unknown requests, doubled ones and
-/// late ones change nothing; a notice of a request that the allocator lost track of is answered by
+/// Deterministic: the same seed and events give the same decisions. Every submitted request gets exactly one of: a
+/// refusal, a chain of grants, or nothing more after its cancellation. Late, duplicate and unknown events have no
+/// effect, except that a notice for a request which the allocator no longer holds is answered with
 /// [`AdmitAction::Resync`].
 ///
 /// A key that ended by `Finished`, `Cancel` or `HolderGone` can't be submitted again; one that was refused or ended by
-/// `DecodeLost` can. An upstream that is gone requeues what it was reading; the grant that follows takes the place of
-/// the earlier one.
+/// `DecodeLost` can. Requests that were being prefilled by an upstream that is gone return to the queue, and the next
+/// grant replaces the earlier one.
 #[derive(Clone, Debug)]
 pub struct CellAllocator {
     pub(crate) choice: ReplicaChoice,
     pub(crate) ended: EndedKeys,
-    /// Announced requests whose row no table had yet.
+    /// Announced requests whose row is unknown until the first table arrives.
     pub(crate) pending: BTreeMap<RequestKey, (AnnouncedPhase, AdmitRequest)>,
     pub(crate) live_incarnations: BTreeMap<InstanceId, Incarnation>,
     pub(crate) link: LinkSchedule,
     pub(crate) pools: BTreeMap<PoolKey, EnginePool>,
     pub(crate) prefixes: PrefixTable,
-    /// Requests whose KV cache waits for a place and a link turn, most pressing first.
+    /// Requests whose KV cache waits for a decode place and the link, earliest due time first.
     pub(crate) prefilled: BTreeSet<(Instant, RequestKey)>,
     pub(crate) requests: BTreeMap<RequestKey, HeldRequest>,
     pub(crate) row_ids: BTreeMap<WorkId, usize>,
@@ -64,31 +64,32 @@
 
 #[bon]
 impl CellAllocator {
-    /// An allocator that knows no table, no upstream and no request yet.
+    /// Creates an allocator without a table, upstreams or requests.
     #[builder]
     pub fn new(
-        /// The share of the eviction time within which a decode place has to be expected: 0 to 1.
+        /// The share of the eviction time within which a decode place must be expected, from 0 to 1.
         #[builder(default = 0.6)]
         eviction_share: f64,
-        /// How long a decode engine that refused is taken as full, unless a later load report says otherwise.
+        /// How long a decode engine that refused counts as full, unless a later load report contradicts it.
         #[builder(default = Duration::from_millis(200))]
         full_backoff: Duration,
-        /// How many standard deviations of urgent demand patient work leaves room for.
+        /// How many standard deviations of urgent demand patient work leaves free.
         #[builder(default = 2.0)]
         headroom: f64,
-        /// How early before an engine or the link is free the next grant goes out; the time that a grant travels.
+        /// How long before an engine or the link becomes free the next grant is sent. Compensates for the delay of a
+        /// grant.
         #[builder(default)]
         lookahead: Duration,
-        /// The share of the service that goes to work which waited half its patience, whatever its rank: 0 to 1.
+        /// The share of service reserved for work that waited half its patience, regardless of rank, from 0 to 1.
         #[builder(default = 0.007)]
         patient_share: f64,
         /// How many blocks of prompt prefixes are remembered for each prefill engine.
         #[builder(default = 4096)]
         prefix_blocks: usize,
-        /// How long a queue for the sake of a cached prefix may be.
+        /// The longest queue that is accepted to reuse a cached prefix.
         #[builder(default = Duration::from_millis(300))]
         prefix_queue: Duration,
-        /// Settles ties between equal engines.
+        /// Breaks ties between equal engines.
         #[builder(default)]
         seed: u64,
     ) -> Self {
@@ -168,7 +169,7 @@
 }
 
 impl CellAllocator {
-    /// How many requests are held, by phase. Takes time in proportion to them.
+    /// Counts the held requests by phase, in time linear in their number.
     pub fn counts(&self) -> CellCounts {
         let mut counts = CellCounts::default();
         for held in self.requests.values() {
--- a/crates/admit/src/cell_counts.rs
+++ b/crates/admit/src/cell_counts.rs
@@ -1,30 +1,30 @@
-//! What a cell holds, for metrics and the state dump.
+//! Occupancy of a cell, for metrics and the state dump.
 
 use serde::Serialize;
 
-/// How many requests an allocator knows, by phase.
+/// The number of requests in each phase.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct CellCounts {
-    /// Decode places that requests which were or are being read wait for, by the books of the pools.
+    /// Requests that are prefilling or prefilled and still need a decode place, counted from the pools.
     pub claims: usize,
     /// Requests that generate tokens.
     pub decoding: usize,
-    /// Decode places that requests hold, by the books of the engines.
+    /// Decode places held by requests, counted from the engines.
     pub places: usize,
-    /// Requests that wait for their turn.
+    /// Requests in the queue.
     pub queued: usize,
-    /// Requests that were read and wait for a place and the link.
+    /// Prefilled requests that wait for a decode place and the link.
     pub read: usize,
-    /// Requests that are being read.
+    /// Requests that are being prefilled.
     pub reading: usize,
-    /// Requests that hold something, by the books of the rows' limits.
+    /// Requests that hold a resource, counted from the rows' limits.
     pub running: usize,
-    /// Requests whose KV cache crosses the link.
+    /// Requests whose KV cache is being transferred.
     pub transferring: usize,
 }
 
 impl CellCounts {
-    /// All requests that the allocator knows.
+    /// The number of requests held by the allocator.
     pub fn total(&self) -> usize {
         self.decoding + self.queued + self.read + self.reading + self.transferring
     }
--- a/crates/admit/src/cell_estimates.rs
+++ b/crates/admit/src/cell_estimates.rs
@@ -1,4 +1,4 @@
-//! When a first token is to be expected.
+//! Estimates of the time to the first token.
 
 use {
     crate::{
@@ -9,14 +9,15 @@
     std::time::{Duration, Instant},
 };
 
-/// The share of answers that end within the time that counts as a request's service: a request is late when it is more
-/// likely not to end in time than to.
+/// The quantile of the output length that defines a request's service time. At the median, a request counts as late
+/// when it is more likely to miss its deadline than to meet it.
 const SERVICE_QUANTILE: f64 = 0.5;
-/// Up to this many requests ahead are placed on engines one by one; more count as a fluid.
+/// Up to this many requests ahead are assigned to engines one by one. The rest is approximated as a continuous flow.
 const PLACED_LIMIT: f64 = 64.0;
 
 impl CellAllocator {
-    /// What a new request of a row finds before it: better ranks, its own row, and the other rows of its rank by weight.
+    /// The requests that are prefilled before a new request of a row: those of better ranks, those of its own row, and
+    /// a share by weight of the other rows of its rank.
     pub(crate) fn queue_ahead(&self, row: usize) -> QueueAhead {
         let own = &self.rows[row];
         let mut ahead = QueueAhead::default();
@@ -39,7 +40,7 @@
         ahead
     }
 
-    /// How long from now until the first token of a request, with some requests before it, by the forecast at hand.
+    /// The expected time to the first token of a request behind the requests in `ahead`. Uses the current forecast.
     pub(crate) fn first_token_after(
         &self,
         now: Instant,
@@ -58,19 +59,19 @@
         let due = due.unwrap_or(now);
         let earlier = pool.reservations.iter().take_while(|(time, _)| *time < due);
         let ends = earlier.count() as f64 + ahead.requests + 1.0 - free;
-        let place = pool.forecast.seconds_until(ends);
+        let place_seconds = pool.forecast.seconds_until(ends);
         let start = pool.start_seconds(now, ahead);
         let start = match state.row.waste <= 0.0 {
-            true => start.max(place),
+            true => start.max(place_seconds),
             false => start,
         };
         let prefill_seconds = self.prefill_end_seconds(now, pool, request, start);
-        let ready = prefill_seconds.max(place);
+        let ready = prefill_seconds.max(place_seconds);
         let wait = self.link.wait_seconds(now, ready, transfer);
         seconds(ready + wait + transfer + pool.step_seconds())
     }
 
-    /// How long a request most probably takes from its reading to its last token, at full engines.
+    /// The median time from the start of prefill to the last token, with fully loaded engines.
     pub(crate) fn service_time(&self, row: usize, request: &AdmitRequest) -> Duration {
         let state = &self.rows[row];
         let Some(pool) = self.pools.get(&state.pool) else {
@@ -83,7 +84,7 @@
         seconds(prefill_seconds + transfer + length * pool.full_step_seconds())
     }
 
-    /// Seconds until a prompt is read whose turn comes in `start` seconds.
+    /// Seconds until the prompt is prefilled if it reaches the head of the queue in `start` seconds.
     fn prefill_end_seconds(
         &self,
         now: Instant,
@@ -103,7 +104,7 @@
         best
     }
 
-    /// The tokens of a prompt that an engine is thought to hold; the last one is always read.
+    /// The prompt tokens that an engine probably has in its cache. The last token always has to be prefilled.
     pub(crate) fn cached_tokens(&self, upstream: &UpstreamId, request: &AdmitRequest) -> f64 {
         if request.prefix.is_empty() {
             return 0.0;
@@ -115,7 +116,7 @@
 }
 
 impl EnginePool {
-    /// Seconds until the next prompt can be read once those before it were given out.
+    /// Seconds until a prefill engine can take the next prompt once those ahead were assigned.
     fn start_seconds(&self, now: Instant, ahead: QueueAhead) -> f64 {
         let open = self.prefills.values().filter(|engine| !engine.is_draining);
         let mut queues: Vec<f64> = open.map(|engine| engine.queue_seconds(now)).collect();
--- a/crates/admit/src/cell_grants.rs
+++ b/crates/admit/src/cell_grants.rs
@@ -1,4 +1,4 @@
-//! What an allocator grants after each event.
+//! Grants that an allocator makes after each event.
 
 use {
     crate::{
@@ -11,13 +11,13 @@
     std::time::{Duration, Instant},
 };
 
-/// A KV cache that is evicted this soon is transferred beside whatever crosses the link.
+/// A KV cache that is evicted within this time is transferred even if the link is busy.
 const EVICTION_MARGIN: Duration = Duration::from_millis(60);
-/// How soon a blocked queue is looked at again when no event comes.
+/// How soon a blocked queue is checked again when no event arrives.
 const BLOCKED_RETRY: Duration = Duration::from_millis(10);
-/// The most requests that are passed over after one event.
+/// The maximum number of requests that are passed over after one event.
 const MAX_SKIPS: usize = 4;
-/// The most grants of reading after one event.
+/// The maximum number of prefill grants after one event.
 const MAX_GRANTS: usize = 64;
 
 impl CellAllocator {
@@ -35,37 +35,37 @@
 
     fn wake(&mut self, now: Instant, blocked: bool, actions: &mut Vec<AdmitAction>) {
         let mut wake = self.timers.first().map(|(time, _)| *time);
-        let mut sooner = |time: Instant| wake = Some(wake.map_or(time, |wake| wake.min(time)));
+        let mut wake_by = |time: Instant| wake = Some(wake.map_or(time, |wake| wake.min(time)));
         if !self.prefilled.is_empty() {
             let free = self.link.free_at(now);
             if let Some(free) = free.and_then(|free| free.checked_sub(self.tuning.lookahead)) {
-                sooner(free.max(now));
+                wake_by(free.max(now));
             }
             for (_, key) in &self.prefilled {
                 let evicts_at = self.requests.get(key).and_then(HeldRequest::evicts_at);
                 let pressing =
                     evicts_at.and_then(|evicts_at| evicts_at.checked_sub(EVICTION_MARGIN));
                 if let Some(pressing) = pressing.filter(|pressing| now < *pressing) {
-                    sooner(pressing);
+                    wake_by(pressing);
                 }
             }
             for pool in self.pools.values() {
                 for engine in pool.decodes.values() {
                     if let Some((_, until)) = engine.full_period.filter(|(_, until)| now < *until) {
-                        sooner(until);
+                        wake_by(until);
                     }
                 }
             }
         }
         if blocked {
-            sooner(now + BLOCKED_RETRY);
+            wake_by(now + BLOCKED_RETRY);
         }
         let Some(wake) = wake else {
             return;
         };
         if self
             .next_wake
-            .is_some_and(|woken| now < woken && woken <= wake)
+            .is_some_and(|next_wake| now < next_wake && next_wake <= wake)
         {
             return;
         }
@@ -135,7 +135,7 @@
         Some(option.upstream.clone())
     }
 
-    /// Grants reading in the order of the turns; whether a request waits for a decode place to be expected.
+    /// Grants prefill in queue order. Returns whether the queue is blocked and has to be checked again soon.
     fn grant_prefills(
         &mut self,
         now: Instant,
@@ -187,8 +187,7 @@
         });
     }
 
-    /// The prefill engine that would have read a request first, and the tokens that it would read; none when the
-    /// request had better wait.
+    /// The prefill engine that would finish first and the tokens it has to process. `None` if the request should wait.
     fn pick_prefill(
         &mut self,
         now: Instant,
--- a/crates/admit/src/cell_indexes.rs
+++ b/crates/admit/src/cell_indexes.rs
@@ -1,4 +1,4 @@
-//! The books of an allocator: every index changes here, and only here.
+//! The indexes of an allocator. Only this module updates them.
 
 use {
     crate::{
@@ -8,15 +8,15 @@
     std::time::{Duration, Instant},
 };
 
-/// How long news of a request may be overdue before it is taken as lost.
+/// The grace period after which a missing notice counts as lost.
 const LOST_AFTER: Duration = Duration::from_secs(10);
-/// How many times the expected time news may take before that.
+/// The multiple of the expected duration that is waited in addition to [`LOST_AFTER`].
 const LOST_FACTOR: f64 = 4.0;
-/// The bound of any wait, so that sums of times stay in range.
+/// The upper bound of any wait. Keeps sums of times in range.
 pub(crate) const MAX_WAIT: Duration = Duration::from_secs(365 * 24 * 3600);
 
 impl CellAllocator {
-    /// Enters a request in every index that its phase names.
+    /// Adds a request to every index of its phase.
     pub(crate) fn put(&mut self, now: Instant, key: RequestKey, mut held: HeldRequest) {
         held.timer_at = self.timer_for(now, &held);
         held.due = self.place_due_at(now, &held);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes a request out of every index; all that it held is free.
+    /// Removes a request from every index and frees everything it holds.
     pub(crate) fn remove(&mut self, now: Instant, key: &RequestKey) -> Option<HeldRequest> {
         let held = self.requests.remove(key)?;
         self.timers.remove(&(held.timer_at, key.clone()));
@@ -121,10 +121,10 @@
         }
     }
 
-    /// By when a request needs a decode place: before its KV cache is evicted, and in time for its first token.
+    /// When a request needs a decode place: before its KV cache is evicted, and early enough for its first token.
     fn place_due_at(&self, now: Instant, held: &HeldRequest) -> Instant {
         let eviction = self.link.eviction();
-        let kept = eviction.mul_f64(self.tuning.eviction_share);
+        let kept_for = eviction.mul_f64(self.tuning.eviction_share);
         let ready = match &held.phase {
             RequestPhase::Prefilling { prefill, tokens } => {
                 let pool = self.pools.get(&held.pool);
@@ -139,22 +139,22 @@
             }
             _ => return now,
         };
-        self.place_due(held, ready, ready + kept)
+        self.place_due(held, ready, ready + kept_for)
     }
 
-    /// The earlier of `due` and the time that lets the first token come by its target, but not before `ready`.
+    /// The earlier of `due` and the latest time that still meets the first-token target, but not before `ready`.
     pub(crate) fn place_due(&self, held: &HeldRequest, ready: Instant, due: Instant) -> Instant {
         let Some(deadline) = held.deadline else {
             return due;
         };
         let pool = self.pools.get(&held.pool);
         let step = pool.map_or(0.0, |pool| pool.step_seconds());
-        let rest = seconds(self.link.seconds(held.request.prompt_tokens) + step);
-        let latest = deadline.checked_sub(rest).unwrap_or(ready);
+        let remaining = seconds(self.link.seconds(held.request.prompt_tokens) + step);
+        let latest = deadline.checked_sub(remaining).unwrap_or(ready);
         due.min(latest).max(ready)
     }
 
-    /// When the allocator has to look at a request again if it hears nothing.
+    /// When the allocator has to check a request again if no event arrives.
     fn timer_for(&self, now: Instant, held: &HeldRequest) -> Instant {
         let tokens = held.request.prompt_tokens;
         let transfer = self.link.seconds(tokens);
--- a/crates/admit/src/cell_key.rs
+++ b/crates/admit/src/cell_key.rs
@@ -1,4 +1,4 @@
-//! The name of one cell.
+//! The identifier of a cell.
 
 use {
     kernel::{ModelId, ZoneId},
@@ -6,14 +6,14 @@
     std::fmt,
 };
 
-/// Names a cell: one part of the engines of a model in an availability zone.
+/// Identifies a cell: a group of engines of one model in one availability zone.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CellKey {
-    /// Counts the cells of the availability zone and model, from 0.
+    /// The index among the cells of the availability zone and model, from 0.
     pub cell: u32,
-    /// The model.
+    /// The model that the cell's engines serve.
     pub model: ModelId,
-    /// The availability zone.
+    /// The availability zone of the cell's engines.
     pub zone: ZoneId,
 }
 
--- a/crates/admit/src/cell_order.rs
+++ b/crates/admit/src/cell_order.rs
@@ -1,4 +1,4 @@
-//! In which order an allocator lets requests be read, and when reading may start.
+//! The order in which requests are prefilled, and the conditions for starting a prefill.
 
 use {
     crate::{
@@ -12,13 +12,14 @@
     table::Rank,
 };
 
-/// The part of the first-token target that urgent work may wait for a place that patient work holds.
+/// The share of the first-token target that urgent work may spend waiting for a decode place held by patient work.
 const SLACK_SHARE: f64 = 0.5;
-/// The part of its patience after which a request may go before its rank.
+/// The share of its patience after which a request may be prefilled ahead of its rank.
 const AGED_SHARE: f64 = 0.5;
 
 impl CellAllocator {
-    /// The request whose turn it is: by rank, then the row with the least service over its weight, then its first.
+    /// The next request to prefill: the best rank, then the row with the least service per weight, then the head of its
+    /// queue.
     pub(crate) fn next_candidate(
         &self,
         now: Instant,
@@ -54,7 +55,8 @@
         })
     }
 
-    /// A request that waited long, when its turn before its rank has come.
+    /// A request that has waited long enough to be prefilled ahead of its rank, if the credit for such requests allows
+    /// it.
     fn aged_candidate(&self, now: Instant, pool: &PoolKey) -> Option<PrefillCandidate> {
         if self.pools.get(pool)?.aged_credit <= 0.0 {
             return None;
@@ -81,7 +83,8 @@
         None
     }
 
-    /// A row that had nothing queued starts level with the row that went last in its rank.
+    /// Starts a row with an empty queue at the pass value of the last scheduled row of its rank, so that idle time
+    /// earns no credit.
     pub(crate) fn join_rank(&mut self, row: usize) {
         let state = &self.rows[row];
         if !state.queue.is_empty() {
@@ -90,12 +93,12 @@
         let Some(pool) = self.pools.get(&state.pool) else {
             return;
         };
-        let level = pool.rank_passes.get(&state.row.rank).copied();
+        let pass = pool.rank_passes.get(&state.row.rank).copied();
         let state = &mut self.rows[row];
-        state.pass = state.pass.max(level.unwrap_or_default());
+        state.pass = state.pass.max(pass.unwrap_or_default());
     }
 
-    /// Charges a row for its turn by the scarcer of reading time and decode places.
+    /// Charges a row for a prefill grant, by the scarcer of prefill time and decode places.
     pub(crate) fn charge_row(&mut self, pool: &PoolKey, candidate: &PrefillCandidate, tokens: f64) {
         let Some(pool) = self.pools.get_mut(pool) else {
             return;
@@ -107,9 +110,9 @@
             return;
         };
         let length = state.sketch.mean(f64::from(request.request.max_tokens));
-        let held = length * pool.step_seconds() / places;
+        let decode_seconds = length * pool.step_seconds() / places;
         pool.rank_passes.insert(state.row.rank, state.pass);
-        let service = prefill_seconds.max(held);
+        let service = prefill_seconds.max(decode_seconds);
         request.charged_seconds += service;
         state.pass += service / state.row.weight.max(f64::MIN_POSITIVE);
         let credit = match candidate.is_aged {
@@ -119,7 +122,7 @@
         pool.aged_credit = credit.min(AGED_CREDIT_LIMIT);
     }
 
-    /// Corrects what a row was charged for a request, by the length that its answer had.
+    /// Corrects the charge of a row once the length of the answer is known.
     pub(crate) fn settle_charge(&mut self, held: &HeldRequest, output_tokens: u32) {
         let Some(pool) = self.pools.get(&held.pool) else {
             return;
@@ -133,8 +136,8 @@
         state.pass += (service - held.charged_seconds) / state.row.weight.max(f64::MIN_POSITIVE);
     }
 
-    /// Whether urgent work of a better rank still finds a prefill engine in time after `prefill` is given a reading of
-    /// some seconds. With one engine there is no choice.
+    /// Whether urgent work of a better rank still finds a prefill engine in time if `prefill` gets a further prefill of
+    /// `prefill_seconds`. Always true with a single engine.
     fn keeps_engine_free(
         &self,
         now: Instant,
@@ -163,7 +166,7 @@
         engines < 2 || urgent.rate * (least - urgent.slack) <= MAX_EXPECTED_LATE
     }
 
-    /// What urgent work of a better rank than a row's asks for; none when it is too rare to keep room for.
+    /// The demand of urgent rows of a better rank than `row`. `None` if it is too rare to keep resources free for it.
     fn urgent_demand(&self, now: Instant, row: usize) -> Option<UrgentDemand> {
         let row = &self.rows[row];
         let pool = self.pools.get(&row.pool)?;
@@ -184,7 +187,7 @@
         (demand.rate >= MIN_URGENT_RATE).then_some(demand)
     }
 
-    /// Whether a decode place and the link are expected to be free by the time that the reading ends.
+    /// Decides whether a decode place and the link are expected to be free when the prefill ends.
     pub(crate) fn decide_prefill(
         &mut self,
         now: Instant,
@@ -214,14 +217,14 @@
         }
         let ready = engine.queue_seconds(now) + prefill_seconds;
         let transfer = self.link.seconds(held.request.prompt_tokens);
-        let kept = self.link.eviction().as_secs_f64() * self.tuning.eviction_share;
-        if self.link.wait_seconds(now, ready, transfer) > kept {
+        let kept_seconds = self.link.eviction().as_secs_f64() * self.tuning.eviction_share;
+        if self.link.wait_seconds(now, ready, transfer) > kept_seconds {
             return PrefillDecision::Blocked;
         }
         let free = f64::from(pool.free(now, row.between_tokens));
         let spare = free - pool.reservations.len() as f64 - 1.0;
-        let read_at = now + seconds(ready);
-        let due = self.place_due(held, read_at, read_at + seconds(kept));
+        let prefilled_at = now + seconds(ready);
+        let due = self.place_due(held, prefilled_at, prefilled_at + seconds(kept_seconds));
         if !candidate.is_aged && !self.keeps_places_free(now, pool, candidate.row) {
             return PrefillDecision::Blocked;
         }
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Whether urgent work of a better rank still finds a place in time after one more of this row.
+    /// Whether urgent work of a better rank still finds a decode place in time after one more request of this row.
     fn keeps_places_free(&self, now: Instant, pool: &EnginePool, row: usize) -> bool {
         let Some(urgent) = self.urgent_demand(now, row) else {
             return true;
@@ -249,9 +252,10 @@
         spare + mean >= demand + urgent.queued + margin && self.keeps_share_free(pool, row, &urgent)
     }
 
-    /// Whether the places that urgent work of better ranks holds on the whole stay free of this row and worse ones.
+    /// Whether enough decode places for the average occupancy of urgent work stay free of this row and worse ranks.
     ///
-    /// Patient streams are long: a place given to one in a lull of urgent work is gone when the lull is over.
+    /// Streams of patient work are long. A place given to one while urgent work is low is not free again when demand
+    /// returns.
     fn keeps_share_free(&self, pool: &EnginePool, row: usize, urgent: &UrgentDemand) -> bool {
         let own = &self.rows[row];
         let mut running = 1.0;
@@ -265,11 +269,11 @@
     }
 }
 
-/// How many deviations above its mean the number of places that urgent work holds is left free.
+/// How many standard deviations above the mean occupancy of urgent work are kept free.
 const OCCUPANCY_MARGIN: f64 = 2.0;
-/// The most service that is saved up for work that waited long, in seconds of the whole pool.
+/// The maximum credit saved up for work that waited long, in seconds of the whole pool.
 const AGED_CREDIT_LIMIT: f64 = 0.5;
-/// Urgent work that comes less often than this, a second, gets no room kept.
+/// Urgent work that arrives less often than this per second gets no resources kept free.
 const MIN_URGENT_RATE: f64 = 0.01;
-/// So many urgent requests may be expected to come late for one long reading.
+/// The maximum expected number of urgent requests delayed by one long prefill.
 const MAX_EXPECTED_LATE: f64 = 0.25;
--- a/crates/admit/src/cell_plan.rs
+++ b/crates/admit/src/cell_plan.rs
@@ -1,4 +1,4 @@
-//! Which cells there are, who allocates each, and what part of a limit each has.
+//! The division of engines into cells, their allocators, and the split of limits over cells.
 
 use {
     crate::cell_key::CellKey,
@@ -6,7 +6,7 @@
     table::{WorkRow, WorkTable},
 };
 
-/// The cells of all availability zones. A fixed function of the settings, the same on every instance.
+/// The cells of all availability zones. Depends on the settings only, so every instance computes the same plan.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CellPlan {
     cells: u32,
@@ -14,10 +14,11 @@
 }
 
 impl CellPlan {
-    /// The live entry instance that allocates a cell: rendezvous hashing over those of the cell's availability zone.
+    /// The live entry instance that allocates a cell, chosen by rendezvous hashing over the instances of the cell's
+    /// availability zone.
     ///
-    /// An instance that comes or goes moves only the cells that it wins or had won. Two instances that see different
-    /// members may both allocate for a moment: engines refuse what doesn't fit.
+    /// A joining or leaving instance moves only the cells that it wins or loses. Two instances with different member
+    /// lists may both allocate for a short time; engines then refuse what exceeds their capacity.
     pub fn allocator<'a>(
         &self,
         cell: &CellKey,
@@ -35,7 +36,7 @@
         keys[cell.unwrap_or_default()].clone()
     }
 
-    /// The cells of an availability zone and model.
+    /// The cells of a model in an availability zone.
     pub fn cells_of(&self, zone: &ZoneId, model: &ModelId) -> Vec<CellKey> {
         let mut keys = Vec::new();
         for cell in 0..self.cells {
@@ -48,18 +49,18 @@
         keys
     }
 
-    /// The cells where something of a row may run, by their names; a row with a small limit has few.
+    /// The cells in which a request of the row may run. A row with a small limit has few.
     pub fn cells_with_capacity(&self, row: &WorkRow) -> Vec<CellKey> {
         let mut cells_with_capacity = self.allowed_cells(row);
         cells_with_capacity.retain(|cell| self.limit_share(row, cell) != Some(0));
         cells_with_capacity
     }
 
-    /// How many requests of a row may run at once in a cell; none is no limit.
+    /// The number of requests of a row that may run at once in a cell; `None` if the row has no limit.
     ///
-    /// The limit is divided evenly over the cells where the row may run, whether or not they live. What the division
-    /// leaves over goes, one each, to the cells that rendezvous hashing on the row names. So the parts always sum to
-    /// the limit, a cell that is cut off keeps to its own part, and a row goes on somewhere unless its limit is 0.
+    /// The limit is divided evenly over the cells where the row may run, whether or not they are alive. The remainder
+    /// goes, one each, to the cells chosen by rendezvous hashing on the row. The parts therefore always sum to the
+    /// limit, a cell that is cut off keeps to its own part, and a row can run somewhere unless its limit is 0.
     pub fn limit_share(&self, row: &WorkRow, cell: &CellKey) -> Option<u32> {
         let limit = row.limit?;
         let mut cells = self.allowed_cells(row);
@@ -73,13 +74,13 @@
         Some(limit / count + u32::from(extra))
     }
 
-    /// A plan of `cells` cells, at least one, for each model in each of the availability zones.
+    /// Creates a plan with `cells` cells (at least one) per model and availability zone.
     pub fn new(zones: Vec<ZoneId>, cells: u32) -> Self {
         let cells = cells.max(1);
         Self { cells, zones }
     }
 
-    /// The table as a cell's allocator is to have it, with a share of 1: each limit is the cell's part.
+    /// The table for a cell's allocator, in which each limit is the cell's part. Used with a share of 1.
     pub fn split(&self, table: &WorkTable, cell: &CellKey) -> WorkTable {
         let mut split = table.clone();
         for row in split.rows.values_mut() {
--- a/crates/admit/src/cell_refusals.rs
+++ b/crates/admit/src/cell_refusals.rs
@@ -1,4 +1,4 @@
-//! When an allocator gives a request up, and when the caller may come back.
+//! Refusals, and the estimate of when the caller may retry.
 
 use {
     crate::{
@@ -9,15 +9,15 @@
     std::time::{Duration, Instant},
 };
 
-/// The longest wait that a caller is told.
+/// The longest retry delay reported to a caller.
 const RETRY_CEILING: Duration = Duration::from_secs(600);
-/// The shortest wait that a caller is told.
+/// The shortest retry delay reported to a caller.
 const RETRY_FLOOR: Duration = Duration::from_millis(100);
-/// How often the urgent queue is looked through for requests that became late.
+/// How often the urgent queue is scanned for requests that have become late.
 const SWEEP_PERIOD: Duration = Duration::from_millis(20);
 
 impl CellAllocator {
-    /// The wait that a caller is told when no queue gives a better figure.
+    /// The retry delay when the queue gives no estimate.
     pub(crate) const UNKNOWN_WAIT: Duration = Duration::from_secs(1);
 
     pub(crate) fn refuse(key: RequestKey, code: ResultCode, wait: Duration) -> AdmitAction {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Why a new request can't be served, and when it might be.
+    /// Why a new request can't be served, and how long the caller should wait before a retry. `None` if it can be
+    /// queued.
     pub(crate) fn refusal(
         &mut self,
         now: Instant,
@@ -45,9 +46,9 @@
         }
         let target = state.row.first_token?;
         let left = (request.arrived + target).saturating_duration_since(now);
-        let turn = self.limit_wait(row);
-        if turn > left {
-            return Some((ResultCode::LimitReached, turn));
+        let limit_wait = self.limit_wait(row);
+        if limit_wait > left {
+            return Some((ResultCode::LimitReached, limit_wait));
         }
         if let Some(pool) = self.pools.get_mut(&self.rows[row].pool) {
             pool.refresh_forecast(now, &self.rows);
@@ -60,7 +61,7 @@
         None
     }
 
-    /// How long a new request of a row waits until the row is under its limit.
+    /// How long a new request of a row waits until the row is below its limit.
     fn limit_wait(&self, row: usize) -> Duration {
         let state = &self.rows[row];
         if state.is_under_limit() {
@@ -71,7 +72,7 @@
         seconds(residence * turns)
     }
 
-    /// How long a request of a row would wait in the queue as it stands.
+    /// How long a new request of a row would wait in the current queue.
     pub(crate) fn queue_wait(&mut self, now: Instant, row: usize) -> Duration {
         let state = &self.rows[row];
         let Some(pool) = self.pools.get_mut(&state.pool) else {
@@ -86,11 +87,11 @@
         let prefill_seconds = ahead.tokens / pool.prefill_rate().max(f64::MIN_POSITIVE);
         let free = f64::from(pool.free(now, state.row.between_tokens));
         let ends = pool.reservations.len() as f64 + ahead.requests + 1.0 - free;
-        let place = pool.forecast.seconds_until(ends);
-        seconds(prefill_seconds.max(place)).max(self.limit_wait(row))
+        let place_seconds = pool.forecast.seconds_until(ends);
+        seconds(prefill_seconds.max(place_seconds)).max(self.limit_wait(row))
     }
 
-    /// Looks at the requests whose time has come.
+    /// Handles the requests whose timers have expired.
     pub(crate) fn run_timers(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
         while let Some((time, key)) = self.timers.first().cloned() {
             if time > now {
@@ -101,7 +102,8 @@
                 continue;
             };
             match held.phase {
-                // Its end was not heard of for very long: the place is free unless the entry instance says otherwise.
+                // No end was reported for a very long time. The place counts as free unless the entry instance reports
+                // otherwise.
                 RequestPhase::Decoding { .. } | RequestPhase::Transferring { .. } => {
                     self.resync(&key, actions);
                 }
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Refuses urgent requests that are known to be late by now, though their own time has not come.
+    /// Refuses urgent requests that are already expected to miss their target, before their own timers expire.
     pub(crate) fn sweep_urgent(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
         let since = self
             .last_sweep
@@ -176,7 +178,7 @@
     }
 }
 
-/// A duration of some seconds, within bounds.
+/// Converts seconds to a duration between 0 and [`RETRY_CEILING`].
 pub(crate) fn seconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value.max(0.0))
         .unwrap_or(RETRY_CEILING)
--- a/crates/admit/src/cell_requests.rs
+++ b/crates/admit/src/cell_requests.rs
@@ -1,4 +1,4 @@
-//! What an allocator does with events of requests.
+//! Handlers for events of requests.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
     std::time::Instant,
 };
 
-/// How many announced requests are kept until a table comes.
+/// The maximum number of announced requests kept until the first table arrives.
 const MAX_PENDING: usize = 65_536;
 
 impl CellAllocator {
@@ -43,8 +43,8 @@
         self.put(now, key, held);
     }
 
-    /// An announced request whose row is not known: it waits for the first table. After that it is refused if it waits
-    /// for a grant.
+    /// Handles an announced request whose row is unknown. Before the first table it is kept; afterwards it is refused
+    /// if it waits for a grant.
     fn announce_unknown(
         &mut self,
         phase: AnnouncedPhase,
@@ -116,12 +116,12 @@
         if let Some(engine) = pool.and_then(|pool| pool.decodes.get_mut(&decode)) {
             engine.full_period = Some((now, now + self.tuning.full_backoff));
         }
-        // A KV cache at an engine that is gone by now is lost with it.
-        let kept = held.kv.take().filter(|(prefill, _)| {
+        // The KV cache is lost if its engine is gone.
+        let kv = held.kv.take().filter(|(prefill, _)| {
             let pool = self.pools.get(&held.pool);
             pool.is_some_and(|pool| pool.prefills.contains_key(prefill))
         });
-        let Some((prefill, evicts_at)) = kept else {
+        let Some((prefill, evicts_at)) = kv else {
             self.retry(now, held, actions);
             return;
         };
@@ -163,7 +163,7 @@
         self.move_to(now, key, RequestPhase::Decoding { decode, tokens: 1 });
     }
 
-    /// A request as it is before it holds anything.
+    /// Creates the state of a request that holds nothing yet.
     pub(crate) fn queued_request(
         &mut self,
         now: Instant,
@@ -214,18 +214,18 @@
         for key in gone {
             self.remove(now, &key);
         }
-        let life = self.live_incarnations.entry(instance).or_default();
-        *life = before.max(*life);
+        let incarnation = self.live_incarnations.entry(instance).or_default();
+        *incarnation = before.max(*incarnation);
     }
 
-    /// Whether the request ended, or its entry instance's life did.
+    /// Whether the request has ended, or its entry instance's incarnation has.
     fn is_over(&self, key: &RequestKey) -> bool {
-        let life = self
+        let incarnation = self
             .live_incarnations
             .get(&key.instance)
             .copied()
             .unwrap_or_default();
-        key.incarnation < life || self.ended.contains(key)
+        key.incarnation < incarnation || self.ended.contains(key)
     }
 
     pub(crate) fn kv_evicted(
@@ -290,7 +290,7 @@
         self.retry(now, held, actions);
     }
 
-    /// Has a request told anew that goes on at its entry instance and is not held here.
+    /// Asks the entry instance to report a request that is active there and not held here.
     pub(crate) fn resync(&self, key: &RequestKey, actions: &mut Vec<AdmitAction>) {
         if self.requests.contains_key(key) || self.is_over(key) {
             return;
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Puts a request whose try failed back to the front of its row's queue, or refuses it.
+    /// Returns a request whose attempt failed to the front of its row's queue, or refuses it.
     pub(crate) fn retry(
         &mut self,
         now: Instant,
--- a/crates/admit/src/cell_tuning.rs
+++ b/crates/admit/src/cell_tuning.rs
@@ -1,20 +1,20 @@
-//! The settings of an allocator.
+//! Tuning parameters of an allocator.
 
 use std::time::Duration;
 
-/// How an allocator weighs; every time is in real time.
+/// Tuning parameters of an allocator. All durations are real time.
 #[derive(Clone, Debug)]
 pub(crate) struct CellTuning {
-    /// How long a decode engine that refused is taken as full.
+    /// How long a decode engine that refused counts as full.
     pub(crate) full_backoff: Duration,
-    /// The share of the eviction time within which a place has to be expected.
+    /// The share of the eviction time within which a decode place must be expected.
     pub(crate) eviction_share: f64,
-    /// How many deviations of urgent demand patient work leaves room for.
+    /// How many standard deviations of urgent demand patient work leaves free.
     pub(crate) headroom: f64,
-    /// How early before an engine or the link is free the next grant goes out.
+    /// How long before an engine or the link becomes free the next grant is sent.
     pub(crate) lookahead: Duration,
-    /// The share of the service that goes to patient work which waited half its patience, whatever its rank.
+    /// The share of service reserved for patient work that waited half its patience, regardless of rank.
     pub(crate) patient_share: f64,
-    /// How long a queue for the sake of a cached prefix may be.
+    /// The longest queue that is accepted to reuse a cached prefix.
     pub(crate) prefix_queue: Duration,
 }
--- a/crates/admit/src/cell_upstreams.rs
+++ b/crates/admit/src/cell_upstreams.rs
@@ -1,4 +1,4 @@
-//! What an allocator does with events of upstreams and tables.
+//! Handlers for events of upstreams and tables.
 
 use {
     crate::{
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Enters the queued requests anew, so that an edit of their row counts for them too.
+    /// Rebuilds the state of the queued requests, so that an edit of their row applies to them too.
     fn requeue_all(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
         let mut queued: Vec<RequestKey> = Vec::new();
         for state in &self.rows {
@@ -71,12 +71,12 @@
                 actions.push(Self::refuse(key, code, Self::UNKNOWN_WAIT));
                 continue;
             }
-            let mut fresh = self.queued_request(now, held.row, held.request);
-            fresh.granted_at = held.granted_at;
-            fresh.position.is_fresh = held.position.is_fresh;
-            fresh.position.serial = held.position.serial;
-            fresh.failed_tries = held.failed_tries;
-            self.put(now, key, fresh);
+            let mut requeued = self.queued_request(now, held.row, held.request);
+            requeued.granted_at = held.granted_at;
+            requeued.position.is_fresh = held.position.is_fresh;
+            requeued.position.serial = held.position.serial;
+            requeued.failed_tries = held.failed_tries;
+            self.put(now, key, requeued);
         }
     }
 
@@ -102,11 +102,11 @@
         }
     }
 
-    /// The requests that hold something at an upstream.
+    /// The requests that hold a resource at an upstream.
     fn held_at(&self, upstream: &UpstreamId) -> Vec<RequestKey> {
         let mut keys = Vec::new();
         for (key, held) in &self.requests {
-            let at = match &held.phase {
+            let engine_id = match &held.phase {
                 RequestPhase::Decoding { decode, .. } | RequestPhase::Transferring { decode } => {
                     decode
                 }
@@ -114,7 +114,7 @@
                 | RequestPhase::Prefilled { prefill, .. } => prefill,
                 RequestPhase::Queued => continue,
             };
-            if at == upstream {
+            if engine_id == upstream {
                 keys.push(key.clone());
             }
         }
@@ -133,7 +133,8 @@
         }
     }
 
-    /// An upstream is there. What it holds in another role or pool goes on there and gets no new work.
+    /// Adds or updates an upstream. Requests that it holds in another role or pool continue there, and no new ones are
+    /// added.
     pub(crate) fn upstream_up(&mut self, now: Instant, info: UpstreamInfo) {
         self.upstream_draining(&info.upstream);
         let upstream = info.upstream.clone();
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Enters the requests that were announced before their engine was known.
+    /// Adds requests that were announced before their engine was known to the engine's indexes.
     fn attach_held(&mut self, now: Instant, upstream: &UpstreamId) {
         for key in self.held_at(upstream) {
             let Some(held) = self.remove(now, &key) else {
--- a/crates/admit/src/completion_forecast.rs
+++ b/crates/admit/src/completion_forecast.rs
@@ -1,13 +1,13 @@
-//! When decode places are expected to be free.
+//! The forecast of stream completions, which free decode places.
 
 use std::time::{Duration, Instant};
 
-/// The horizons that the forecast is worked out for, seconds.
+/// The horizons of the forecast in seconds.
 pub(crate) const HORIZONS: [f64; 11] = [0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6];
-/// How long a forecast is good for.
+/// The maximum age of a forecast before it is recomputed.
 const MAX_AGE: Duration = Duration::from_millis(5);
 
-/// How many streams end within each horizon: the mean and the variance.
+/// The mean and the variance of the number of streams that complete within each horizon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CompletionForecast {
     at: Option<Instant>,
@@ -16,7 +16,7 @@
 }
 
 impl CompletionForecast {
-    /// Adds one stream by its chance to have ended, for each horizon.
+    /// Adds one stream, given its probability of completion within a number of seconds.
     pub(crate) fn add(&mut self, probability: impl Fn(f64) -> f64) {
         for (index, horizon) in HORIZONS.iter().enumerate() {
             let ended = probability(*horizon);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Starts over, at a time.
+    /// Resets the forecast, with `now` as its time of computation.
     pub(crate) fn clear(&mut self, now: Instant) {
         *self = Self {
             at: Some(now),
@@ -33,7 +33,7 @@
         };
     }
 
-    /// The mean and the variance of the ends within some seconds.
+    /// The mean and the variance of the number of completions within some seconds.
     pub(crate) fn ends_within(&self, seconds: f64) -> (f64, f64) {
         let last = HORIZONS.len() - 1;
         let upper = HORIZONS.partition_point(|horizon| *horizon < seconds);
@@ -48,18 +48,18 @@
         (blend(&self.means), blend(&self.variances))
     }
 
-    /// Whether the forecast has to be worked out anew.
+    /// Whether the forecast must be recomputed.
     pub(crate) fn is_stale(&self, now: Instant) -> bool {
         self.at
             .is_none_or(|at| now.saturating_duration_since(at) >= MAX_AGE)
     }
 
-    /// The forecast is wrong from now on.
+    /// Forces a recomputation before the next use.
     pub(crate) fn invalidate(&mut self) {
         self.at = None;
     }
 
-    /// Takes one stream out, by its chance to have ended as it is now.
+    /// Removes one stream, given its current probability of completion within a number of seconds.
     pub(crate) fn sub(&mut self, probability: impl Fn(f64) -> f64) {
         for (index, horizon) in HORIZONS.iter().enumerate() {
             let ended = probability(*horizon);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Seconds until this many streams are expected to have ended.
+    /// Seconds until this many streams are expected to have completed.
     pub(crate) fn seconds_until(&self, ends: f64) -> f64 {
         if ends <= 0.0 {
             return 0.0;
--- a/crates/admit/src/decode_engine.rs
+++ b/crates/admit/src/decode_engine.rs
@@ -1,4 +1,4 @@
-//! A decode engine as the allocator sees it.
+//! The allocator's view of a decode engine.
 
 use {
     crate::{
@@ -12,26 +12,26 @@
     },
 };
 
-/// Keeps a batch that just meets a target from being rounded down.
+/// Compensates for floating-point error, so that a batch that exactly meets a target is not rounded down.
 const ROUNDING: f64 = 1e-6;
 
-/// Who holds its places and whether it takes more.
+/// A decode engine, the streams on it, and its capacity for more.
 #[derive(Clone, Debug)]
 pub(crate) struct DecodeEngine {
-    /// When it refused, and until when it is taken as full.
+    /// When it last refused a request, and until when it counts as full.
     pub(crate) full_period: Option<(Instant, Instant)>,
-    /// What is known of it.
+    /// Role and rates of the engine.
     pub(crate) info: UpstreamInfo,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining and takes no new work.
     pub(crate) is_draining: bool,
-    /// What is held there.
+    /// Places in use, corrected for the delay of load reports.
     pub(crate) load: LaggedLoad,
-    /// Requests that hold a place: in transfer or decoding.
+    /// Requests that hold a decode place: transferring or decoding.
     pub(crate) streams: BTreeMap<RequestKey, DecodeStream>,
     decoding: u32,
-    /// How many streams want each between-token target.
+    /// The number of streams with each between-token target.
     targets: BTreeMap<Duration, u32>,
-    /// How many tokens a stream would have got since the engine is known, up to a time.
+    /// Tokens that a stream would have received up to `tokens_at`, had it run since the engine was added.
     tokens: f64,
     tokens_at: Instant,
 }
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The most streams that keep the target and those of the streams there.
+    /// The largest batch that meets both this target and those of the running streams.
     fn batch_limit(&self, target: Option<Duration>) -> u32 {
         let strictest = self.targets.keys().next().copied();
         let target = match (strictest, target) {
@@ -68,14 +68,14 @@
             .min(self.info.decode_places)
     }
 
-    /// Brings the token count up to a time.
+    /// Advances the token count to `now`.
     pub(crate) fn advance_tokens(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.tokens_at).as_secs_f64();
         self.tokens += passed / self.step_seconds();
         self.tokens_at = self.tokens_at.max(now);
     }
 
-    /// How many more requests with this between-token target it takes now.
+    /// How many more requests with this between-token target the engine can take now.
     pub(crate) fn free(&self, now: Instant, target: Option<Duration>) -> u32 {
         if self.is_draining || self.full_period.is_some_and(|(_, until)| now < until) {
             return 0;
@@ -83,7 +83,7 @@
         self.batch_limit(target).saturating_sub(self.used())
     }
 
-    /// As [`Self::free`], but under zero by the streams that have to end before the target can be kept.
+    /// Like [`Self::free`], but negative by the number of streams that must end before the target can be met.
     pub(crate) fn spare_places(&self, now: Instant, target: Option<Duration>) -> f64 {
         let limit = match self.is_draining || self.full_period.is_some_and(|(_, until)| now < until)
         {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The between-token time now, seconds.
+    /// The current time between tokens, in seconds.
     pub(crate) fn step_seconds(&self) -> f64 {
         let others = u64::from(self.decoding) + self.load.foreign();
         let more = others.saturating_sub(1) as f64;
@@ -145,13 +145,13 @@
         step.max(f64::EPSILON)
     }
 
-    /// The token count that a stream with `tokens` tokens started at.
+    /// The token count at which a stream that now has `tokens` tokens started.
     pub(crate) fn starting_count(&mut self, now: Instant, tokens: u32) -> f64 {
         self.advance_tokens(now);
         self.tokens - f64::from(tokens)
     }
 
-    /// What is to be expected of a stream.
+    /// The distribution of the remaining length of a stream.
     pub(crate) fn remaining<'a>(
         &self,
         stream: &DecodeStream,
@@ -163,13 +163,13 @@
             .remaining(self.produced(stream), bound)
     }
 
-    /// How many tokens a stream has got; none when it is in transfer.
+    /// Tokens that a stream has received; 0 while it is in transfer.
     fn produced(&self, stream: &DecodeStream) -> f64 {
         let started = stream.started.unwrap_or(self.tokens);
         (self.tokens - started).max(0.0)
     }
 
-    /// Places in use.
+    /// Decode places in use.
     pub(crate) fn used(&self) -> u32 {
         u32::try_from(self.load.used()).unwrap_or(u32::MAX)
     }
--- a/crates/admit/src/ended_keys.rs
+++ b/crates/admit/src/ended_keys.rs
@@ -1,14 +1,14 @@
-//! Requests that ended a short while ago.
+//! Recently ended requests.
 
 use {
     crate::request_key::RequestKey,
     std::collections::{BTreeSet, VecDeque},
 };
 
-/// How many ended requests are remembered.
+/// The number of ended requests that are remembered.
 const CAPACITY: usize = 4096;
 
-/// Remembers the last requests that ended, so that a late or doubled event does not start them again.
+/// Remembers recently ended requests, so that a late or duplicate event does not start them again.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndedKeys {
     keys: BTreeSet<RequestKey>,
--- a/crates/admit/src/engine_pool.rs
+++ b/crates/admit/src/engine_pool.rs
@@ -13,16 +13,16 @@
     table::Rank,
 };
 
-/// Prefill and decode engines, and how many requests were or are being read for them.
+/// Prefill and decode engines of one service and model, with the reservations for decode places.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EnginePool {
-    /// The service that work which waited long may still take before its rank, in seconds of the whole pool.
+    /// The service that requests which waited long may still receive ahead of their rank, in seconds of the whole pool.
     pub(crate) aged_credit: f64,
-    /// Requests that were or are being read and hold no decode place yet, by when they need one.
+    /// Requests that are prefilling or prefilled and hold no decode place yet, by when they need one.
     pub(crate) reservations: BTreeSet<(Instant, RequestKey)>,
     pub(crate) decodes: BTreeMap<UpstreamId, DecodeEngine>,
     pub(crate) forecast: CompletionForecast,
-    /// The service over the weight that the last row of each rank had when its turn came.
+    /// The pass value of each rank's last scheduled row.
     pub(crate) rank_passes: BTreeMap<Rank, f64>,
     pub(crate) prefills: BTreeMap<UpstreamId, PrefillEngine>,
 }
@@ -37,7 +37,7 @@
         free
     }
 
-    /// As [`Self::free`], less the streams that have to end before a target can be kept.
+    /// Like [`Self::free`], less the streams that must end before a target can be met.
     pub(crate) fn spare_places(&self, now: Instant, target: Option<Duration>) -> f64 {
         let mut spare = 0.0;
         for engine in self.decodes.values() {
@@ -46,8 +46,8 @@
         spare
     }
 
-    /// Whether one more request that needs a place by `due` finds one, and every claim after it still does. All in
-    /// the order of the times by which they need it, with `margin` deviations of the forecast to spare.
+    /// Whether one more request that needs a place by `due` finds one, and every later reservation still does.
+    /// Reservations are served in order of due time, with a margin of `margin` standard deviations of the forecast.
     pub(crate) fn has_place(&self, now: Instant, due: Instant, free: f64, margin: f64) -> bool {
         let earlier = self
             .reservations
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Works the forecast out anew when it is old.
+    /// Recomputes the forecast if it is stale.
     pub(crate) fn refresh_forecast(&mut self, now: Instant, rows: &[RowState]) {
         if !self.forecast.is_stale(now) {
             return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes a stream off an engine and out of the forecast.
+    /// Removes a stream from an engine and from the forecast.
     pub(crate) fn remove_stream(
         &mut self,
         now: Instant,
@@ -111,13 +111,13 @@
         engine.remove(now, key);
     }
 
-    /// The between-token time that one more stream would see at the least loaded decode engine, seconds.
+    /// The time between tokens at the least loaded decode engine, in seconds.
     pub(crate) fn step_seconds(&self) -> f64 {
         let steps = self.decodes.values().map(DecodeEngine::step_seconds);
         steps.reduce(f64::min).unwrap_or_default()
     }
 
-    /// The between-token time of the slowest decode engine when it is full, seconds.
+    /// The time between tokens at the slowest decode engine under full load, in seconds.
     pub(crate) fn full_step_seconds(&self) -> f64 {
         let engines = self.decodes.values().filter(|engine| !engine.is_draining);
         let steps = engines.map(|engine| {
@@ -127,14 +127,14 @@
         steps.reduce(f64::max).unwrap_or_default()
     }
 
-    /// Whether some prefill and some decode engine take new work.
+    /// Whether at least one prefill engine and one decode engine accept work.
     pub(crate) fn is_open(&self) -> bool {
         let has_prefill = self.prefills.values().any(|engine| !engine.is_draining);
         let has_decode = self.decodes.values().any(|engine| !engine.is_draining);
         has_prefill && has_decode
     }
 
-    /// The least time that reading so many tokens takes, seconds.
+    /// The minimum time to prefill this many tokens, in seconds.
     pub(crate) fn min_prefill_seconds(&self, tokens: f64) -> f64 {
         let rates = self
             .prefills
@@ -143,7 +143,7 @@
         tokens / rates.reduce(f64::max).unwrap_or(f64::INFINITY)
     }
 
-    /// All decode places.
+    /// Decode places of all engines.
     pub(crate) fn places(&self) -> u32 {
         self.decodes
             .values()
@@ -151,7 +151,7 @@
             .sum()
     }
 
-    /// Prompt tokens that the pool reads a second.
+    /// Prompt tokens that the pool prefills per second.
     pub(crate) fn prefill_rate(&self) -> f64 {
         let open = self.prefills.values().filter(|engine| !engine.is_draining);
         open.map(|engine| engine.info.prefill_rate).sum()
--- a/crates/admit/src/held_request.rs
+++ b/crates/admit/src/held_request.rs
@@ -1,4 +1,4 @@
-//! One request that the allocator knows.
+//! A request held by the allocator.
 
 use {
     crate::{
@@ -9,41 +9,41 @@
     std::time::Instant,
 };
 
-/// A request, its phase and its place in the queue.
+/// A request with its phase, deadlines and position in the queue.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldRequest {
-    /// What its row was charged for its turn, in seconds of the whole pool.
+    /// The service charged to its row, in seconds of the whole pool.
     pub(crate) charged_seconds: f64,
-    /// The first-token target as a time; none for patient rows.
+    /// The deadline of the first token; `None` for patient rows.
     pub(crate) deadline: Option<Instant>,
-    /// By when it needs a decode place, once it is read or being read.
+    /// When it needs a decode place, once it is prefilling or prefilled.
     pub(crate) due: Instant,
-    /// When it was first granted something.
+    /// When it first received a grant.
     pub(crate) granted_at: Option<Instant>,
-    /// Where its KV cache lies while it is in transfer, and until when.
+    /// The prefill engine that keeps the KV cache during the transfer, and when it evicts it.
     pub(crate) kv: Option<(UpstreamId, Instant)>,
-    /// When it has to be read at the latest to end within its patience; patient rows.
+    /// When prefill must start at the latest to finish within the patience. Used for patient rows.
     pub(crate) latest_start: Instant,
-    /// The end of its patience.
+    /// When the patience ends.
     pub(crate) patience_end: Instant,
-    /// What it holds.
+    /// The current phase and the resources held in it.
     pub(crate) phase: RequestPhase,
-    /// Where it stands in the queue of its row while it is queued.
+    /// The position in its row's queue while it is queued.
     pub(crate) position: QueuePosition,
     /// The engines that serve it.
     pub(crate) pool: PoolKey,
-    /// What was asked.
+    /// The submitted request.
     pub(crate) request: AdmitRequest,
     /// The index of its row.
     pub(crate) row: usize,
-    /// When the allocator has to look at it again, whatever happens.
+    /// When the allocator checks it again if no event arrives.
     pub(crate) timer_at: Instant,
-    /// How many tries failed.
+    /// The number of failed attempts.
     pub(crate) failed_tries: u8,
 }
 
 impl HeldRequest {
-    /// When its KV cache is evicted, if it lies at a prefill engine.
+    /// When its KV cache is evicted; `None` unless a prefill engine keeps it.
     pub(crate) fn evicts_at(&self) -> Option<Instant> {
         match &self.phase {
             RequestPhase::Prefilled { evicts_at, .. } => Some(*evicts_at),
--- a/crates/admit/src/length_sketch.rs
+++ b/crates/admit/src/length_sketch.rs
@@ -1,19 +1,19 @@
-//! The output lengths seen for one row.
+//! The distribution of output lengths of one row.
 
-/// Buckets for each doubling of the length.
+/// Buckets per doubling of the length.
 const BUCKETS_PER_DOUBLING: f64 = 8.0;
-/// Up to 2^17 tokens.
+/// The buckets cover up to 2^17 tokens.
 const BUCKET_COUNT: usize = 17 * 8 + 1;
-/// Once this many lengths were seen, older ones count half.
+/// At this total, the weight of all recorded lengths is halved.
 const DECAY_AT: f64 = 1024.0;
-/// How many lengths at the caller's bound are assumed before any was seen.
+/// The number of assumed answers of maximum length. They bound the estimates until enough lengths are recorded.
 const PRIOR_COUNT: f64 = 4.0;
 
-/// A histogram over geometric buckets; small, deterministic, and fading so that it follows a drift.
+/// A histogram with geometric buckets. It is small and deterministic, and its decay lets it follow drift.
 #[derive(Clone, Debug)]
 pub(crate) struct LengthSketch {
     counts: Vec<f64>,
-    /// How many lengths lie above the lower edge of each bucket.
+    /// The weight of the lengths above the lower edge of each bucket.
     tails: Vec<f64>,
     total: f64,
 }
@@ -38,7 +38,7 @@
         sum / (PRIOR_COUNT + self.total)
     }
 
-    /// The mean of the lengths seen; 0 before any was.
+    /// The mean of the recorded lengths; 0 if there are none.
     pub(crate) fn mean_seen(&self) -> f64 {
         let mut sum = 0.0;
         for (bucket, count) in self.counts.iter().enumerate() {
@@ -47,7 +47,7 @@
         sum / self.total.max(1.0)
     }
 
-    /// Notes the length of an answer.
+    /// Records the length of an answer.
     pub(crate) fn record(&mut self, tokens: u32) {
         if self.total >= DECAY_AT {
             self.decay();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What is to be expected of an answer which has `tokens` already, of at most `bound`.
+    /// The distribution of the remaining length of an answer that has `tokens` tokens and may have `bound`.
     pub(crate) fn remaining(&self, tokens: f64, bound: f64) -> RemainingLength<'_> {
         RemainingLength {
             bound,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The length that a share of the answers of at most `bound` tokens does not exceed.
+    /// The length not exceeded by a share of the answers of at most `bound` tokens.
     pub(crate) fn quantile(&self, share: f64, bound: f64) -> f64 {
         let above = (1.0 - share) * (PRIOR_COUNT + self.total);
         for bucket in 0..BUCKET_COUNT {
@@ -88,7 +88,7 @@
         self.total /= 2.0;
     }
 
-    /// How many of the lengths seen and assumed are greater.
+    /// The weight of the recorded and assumed lengths above `tokens`.
     fn survivors(&self, tokens: f64) -> f64 {
         let position = position(tokens).min(BUCKET_COUNT as f64 - 1.0);
         let bucket = position as usize;
@@ -98,7 +98,7 @@
     }
 }
 
-/// How an answer that has got so far goes on.
+/// The distribution of the remaining length of an answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RemainingLength<'a> {
     bound: f64,
@@ -108,7 +108,7 @@
 }
 
 impl RemainingLength<'_> {
-    /// The chance that the answer is at most `more` tokens longer.
+    /// The probability that the answer ends within `more` tokens.
     pub(crate) fn end_probability(&self, more: f64) -> f64 {
         if self.tokens + more >= self.bound {
             return 1.0;
@@ -117,12 +117,12 @@
     }
 }
 
-/// The length at a position.
+/// The length at a position on the bucket scale.
 fn length_at(position: f64) -> f64 {
     (position / BUCKETS_PER_DOUBLING).exp2() - 1.0
 }
 
-/// Where a length lies among the buckets.
+/// The position of a length on the bucket scale.
 fn position(tokens: f64) -> f64 {
     (tokens.max(0.0) + 1.0).log2() * BUCKETS_PER_DOUBLING
 }
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission to one cell, which is the engines of one model in an availability zone: who goes first, who waits, who is
-//! refused at once, when a prompt may be read, and which KV cache crosses the link next.
+//! Admission control for one cell, i.e. the engines of one model in an availability zone. Decides the order of the
+//! queue, early refusals, when a prompt may be prefilled, and which KV cache is transferred next.
 //!
-//! [`CellAllocator`] takes an [`AdmitEvent`] and answers with [`AdmitAction`]s. It has no I/O and no clock, and its
-//! randomness comes from a seed, so that an entry instance and the bench drive the same code.
+//! [`CellAllocator`] takes [`AdmitEvent`]s and returns [`AdmitAction`]s. It does no I/O, reads no clock, and seeds its
+//! randomness, so that an entry instance and the benchmark run the same code.
 
 pub mod admit_action;
 pub mod admit_event;
--- a/crates/admit/src/link_info.rs
+++ b/crates/admit/src/link_info.rs
@@ -1,17 +1,17 @@
-//! The shared link between the pools of a cell.
+//! The network link between the prefill and decode pools of a cell.
 
 use {
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
 
-/// What is known of the link that the KV cache crosses.
+/// Properties of the link over which KV caches are transferred.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LinkInfo {
-    /// Bytes a second, shared by all transfers of the cell.
+    /// Bandwidth in bytes per second, shared by all transfers of the cell.
     pub bytes_per_second: f64,
     /// How long a prefill engine keeps an exported KV cache.
     pub eviction: Duration,
-    /// Bytes of KV cache a prompt token.
+    /// KV cache size in bytes per prompt token.
     pub kv_bytes_per_token: f64,
 }
--- a/crates/admit/src/link_schedule.rs
+++ b/crates/admit/src/link_schedule.rs
@@ -1,23 +1,23 @@
-//! Whose turn the link is.
+//! The schedule of KV cache transfers over the shared link.
 
 use {
     crate::link_info::LinkInfo,
     std::time::{Duration, Instant},
 };
 
-/// How long the KV cache is kept when nothing is known of the link.
+/// How long a KV cache is assumed to be kept while the link's properties are unknown.
 const EVICTION_UNKNOWN: Duration = Duration::from_millis(500);
 
-/// A transfer that is at most this part of what is left of another goes beside it.
+/// A transfer of at most this share of the remaining time of the current one runs in parallel to it.
 const PARALLEL_SHARE: f64 = 0.25;
 
-/// The link by its rate: when it will be free, and what still has to cross it.
+/// Predicts from the bandwidth when the link is free, and tracks the pending transfers.
 ///
-/// Transfers take turns: on a shared link the mean of the ends is the least when one follows the other. A turn ends by
-/// the link's rate and not by the first token, which comes a decode step later.
+/// Transfers run one after another, which minimises their mean completion time on a shared link. A transfer ends by the
+/// predicted time and not by the first token, which arrives one decode step later.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkSchedule {
-    /// Seconds of transfer that requests which were or are being read will need.
+    /// Transfer time reserved for requests that are prefilling or prefilled, in seconds.
     reserved_seconds: f64,
     free_at: Option<Instant>,
     info: Option<LinkInfo>,
@@ -35,19 +35,19 @@
             .map_or(EVICTION_UNKNOWN, |info| info.eviction)
     }
 
-    /// When the link is free again, if that lies ahead.
+    /// When the link is free again; `None` if it is free now.
     pub(crate) fn free_at(&self, now: Instant) -> Option<Instant> {
         self.free_at.filter(|free| now < *free)
     }
 
-    /// Whether a transfer of some seconds may start: the link is free, or will be within `lookahead`, or the transfer
-    /// is so short against the one under way that going beside it delays that one little.
+    /// Whether a transfer of `transfer` seconds may start: the link is free or will be within `lookahead`, or the
+    /// transfer is so short compared with the current one that it delays that one little.
     pub(crate) fn may_start(&self, now: Instant, transfer: f64, lookahead: Duration) -> bool {
         let busy = self.busy_seconds(now);
         busy <= lookahead.as_secs_f64() || transfer <= busy * PARALLEL_SHARE
     }
 
-    /// Seconds that a transfer of `transfer` seconds which is ready in `ready` seconds waits for its turn.
+    /// The wait for the link, in seconds, of a transfer of `transfer` seconds that is ready in `ready` seconds.
     pub(crate) fn wait_seconds(&self, now: Instant, ready: f64, transfer: f64) -> f64 {
         let before = (self.busy_seconds(now) + self.reserved_seconds - ready).max(0.0);
         if transfer <= before * PARALLEL_SHARE {
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Seconds that the KV cache of a prompt needs on the link alone.
+    /// Seconds to transfer the KV cache of a prompt over an otherwise idle link.
     pub(crate) fn seconds(&self, tokens: u32) -> f64 {
         let Some(info) = &self.info else {
             return 0.0;
@@ -71,7 +71,7 @@
         f64::from(tokens) * info.kv_bytes_per_token / info.bytes_per_second.max(1.0)
     }
 
-    /// Takes new information; what was claimed counts by the new rate.
+    /// Updates the link's properties and scales the reserved time to the new bandwidth.
     pub(crate) fn set_info(&mut self, info: LinkInfo) {
         let before = self.seconds(1);
         self.info = Some(info);
@@ -83,7 +83,7 @@
         };
     }
 
-    /// A transfer starts.
+    /// Records the start of a transfer.
     pub(crate) fn start(&mut self, now: Instant, tokens: u32) {
         let time = Duration::try_from_secs_f64(self.seconds(tokens)).unwrap_or_default();
         self.free_at = Some(self.free_at.map_or(now, |free| free.max(now)) + time);
--- a/crates/admit/src/normal_quantile.rs
+++ b/crates/admit/src/normal_quantile.rs
@@ -1,10 +1,10 @@
-//! The quantile of the normal distribution.
+//! The quantile function of the normal distribution.
 
-/// The greatest quantile given, in standard deviations.
+/// The largest absolute value returned, in standard deviations.
 const MAX_DEVIATIONS: f64 = 4.0;
 
-/// How many standard deviations above the mean a share of `part` lies under. By the rational approximation of
-/// Abramowitz and Stegun, 26.2.23, whose error is under 0.00045.
+/// The quantile of the standard normal distribution for `probability`. Uses the rational approximation 26.2.23 of
+/// Abramowitz and Stegun, whose error is below 0.00045.
 pub(crate) fn normal_quantile(probability: f64) -> f64 {
     let tail = probability.min(1.0 - probability);
     if tail <= 0.0 {
--- a/crates/admit/src/pool_key.rs
+++ b/crates/admit/src/pool_key.rs
@@ -1,4 +1,4 @@
-//! Which engines can serve one another's work.
+//! The identifier of a pool of interchangeable engines.
 
 use {
     kernel::{ModelId, ServiceId},
@@ -6,7 +6,7 @@
     table::WorkRow,
 };
 
-/// Engines of one service and model, and the rows that go to them.
+/// The service and model shared by the engines of a pool and by the rows that it serves.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct PoolKey {
     pub(crate) model: Option<ModelId>,
--- a/crates/admit/src/prefill_candidate.rs
+++ b/crates/admit/src/prefill_candidate.rs
@@ -1,11 +1,11 @@
-//! Whose turn it is to be read.
+//! The next request to prefill.
 
 use crate::request_key::RequestKey;
 
-/// The request whose turn it is.
+/// The request that is next in the prefill order.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefillCandidate {
-    /// Whether it goes before its rank, for it waited long.
+    /// Whether it waited so long that it is scheduled ahead of its rank.
     pub(crate) is_aged: bool,
     pub(crate) key: RequestKey,
     /// The index of its row.
--- a/crates/admit/src/prefill_decision.rs
+++ b/crates/admit/src/prefill_decision.rs
@@ -1,12 +1,12 @@
-//! Whether reading may start.
+//! Whether a prefill may start.
 
-/// What becomes of a request whose turn it is.
+/// The decision for the next request in the prefill order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum PrefillDecision {
-    /// It waits, and so does everything behind it: places or the link are scarce.
+    /// The request waits, and so does everything behind it: decode places or the link are scarce.
     Blocked,
-    /// It waits, and the one behind it may go: its reading is too long just now.
+    /// The request waits because its prefill would take too long now, and the next one may start.
     Skip,
-    /// Reading starts.
+    /// Prefill starts.
     Start,
 }
--- a/crates/admit/src/prefill_engine.rs
+++ b/crates/admit/src/prefill_engine.rs
@@ -1,4 +1,4 @@
-//! A prefill engine as the allocator sees it.
+//! The allocator's view of a prefill engine.
 
 use {
     crate::request_key::RequestKey,
@@ -9,27 +9,27 @@
     },
 };
 
-/// How long a reading that is over its time is thought to go on, as a share of the time it has taken.
+/// The assumed remaining time of an overdue prefill, as a share of its expected duration.
 const OVERDUE_SHARE: f64 = 0.1;
 
-/// What is read there and whether it takes more.
+/// A prefill engine, the prompts on it, and its queue.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefillEngine {
-    /// What is known of it.
+    /// Role and rates of the engine.
     pub(crate) info: UpstreamInfo,
-    /// Requests whose KV cache lies there.
+    /// Requests whose KV cache the engine keeps.
     pub(crate) exported: BTreeSet<RequestKey>,
-    /// Whether it takes no new work.
+    /// Whether the engine is draining and takes no new work.
     pub(crate) is_draining: bool,
-    /// Prompt tokens that it was given and has not read.
+    /// Prompt tokens assigned and not prefilled yet, corrected for the delay of load reports.
     pub(crate) load: LaggedLoad,
     free_at: Instant,
-    /// Requests that it was given, with the seconds that each takes alone.
+    /// Requests being prefilled, with the seconds that each takes alone.
     prefilling: BTreeMap<RequestKey, f64>,
 }
 
 impl PrefillEngine {
-    /// Gives it a prompt to read.
+    /// Assigns a prompt to the engine.
     pub(crate) fn add(&mut self, now: Instant, key: RequestKey, tokens: f64) {
         let seconds = self.prefill_seconds(tokens);
         self.free_at = add_seconds(self.free_at.max(now), seconds);
@@ -37,7 +37,7 @@
         self.prefilling.insert(key, seconds);
     }
 
-    /// Whether it has nothing to read, or will in less than `lookahead`.
+    /// Whether the engine has no work, or will run out of it in less than `lookahead`.
     pub(crate) fn is_idle(&self, now: Instant, lookahead: Duration) -> bool {
         self.prefilling.is_empty()
             || (now < self.free_at && self.free_at.duration_since(now) < lookahead)
@@ -54,23 +54,23 @@
         }
     }
 
-    /// Seconds until it has read what it was given.
+    /// Seconds until the assigned prompts are prefilled.
     pub(crate) fn queue_seconds(&self, now: Instant) -> f64 {
         let foreign = self.prefill_seconds(self.load.foreign() as f64);
         if self.prefilling.is_empty() {
             return foreign;
         }
         let left = self.free_at.saturating_duration_since(now).as_secs_f64();
-        let taken: f64 = self.prefilling.values().sum();
-        left.max(taken * OVERDUE_SHARE) + foreign
+        let expected: f64 = self.prefilling.values().sum();
+        left.max(expected * OVERDUE_SHARE) + foreign
     }
 
-    /// Seconds that reading so many tokens takes alone.
+    /// Seconds to prefill this many tokens on an otherwise idle engine.
     pub(crate) fn prefill_seconds(&self, tokens: f64) -> f64 {
         tokens / self.info.prefill_rate.max(f64::MIN_POSITIVE)
     }
 
-    /// Takes back a prompt: it was read, it failed or its caller is gone.
+    /// Removes a prompt that was prefilled, failed or was cancelled.
     pub(crate) fn remove(&mut self, now: Instant, key: &RequestKey) {
         let Some(seconds) = self.prefilling.remove(key) else {
             return;
--- a/crates/admit/src/queue_ahead.rs
+++ b/crates/admit/src/queue_ahead.rs
@@ -1,9 +1,9 @@
-//! What stands before a request in the queue.
+//! The work ahead of a request in the queue.
 
-/// Requests that are to be read before another one.
+/// Requests that are prefilled before another one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct QueueAhead {
     pub(crate) requests: f64,
-    /// Their prompts' tokens.
+    /// The prompt tokens of these requests.
     pub(crate) tokens: f64,
 }
--- a/crates/admit/src/queue_position.rs
+++ b/crates/admit/src/queue_position.rs
@@ -1,17 +1,17 @@
-//! Where a request stands in the queue of its row.
+//! The position of a request in its row's queue.
 
 use std::time::Instant;
 
-/// The order within a row: requests that can still end in time go first, of them those that were read before, then the
-/// earlier deadline, then who came first.
+/// The order within a row. The derived ordering compares the fields in declaration order: requests that can still
+/// finish in time first, then retries, then the earlier deadline, then arrival order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct QueuePosition {
-    /// Whether it can't be expected to end within its patience any more; it is served when nothing else waits.
+    /// Whether the request is unlikely to finish within its patience. It is served only when nothing else waits.
     pub(crate) is_late: bool,
-    /// Whether no try was made yet.
+    /// Whether no attempt was made yet.
     pub(crate) is_fresh: bool,
-    /// The first-token target or the end of the patience, as a time.
+    /// The first-token deadline; for patient rows the latest start.
     pub(crate) deadline: Instant,
-    /// Counts the requests of the allocator.
+    /// A sequence number assigned by the allocator.
     pub(crate) serial: u64,
 }
--- a/crates/admit/src/rate_meter.rs
+++ b/crates/admit/src/rate_meter.rs
@@ -1,11 +1,11 @@
-//! How often something happens, lately.
+//! A meter for the recent rate of events.
 
 use std::time::{Duration, Instant};
 
-/// The time over which older events fade.
+/// The time constant of the exponential decay.
 const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
-/// An exponentially fading rate.
+/// An exponentially decaying event rate.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RateMeter {
     at: Option<Instant>,
--- a/crates/admit/src/request_key.rs
+++ b/crates/admit/src/request_key.rs
@@ -1,17 +1,17 @@
-//! The name of one request among all entry instances.
+//! The identifier of a request among all entry instances.
 
 use {
     kernel::{Incarnation, InstanceId},
     serde::{Deserialize, Serialize},
 };
 
-/// Names a request: its entry instance, that instance's life, and a count within it.
+/// Identifies a request by its entry instance, the instance's incarnation and a serial number.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestKey {
-    /// The life of the entry instance.
+    /// The incarnation of the entry instance.
     pub incarnation: Incarnation,
     /// The entry instance that holds the caller's connection.
     pub instance: InstanceId,
-    /// Counts the requests of that life.
+    /// The serial number within the incarnation.
     pub serial: u64,
 }
--- a/crates/admit/src/request_phase.rs
+++ b/crates/admit/src/request_phase.rs
@@ -1,50 +1,58 @@
-//! How far a request has come, as the allocator sees it.
+//! The phase of a request in the allocator.
 
 use {crate::admit_event::AnnouncedPhase, kernel::UpstreamId, std::time::Instant};
 
-/// What a request holds now.
+/// The phase of a request and the resources it holds.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestPhase {
-    /// It generates tokens.
+    /// The request generates tokens.
     Decoding { decode: UpstreamId, tokens: u32 },
-    /// A prefill engine reads this many tokens of the prompt.
+    /// A prefill engine processes this many tokens of the prompt.
     Prefilling { prefill: UpstreamId, tokens: f64 },
-    /// It waits for its turn and holds nothing.
+    /// The request waits in the queue and holds nothing.
     Queued,
-    /// Its KV cache lies at the prefill engine until `evicts_at`.
+    /// The prefill engine keeps the KV cache until `evicts_at`.
     Prefilled {
         evicts_at: Instant,
         prefill: UpstreamId,
     },
-    /// Its KV cache crosses the link.
+    /// The KV cache is being transferred over the link.
     Transferring { decode: UpstreamId },
 }
 
 impl RequestPhase {
-    /// Whether the request was or is being read and holds no decode place yet.
+    /// Whether the request is prefilling or prefilled and needs a decode place.
     pub(crate) fn awaits_place(&self) -> bool {
         matches!(self, Self::Prefilling { .. } | Self::Prefilled { .. })
     }
 
-    /// Whether an entry instance tells the same phase at the same engine; none is told of a queued request.
-    pub(crate) fn matches_announced(&self, told: Option<&AnnouncedPhase>) -> bool {
-        match (self, told) {
+    /// Whether an entry instance announces the same phase at the same engine; `None` stands for a queued request.
+    pub(crate) fn matches_announced(&self, announced: Option<&AnnouncedPhase>) -> bool {
+        match (self, announced) {
             (
                 Self::Decoding { decode, .. },
-                Some(AnnouncedPhase::Decoding { decode: told, .. }),
+                Some(AnnouncedPhase::Decoding {
+                    decode: announced, ..
+                }),
             )
             | (
                 Self::Transferring { decode },
-                Some(AnnouncedPhase::Transferring { decode: told, .. }),
-            ) => decode == told,
+                Some(AnnouncedPhase::Transferring {
+                    decode: announced, ..
+                }),
+            ) => decode == announced,
             (
                 Self::Prefilling { prefill, .. },
-                Some(AnnouncedPhase::Prefilling { prefill: told, .. }),
+                Some(AnnouncedPhase::Prefilling {
+                    prefill: announced, ..
+                }),
             )
             | (
                 Self::Prefilled { prefill, .. },
-                Some(AnnouncedPhase::Prefilled { prefill: told, .. }),
-            ) => prefill == told,
+                Some(AnnouncedPhase::Prefilled {
+                    prefill: announced, ..
+                }),
+            ) => prefill == announced,
             (Self::Queued, None) => true,
             _ => false,
         }
--- a/crates/admit/src/row_state.rs
+++ b/crates/admit/src/row_state.rs
@@ -1,4 +1,4 @@
-//! What the allocator keeps for one row of the table.
+//! The allocator's state for one row of the table.
 
 use {
     crate::{
@@ -9,33 +9,33 @@
     table::WorkRow,
 };
 
-/// How much a new residence time weighs against the mean of the earlier ones.
+/// The weight of a new sample in the moving average of residence times.
 const RESIDENCE_WEIGHT: f64 = 0.1;
 
-/// The queue of a row, what runs, and the row's place in the turns of its rank.
+/// The queue of a row, its running requests, and its position in the fair queueing of its rank.
 #[derive(Clone, Debug)]
 pub(crate) struct RowState {
-    /// How often requests come.
+    /// The arrival rate of requests.
     pub(crate) arrivals: RateMeter,
-    /// Whether the table has the row.
+    /// Whether the current table contains the row.
     pub(crate) is_listed: bool,
-    /// How many may run at once in this cell.
+    /// The maximum number of running requests in this cell.
     pub(crate) limit: u32,
-    /// The service received over the weight; the row with the least goes next.
+    /// The received service divided by the weight. The row with the lowest value is scheduled next.
     pub(crate) pass: f64,
-    /// The engines that serve it.
+    /// The engines that serve the row.
     pub(crate) pool: PoolKey,
-    /// The requests that wait.
+    /// The waiting requests.
     pub(crate) queue: BTreeMap<QueuePosition, RequestKey>,
-    /// The prompt tokens of the requests that wait.
+    /// The prompt tokens of the waiting requests.
     pub(crate) queued_tokens: u64,
-    /// How long a request holds something, seconds; none before the first ended.
+    /// The average time for which a request holds resources, in seconds; `None` before the first one ended.
     pub(crate) residence: Option<f64>,
-    /// The row, as the table last had it.
+    /// The row in its most recent version.
     pub(crate) row: WorkRow,
-    /// Requests that hold something.
+    /// The number of requests that hold a resource.
     pub(crate) running: u32,
-    /// The output lengths seen.
+    /// The distribution of output lengths.
     pub(crate) sketch: LengthSketch,
 }
 
@@ -56,12 +56,13 @@
         }
     }
 
-    /// How long a request holds a decode place at a between-token time, seconds; 0 before any ended.
+    /// The average time, in seconds, for which a request holds a decode place if tokens are `step` seconds apart; 0 before
+    /// the first one ended.
     pub(crate) fn hold_seconds(&self, step: f64) -> f64 {
         self.sketch.mean_seen() * step
     }
 
-    /// Notes how long a request held something.
+    /// Records how long a request held resources.
     pub(crate) fn record_residence(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
         let mean = self.residence.unwrap_or(seconds);
--- a/crates/admit/src/urgent_demand.rs
+++ b/crates/admit/src/urgent_demand.rs
@@ -1,17 +1,17 @@
-//! What urgent work asks of a pool.
+//! The demand of urgent work on a pool.
 
 use {crate::row_state::RowState, std::time::Duration};
 
-/// How often urgent work comes and how soon it has to be served.
+/// The arrival rate, queue and targets of the urgent rows.
 #[derive(Clone, Debug)]
 pub(crate) struct UrgentDemand {
-    /// Decode places that it holds on the whole.
+    /// The average number of decode places held by urgent work.
     pub(crate) places: f64,
-    /// Requests that wait already.
+    /// The number of waiting requests.
     pub(crate) queued: f64,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub(crate) rate: f64,
-    /// The seconds that the most pressing row may wait.
+    /// The longest acceptable wait of the most urgent row, in seconds.
     pub(crate) slack: f64,
     /// The strictest between-token target.
     pub(crate) target: Option<Duration>,
--- a/crates/admit/tests/cell/early_refusal.rs
+++ b/crates/admit/tests/cell/early_refusal.rs
@@ -1,4 +1,4 @@
-//! What is refused at once, and what waits.
+//! Which requests are refused immediately, and which wait.
 
 use {
     crate::small_cell::{Cell, key, patient, refusals, upstream, urgent},
@@ -23,12 +23,12 @@
     actions.iter().any(grant)
 }
 
-/// Requests that hold both decode places.
+/// Occupies both decode places.
 fn fill(cell: &mut Cell) {
     for serial in 100..102 {
         assert!(is_granted(&submit(cell, serial, "report")));
         cell.send(AdmitEvent::PrefillDone { key: key(serial) });
-        cell.pass(Duration::from_millis(50));
+        cell.advance(Duration::from_millis(50));
         cell.send(AdmitEvent::FirstToken { key: key(serial) });
     }
 }
@@ -45,7 +45,7 @@
         panic!("{actions:?}");
     };
     assert_eq!(*code, ResultCode::FirstTokenLate);
-    // The places are free in at most 400 tokens of 10.5 ms.
+    // The places become free after at most 400 tokens of 10.5 ms each.
     assert!(*retry_after > Duration::from_secs(1), "{retry_after:?}");
     assert!(*retry_after < Duration::from_secs(5), "{retry_after:?}");
 }
@@ -59,10 +59,10 @@
     cell.row(row);
     fill(&mut cell);
     assert!(refusals(&submit(&mut cell, 1, "report")).is_empty());
-    cell.pass(Duration::from_secs(5));
+    cell.advance(Duration::from_secs(5));
     let actions = cell.send(AdmitEvent::Tick);
     assert!(refusals(&actions).is_empty(), "{actions:?}");
-    cell.pass(Duration::from_secs(1));
+    cell.advance(Duration::from_secs(1));
     let actions = cell.send(AdmitEvent::Tick);
     assert_eq!(refusals(&actions), [ResultCode::PatienceEnded]);
 }
@@ -89,7 +89,7 @@
     }
     submit(&mut cell, 1, "slot");
     cell.send(AdmitEvent::PrefillDone { key: key(1) });
-    cell.pass(Duration::from_secs(9));
+    cell.advance(Duration::from_secs(9));
     cell.send(AdmitEvent::Finished {
         key: key(1),
         output_tokens: 50,
@@ -98,8 +98,8 @@
     let actions = submit(&mut cell, 3, "slot");
     assert_eq!(refusals(&actions), [ResultCode::LimitReached]);
     cell.send(AdmitEvent::Cancel { key: key(2) });
-    // Urgent work is rare again, so that nothing is kept free for it.
-    cell.pass(Duration::from_secs(30));
+    // The measured rate of urgent work has decayed, so nothing is kept free for it.
+    cell.advance(Duration::from_secs(30));
     assert!(is_granted(&submit(&mut cell, 4, "report")));
     assert!(refusals(&submit(&mut cell, 5, "report")).is_empty());
 }
@@ -154,7 +154,7 @@
 #[test]
 fn places_that_others_hold_by_a_report_are_not_granted() {
     let mut cell = Cell::small();
-    cell.pass(Duration::from_secs(1));
+    cell.advance(Duration::from_secs(1));
     cell.send(AdmitEvent::Load(LoadReport {
         decode_used: 2,
         leaving: false,
@@ -175,10 +175,10 @@
         matches!(actions[..], [AdmitAction::WakeAt(_)]),
         "{actions:?}"
     );
-    cell.pass(Duration::from_millis(150));
+    cell.advance(Duration::from_millis(150));
     let actions = cell.send(AdmitEvent::Tick);
     assert!(!is_placed(&actions), "{actions:?}");
-    cell.pass(Duration::from_millis(50));
+    cell.advance(Duration::from_millis(50));
     let actions = cell.send(AdmitEvent::Tick);
     assert!(
         matches!(actions[0], AdmitAction::GrantDecode { .. }),
@@ -217,7 +217,7 @@
             }
         }
         cell.send(AdmitEvent::PrefillDone { key: last.clone() });
-        cell.pass(Duration::from_millis(10));
+        cell.advance(Duration::from_millis(10));
     }
     assert!(
         granted[0] >= 3 * granted[1] - 3 && granted[0] <= 3 * granted[1] + 3,
--- a/crates/admit/tests/cell/grant_chain.rs
+++ b/crates/admit/tests/cell/grant_chain.rs
@@ -1,4 +1,4 @@
-//! One request from the queue to its last token.
+//! The grants of one request, and the refusal of unknown work.
 
 use {
     crate::small_cell::{Cell, key, refusals},
@@ -15,7 +15,7 @@
         prefill: "p1".into(),
     };
     assert!(actions.contains(&grant), "{actions:?}");
-    cell.pass(Duration::from_millis(50));
+    cell.advance(Duration::from_millis(50));
     let actions = cell.send(AdmitEvent::PrefillDone { key: key(1) });
     let grant = AdmitAction::GrantDecode {
         decode: "d1".into(),
--- a/crates/admit/tests/cell/grant_oracle.rs
+++ b/crates/admit/tests/cell/grant_oracle.rs
@@ -1,4 +1,4 @@
-//! What an allocator may do, in a few lines: the phase of each request by what the allocator was told and said.
+//! A small model of the allocator that derives the phase of each request from its events and actions.
 
 use {
     admit::{AdmitAction, AdmitEvent, AnnouncedPhase, RequestKey},
@@ -9,24 +9,24 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OraclePhase {
-    Over { again: bool },
+    Ended { may_resubmit: bool },
     Queued,
     Prefilled(UpstreamId),
     Prefilling(UpstreamId),
     Streaming(UpstreamId, Option<UpstreamId>),
 }
 
-/// The oracle.
+/// The expected phases, and the limits to check.
 #[derive(Debug, Default)]
 pub(crate) struct GrantOracle {
-    pub(crate) life: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) limit: u32,
     pub(crate) phases: BTreeMap<RequestKey, (WorkId, OraclePhase)>,
     pub(crate) places: u32,
 }
 
 impl GrantOracle {
-    /// Checks what the allocator says.
+    /// Checks an action of the allocator.
     pub(crate) fn check(&mut self, action: &AdmitAction) {
         use OraclePhase::*;
         let key = match action {
@@ -35,7 +35,7 @@
             | AdmitAction::Refuse { key, .. } => key.clone(),
             AdmitAction::Resync { key } => {
                 let phase = self.phases.get(key).map(|(_, phase)| phase);
-                let is_dropped = matches!(phase, None | Some(Over { again: true }));
+                let is_dropped = matches!(phase, None | Some(Ended { may_resubmit: true }));
                 assert!(is_dropped, "{action:?} in {phase:?}");
                 return;
             }
@@ -59,21 +59,21 @@
             }
             (AdmitAction::Refuse { retry_after, .. }, Queued | Prefilled(_) | Prefilling(_)) => {
                 assert!(!retry_after.is_zero());
-                Over { again: true }
+                Ended { may_resubmit: true }
             }
             (action, phase) => panic!("{action:?} in {phase:?}"),
         };
         self.phases.insert(key, (work, next));
     }
 
-    /// Takes note of what the allocator is told.
-    pub(crate) fn note(&mut self, event: &AdmitEvent) {
+    /// Records an event sent to the allocator.
+    pub(crate) fn observe(&mut self, event: &AdmitEvent) {
         use OraclePhase::*;
         match event {
             AdmitEvent::Announce { phase, request } => {
                 let known = self.phases.get(&request.key).map(|(_, phase)| phase);
-                if request.key.incarnation < self.life
-                    || !matches!(known, None | Some(Queued | Over { again: true }))
+                if request.key.incarnation < self.incarnation
+                    || !matches!(known, None | Some(Queued | Ended { may_resubmit: true }))
                 {
                     return;
                 }
@@ -90,22 +90,29 @@
             }
             AdmitEvent::Submit(request) => {
                 let known = self.phases.get(&request.key).map(|(_, phase)| phase);
-                if request.key.incarnation >= self.life
-                    && matches!(known, None | Some(Over { again: true }))
+                if request.key.incarnation >= self.incarnation
+                    && matches!(known, None | Some(Ended { may_resubmit: true }))
                 {
                     self.phases
                         .insert(request.key.clone(), (request.work.clone(), Queued));
                 }
             }
             AdmitEvent::Cancel { key } => {
-                let over = ("".into(), Over { again: false });
+                let over = (
+                    "".into(),
+                    Ended {
+                        may_resubmit: false,
+                    },
+                );
                 self.phases.insert(key.clone(), over);
             }
             AdmitEvent::HolderGone { before, instance } => {
-                self.life = self.life.max(*before);
+                self.incarnation = self.incarnation.max(*before);
                 for (key, (_, phase)) in &mut self.phases {
                     if key.instance == *instance && key.incarnation < *before {
-                        *phase = Over { again: false };
+                        *phase = Ended {
+                            may_resubmit: false,
+                        };
                     }
                 }
             }
@@ -113,7 +120,7 @@
                 for (_, phase) in self.phases.values_mut() {
                     match phase {
                         Prefilled(at) | Prefilling(at) if at == upstream => *phase = Queued,
-                        Streaming(at, _) if at == upstream => *phase = Over { again: true },
+                        Streaming(at, _) if at == upstream => *phase = Ended { may_resubmit: true },
                         _ => {}
                     }
                 }
@@ -122,14 +129,16 @@
                 self.change(
                     key,
                     |phase| matches!(phase, Streaming(..)),
-                    Over { again: true },
+                    Ended { may_resubmit: true },
                 );
             }
             AdmitEvent::Finished { key, .. } => {
                 self.change(
                     key,
                     |phase| matches!(phase, Streaming(..)),
-                    Over { again: false },
+                    Ended {
+                        may_resubmit: false,
+                    },
                 );
             }
             AdmitEvent::KvEvicted { key } => {
@@ -163,7 +172,7 @@
         }
     }
 
-    /// Whether some action is about a request that has its decode place.
+    /// Whether an action concerns a request that holds a decode place.
     pub(crate) fn touches_streams(&self, actions: &[AdmitAction]) -> bool {
         let streams = |key| {
             let phase = self.phases.get(key).map(|(_, phase)| phase);
@@ -202,7 +211,7 @@
     }
 }
 
-/// The engines of the fuzz.
+/// The engines of the fuzz test.
 pub(crate) const ENGINES: [(&str, UpstreamRole); 4] = [
     ("d1", UpstreamRole::Decode),
     ("d2", UpstreamRole::Decode),
--- a/crates/admit/tests/cell/main.rs
+++ b/crates/admit/tests/cell/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the allocator, of the plan of cells, and the stateful fuzz.
+//! Tests of the allocator and of the cell plan, and a stateful fuzz test.
 
 mod early_refusal;
 mod fuzz_step;
--- a/crates/admit/tests/cell/patience.rs
+++ b/crates/admit/tests/cell/patience.rs
@@ -1,4 +1,4 @@
-//! How patient requests wait for their turn.
+//! Waiting of patient requests.
 
 use {
     crate::small_cell::{Cell, key},
@@ -6,15 +6,15 @@
     std::time::Duration,
 };
 
-/// What the caller allows; nearly all answers are much shorter.
-const MOST_TOKENS: u32 = 4_000;
+/// The maximum output length; nearly all answers are much shorter.
+const MAX_TOKENS: u32 = 4_000;
 const SHORT_TOKENS: u32 = 100;
 const WORK: &str = "report";
 
-/// Submits a request; the prefill engine that it is granted at once.
+/// Submits a request. Returns whether it gets a prefill engine immediately.
 fn submit(cell: &mut Cell, serial: u64) -> bool {
     let mut request = cell.request(serial, WORK);
-    request.max_tokens = MOST_TOKENS;
+    request.max_tokens = MAX_TOKENS;
     let actions = cell.send(AdmitEvent::Submit(request));
     is_granted(&actions, serial)
 }
@@ -34,27 +34,28 @@
 
 fn stream(cell: &mut Cell, serial: u64) {
     assert!(submit(cell, serial), "{serial} waits");
-    cell.pass(Duration::from_millis(50));
+    cell.advance(Duration::from_millis(50));
     cell.send(AdmitEvent::PrefillDone { key: key(serial) });
     cell.send(AdmitEvent::FirstToken { key: key(serial) });
-    cell.pass(Duration::from_millis(50));
+    cell.advance(Duration::from_millis(50));
 }
 
-// Guards against a request that is given up for its caller's bound on the answer, with most of its patience left.
+// Guards against refusing a request early because its maximum output length is taken as its expected length, although
+// most of its patience is left.
 #[test]
 fn a_patient_request_that_probably_ends_in_time_keeps_its_turn() {
     let mut cell = Cell::small();
     for serial in 0..6 {
         stream(&mut cell, serial);
         finish(&mut cell, serial);
-        cell.pass(Duration::from_secs(1));
+        cell.advance(Duration::from_secs(1));
     }
-    // All places are taken.
+    // All decode places are taken.
     for serial in 6..8 {
         stream(&mut cell, serial);
     }
     assert!(!submit(&mut cell, 8));
-    cell.pass(Duration::from_secs(20));
+    cell.advance(Duration::from_secs(20));
     cell.send(AdmitEvent::Tick);
     assert!(!submit(&mut cell, 9));
     let actions = finish(&mut cell, 6);
--- a/crates/admit/tests/cell/row_plan.rs
+++ b/crates/admit/tests/cell/row_plan.rs
@@ -1,4 +1,4 @@
-//! Cells, their allocators and their parts of a limit.
+//! Cells, their allocators and the split of limits.
 
 use {
     crate::small_cell::patient,
--- a/crates/admit/tests/cell/small_cell.rs
+++ b/crates/admit/tests/cell/small_cell.rs
@@ -13,7 +13,7 @@
     table::{WorkRow, WorkTable},
 };
 
-/// An allocator with its clock.
+/// An allocator with a simulated clock.
 pub(crate) struct Cell {
     pub(crate) allocator: CellAllocator,
     pub(crate) now: Instant,
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(crate) fn pass(&mut self, time: Duration) {
+    pub(crate) fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 
@@ -58,7 +58,7 @@
         actions
     }
 
-    /// One prefill engine, one decode engine of two places, an urgent and a patient row.
+    /// One prefill engine, one decode engine with two places, an urgent row and a patient row.
     pub(crate) fn small() -> Self {
         let mut cell = Self::empty();
         cell.row(urgent("slot"));
@@ -73,7 +73,7 @@
     }
 }
 
-/// The key of a request of one entry instance.
+/// The key of a request of the test's entry instance.
 pub(crate) fn key(serial: u64) -> RequestKey {
     RequestKey {
         incarnation: 1,
@@ -82,7 +82,7 @@
     }
 }
 
-/// 1 ms for a hundred prompt tokens.
+/// A link that transfers 100 prompt tokens per millisecond.
 pub(crate) fn link() -> LinkInfo {
     LinkInfo {
         bytes_per_second: 1e10,
--- a/crates/admit/tests/cell/stateful_fuzz.rs
+++ b/crates/admit/tests/cell/stateful_fuzz.rs
@@ -1,4 +1,4 @@
-//! Any order of events, with loss, duplication and crashes, against the oracle.
+//! Random orders of events, with loss, duplication and crashes, checked against the oracle.
 
 use {
     crate::{
@@ -15,10 +15,10 @@
 
 const ROWS: [&str; 3] = ["slot", "report", "bulk"];
 
-/// The allocator, the oracle beside it, and the messages on their way.
+/// The allocator, its oracle, and the messages in flight.
 struct FuzzWorld {
     cell: Cell,
-    life: Incarnation,
+    incarnation: Incarnation,
     messages: Vec<AdmitEvent>,
     oracle: GrantOracle,
     requests: Vec<AdmitRequest>,
@@ -28,7 +28,7 @@
     fn new() -> Self {
         let mut world = Self {
             cell: Cell::empty(),
-            life: 1,
+            incarnation: 1,
             messages: Vec::new(),
             oracle: GrantOracle {
                 places: 2,
@@ -38,7 +38,7 @@
         };
         world.set_limit(3);
         for (name, role) in ENGINES {
-            world.tell(AdmitEvent::UpstreamUp(upstream(name, role)));
+            world.apply(AdmitEvent::UpstreamUp(upstream(name, role)));
         }
         world
     }
@@ -58,11 +58,11 @@
         }
         self.cell.table.version += 1;
         let table = std::sync::Arc::new(self.cell.table.clone());
-        self.tell(AdmitEvent::Table { share: 1.0, table });
+        self.apply(AdmitEvent::Table { share: 1.0, table });
     }
 
-    fn tell(&mut self, event: AdmitEvent) {
-        self.oracle.note(&event);
+    fn apply(&mut self, event: AdmitEvent) {
+        self.oracle.observe(&event);
         for action in self.cell.send(event) {
             self.oracle.check(&action);
             let key = match &action {
@@ -86,10 +86,10 @@
             FuzzStep::Deliver(at) => {
                 if let Some(at) = self.message(at) {
                     let event = self.messages.remove(at);
-                    self.tell(event);
+                    self.apply(event);
                 }
             }
-            FuzzStep::Double(at) => {
+            FuzzStep::Duplicate(at) => {
                 if let Some(at) = self.message(at) {
                     self.messages.push(self.messages[at].clone());
                 }
@@ -100,16 +100,16 @@
                     self.messages.remove(at);
                 }
             }
-            FuzzStep::Move(at, kind) => self.move_on(at, kind),
-            FuzzStep::Pass(millis) => {
-                self.cell.pass(Duration::from_millis(millis));
-                self.tell(AdmitEvent::Tick);
+            FuzzStep::Progress(at, kind) => self.send_next(at, kind),
+            FuzzStep::Advance(millis) => {
+                self.cell.advance(Duration::from_millis(millis));
+                self.apply(AdmitEvent::Tick);
             }
             FuzzStep::Report(at, used) => self.report(at, used),
             FuzzStep::Submit(row) => {
                 let serial = self.requests.len() as u64;
                 let mut request = self.cell.request(serial, ROWS[row]);
-                request.key.incarnation = self.life;
+                request.key.incarnation = self.incarnation;
                 self.requests.push(request.clone());
                 self.messages.push(AdmitEvent::Submit(request));
             }
@@ -147,8 +147,8 @@
     }
 
     fn crash(&mut self) {
-        self.life += 1;
-        let before = self.life;
+        self.incarnation += 1;
+        let before = self.incarnation;
         let instance = key(0).instance;
         self.messages
             .push(AdmitEvent::HolderGone { before, instance });
@@ -158,8 +158,8 @@
         at.checked_rem(self.messages.len())
     }
 
-    /// Sends what may follow the phase that the allocator knows, or now and then something that may not.
-    fn move_on(&mut self, at: usize, kind: usize) {
+    /// Sends an event that fits the phase known to the oracle, or sometimes one that does not.
+    fn send_next(&mut self, at: usize, kind: usize) {
         let Some(key) = self.pick(at) else {
             return;
         };
@@ -213,17 +213,18 @@
         match ending {
             0 => {
                 for request in world.requests.clone() {
-                    world.tell(AdmitEvent::Cancel { key: request.key });
+                    world.apply(AdmitEvent::Cancel { key: request.key });
                 }
             }
             1 => {
                 let instance = key(0).instance;
-                world.tell(AdmitEvent::HolderGone { before: Incarnation::MAX, instance });
+                world.apply(AdmitEvent::HolderGone { before: Incarnation::MAX, instance });
             }
             _ => {
-                // All news is lost: the allocator must not wait for ever. The oracle knows no time and is left out.
+                // All further events are lost, and the allocator must not wait forever. The oracle has no clock and is
+                // not used here.
                 for _ in 0..20 {
-                    world.cell.pass(Duration::from_secs(1000));
+                    world.cell.advance(Duration::from_secs(1000));
                     let actions = world.cell.send(AdmitEvent::Tick);
                     prop_assert!(!world.oracle.touches_streams(&actions), "{:?}", actions);
                 }
--- a/crates/flow/src/abandoned_streams.rs
+++ b/crates/flow/src/abandoned_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that nobody waits for, of entry instances that are silent. Pure.
+//! Detection of streams that have no connection and whose entry instance is silent. Does no I/O.
 
 use {
     kernel::UpstreamId,
@@ -9,19 +9,19 @@
     },
 };
 
-/// How long a stream may be without a connection while its holder is silent. A holder that lives takes a broken stream
-/// up again well within it.
+/// How long a stream may be without a connection while its holder is silent. A holder that is alive resumes a broken
+/// stream well within this time.
 pub const ABANDONED_AFTER: Duration = Duration::from_secs(1);
 
-/// Since when streams look abandoned, by engine.
+/// For each engine, when each of its streams was first seen without a connection and a live holder.
 #[derive(Debug, Default)]
 pub struct AbandonedStreams {
     engines: BTreeMap<UpstreamId, BTreeMap<Arc<str>, Instant>>,
 }
 
 impl AbandonedStreams {
-    /// Takes the streams of one engine that have no connection and a silent holder. Those that have looked so for long
-    /// enough are given back.
+    /// Records the streams of one engine that currently have no connection and a silent holder. Returns those that have
+    /// been in this state for [`ABANDONED_AFTER`].
     pub fn observe(
         &mut self,
         now: Instant,
--- a/crates/flow/src/allocator_tracker.rs
+++ b/crates/flow/src/allocator_tracker.rs
@@ -1,4 +1,4 @@
-//! Which instance is the allocator of each cell, followed as members come and go.
+//! Assigns each cell to its allocator as members join and leave.
 
 use {
     crate::{
@@ -22,31 +22,31 @@
     },
 };
 
-/// How often the seats are compared with the members.
+/// How often the assignments are compared with the members.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a cell that another instance allocates is kept here, for sessions that have not moved yet.
+/// How long a cell is kept after another instance became its allocator, for sessions that have not moved yet.
 const LEAVE_AFTER: Duration = Duration::from_secs(5);
-/// How long a request may wait for a cell that has no allocator.
+/// How long a request may wait for a cell without an allocator.
 const UNASSIGNED_LIMIT: Duration = Duration::from_secs(1);
-/// When to come back after such a wait.
+/// The retry delay after such a refusal.
 const UNASSIGNED_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// The shortest time between two sessions to one allocator.
+/// The minimum time between two sessions with one allocator.
 const SESSION_PAUSE: Duration = Duration::from_millis(200);
 
-/// Knows the instances that may be allocators.
+/// Lists the instances that can be allocators.
 pub trait MemberView: Send + Sync + 'static {
-    /// The live instances of the own availability zone that take work, the own one included while it takes work.
+    /// The live instances of the own availability zone that accept work, including the own one while it does.
     fn zone_members(&self) -> Vec<InstanceId>;
 }
 
-/// One seat as it was set last.
+/// The route that was last set for a cell.
 struct AssignedRoute {
     allocator: InstanceId,
     frames: mpsc::WeakUnboundedSender<crate::cell_frame::CellFrame>,
     since: Instant,
 }
 
-/// Follows the members and gives every cell its allocator.
+/// Follows the members and routes each cell to its allocator.
 pub struct AllocatorTracker<M: PolicyFactory, V> {
     registry: Arc<UpstreamRegistry>,
     cells: Arc<CellTable<M, GrantRouter>>,
@@ -63,7 +63,7 @@
 
 #[bon::bon]
 impl<M: PolicyFactory, V: MemberView> AllocatorTracker<M, V> {
-    /// Seats for the cells of `zone`, of this `instance`'s side; its sessions run in `pool`.
+    /// Creates a tracker for the cells of `zone`, seen from `instance`. Its sessions run in `pool`.
     #[builder]
     pub fn new(
         registry: Arc<UpstreamRegistry>,
@@ -92,7 +92,7 @@
 }
 
 impl<M: PolicyFactory, V: MemberView> AllocatorTracker<M, V> {
-    /// Follows the members for as long as it is driven.
+    /// Follows the members until it is dropped.
     pub async fn run(mut self) {
         let mut ticks = time::interval(CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -124,7 +124,8 @@
         frames.is_some_and(|frames| !frames.is_closed())
     }
 
-    /// Refuses the requests whose cell has had no allocator for too long: for want of engines or of members.
+    /// Refuses requests whose cell has had no allocator for [`UNASSIGNED_LIMIT`], because it has no engines or no
+    /// members.
     fn refuse_unassigned(&mut self, now: Instant) {
         for model in self.hub.requests().models() {
             if self.has_session(&model) {
@@ -161,7 +162,7 @@
             .insert(model.clone(), route)
             .is_none_or(|old| old.allocator != allocator);
         if is_moved {
-            tracing::info!(%model, %allocator, "the cell has an allocator");
+            tracing::info!(%model, %allocator, "cell assigned to allocator");
         }
         if allocator == self.instance {
             self.left_since.remove(model);
@@ -180,7 +181,8 @@
         self.hub.set_route(model, CellRoute { allocator, frames });
     }
 
-    /// Drops the cells that others have allocated for long enough. A session that moves here late makes its cell anew.
+    /// Drops cells that other instances have allocated for [`LEAVE_AFTER`]. A session that moves here later creates its
+    /// cell again.
     fn drop_left_cells(&mut self, now: Instant) {
         for (model, _) in self.cells.list() {
             let is_own = self
@@ -200,12 +202,12 @@
     }
 }
 
-/// The allocator of a model's cell among the members of its availability zone.
+/// The allocator of a model's cell, chosen by rendezvous hashing over the members of its availability zone.
 pub fn allocator_of(zone: &str, model: &str, members: &[InstanceId]) -> Option<InstanceId> {
     seeded_rng::rendezvous(&format!("{zone}/{model}"), members).cloned()
 }
 
-/// The models that the engines of a zone serve.
+/// The models served by the engines of an availability zone.
 fn zone_models(registry: &UpstreamRegistry, zone: &str) -> BTreeSet<ModelId> {
     let map = registry.snapshot();
     let entries = map
--- a/crates/flow/src/cell_driver.rs
+++ b/crates/flow/src/cell_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the allocator of one cell: gives it events and carries its decisions to whoever holds the requests.
+//! Drives the allocator of one cell: passes events to it and delivers its decisions to the holders of the requests.
 
 use {
     crate::{cell_frame::CellFrame, cell_notice::CellGrant, open_keys::OpenKeys},
@@ -9,13 +9,13 @@
     tokio::{sync::Notify, time},
 };
 
-/// Carries a decision to the entry instance that holds the request.
+/// Delivers decisions to the entry instances that hold the requests.
 pub trait GrantSink: Send + Sync + 'static {
-    /// Delivers one grant; a request that is no longer held is dropped.
+    /// Delivers one grant. A grant for a request that is no longer held is dropped.
     fn deliver(&self, model: &ModelId, key: RequestKey, grant: CellGrant);
 }
 
-/// One cell's allocator with its timer.
+/// The allocator of one cell with its timer.
 pub struct CellDriver<P, S> {
     model: ModelId,
     sink: Arc<S>,
@@ -24,11 +24,11 @@
 }
 
 struct CellState<P> {
-    /// Events of requests that came before the allocator knew its engines; `None` once it does.
+    /// Request events that arrived before the allocator knew its engines; `None` afterwards.
     buffered: Option<Vec<AdmitEvent>>,
     open_keys: OpenKeys,
     policy: P,
-    /// The table that the allocator was told last.
+    /// The table that the allocator last received.
     table: Option<Arc<WorkTable>>,
     wake_at: Option<Instant>,
 }
@@ -38,7 +38,7 @@
     P: AdmitPolicy + Send + 'static,
     S: GrantSink,
 {
-    /// A driver around the allocator of one model's cell.
+    /// Creates a driver for the allocator of a model's cell.
     pub fn new(model: ModelId, policy: P, sink: Arc<S>) -> Self {
         Self {
             model,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether a table differs from the one that came here before; it counts as told from then on.
+    /// Stores the table and returns whether it differs from the previous one.
     pub fn replace_table(&self, table: &Arc<WorkTable>) -> bool {
         let mut state = self.state.lock();
         if state.table.as_ref() == Some(table) {
@@ -67,12 +67,12 @@
         true
     }
 
-    /// Reads the allocator's state.
+    /// Reads the state of the allocator.
     pub fn inspect<T>(&self, read: impl FnOnce(&P) -> T) -> T {
         read(&self.state.lock().policy)
     }
 
-    /// Gives one event to the allocator and delivers what it decides.
+    /// Passes one event to the allocator and delivers its decisions.
     pub fn on_event(&self, event: AdmitEvent) {
         let actions = self.apply(&mut self.state.lock(), event);
         for action in actions {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes a frame of an entry instance.
+    /// Handles a frame from an entry instance.
     pub fn on_frame(&self, now: Instant, frame: CellFrame) {
         if let CellFrame::Holds {
             instance, serials, ..
@@ -99,8 +99,8 @@
         self.on_request(event);
     }
 
-    /// Gives one event of a request to the allocator. Before [`CellDriver::open`] it is kept: an allocator that knows no
-    /// engine yet would refuse what it could serve a moment later.
+    /// Passes one request event to the allocator. Events are buffered until [`CellDriver::open`], because an allocator
+    /// that knows no engine yet would refuse requests that it could serve a moment later.
     pub fn on_request(&self, event: AdmitEvent) {
         {
             let mut state = self.state.lock();
@@ -118,11 +118,11 @@
         self.on_event(event);
     }
 
-    /// Says that the allocator was told of the engines that answer.
+    /// Passes on the buffered events, once the allocator knows the engines that answer.
     pub fn open(&self) {
         let mut actions = Vec::new();
         {
-            // An event that comes meanwhile is taken after the earlier ones.
+            // Holding the lock keeps an event that arrives meanwhile behind the buffered ones.
             let mut state = self.state.lock();
             for event in state.buffered.take().unwrap_or_default() {
                 actions.extend(self.apply(&mut state, event));
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Wakes the allocator when it asked for it, until the signal.
+    /// Wakes the allocator at the times it requests, until the signal is raised.
     pub async fn run_timer(&self, signal: CloseSignal) {
         loop {
             let wake_at = self.state.lock().wake_at;
@@ -142,7 +142,7 @@
                 () = self.timer.notified() => continue,
                 () = sleep_until(wake_at) => {}
             }
-            // An event may have asked for another time since this one was due.
+            // An event may have requested another time since this one was due.
             self.state
                 .lock()
                 .wake_at
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Gives one event to the allocator; its decisions are to be delivered without the lock.
+    /// Passes one event to the allocator. The caller delivers the decisions after releasing the lock.
     fn apply(&self, state: &mut CellState<P>, event: AdmitEvent) -> Vec<AdmitAction> {
         let mut actions = Vec::new();
         state.open_keys.track(&event);
@@ -176,7 +176,7 @@
         self.sink.deliver(&self.model, key, grant);
     }
 
-    /// Keeps the earliest time that was asked for and is still to come.
+    /// Keeps the earliest requested time that is still in the future.
     fn schedule_wake(&self, state: &mut CellState<P>, actions: &[AdmitAction]) {
         let now = Instant::now();
         for action in actions {
--- a/crates/flow/src/cell_frame.rs
+++ b/crates/flow/src/cell_frame.rs
@@ -1,4 +1,5 @@
-//! The messages of a session between an entry instance and the allocator of a cell.
+//! Frames of a session between an entry instance and the allocator of a cell. They are encoded with postcard, so the
+//! order of fields and variants is the wire format.
 
 use {
     crate::cell_notice::{CellGrant, CellNotice},
@@ -11,108 +12,108 @@
     },
 };
 
-/// A request as it is told to an allocator. Clocks differ between instances, so that times travel as ages.
+/// A request as it is submitted to an allocator. Times are sent as ages, because clocks differ between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CellSubmit {
-    /// How long ago the caller's request arrived.
+    /// The time since the caller's request arrived.
     pub age: Duration,
     /// The request.
     pub key: RequestKey,
-    /// The most tokens that the caller takes.
+    /// The maximum length of the answer in tokens.
     pub max_tokens: u32,
-    /// The model: it names the cell.
+    /// The model, which identifies the cell.
     pub model: ModelId,
-    /// The chained hashes of the prompt's blocks.
+    /// Chained hashes of the prompt's blocks, in prompt order.
     pub prefix: Vec<BlockHash>,
-    /// The prompt's length in tokens.
+    /// The prompt length in tokens.
     pub prompt_tokens: u32,
-    /// The row of the table.
+    /// The work that names the row of the table.
     pub work: WorkId,
 }
 
-/// How far a held request has come.
+/// The phase of a request held by an entry instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum HeldPhase {
-    /// It generates tokens.
+    /// The request generates tokens.
     Decoding {
-        /// The decode engine.
+        /// The engine on which the request holds a decode place.
         decode: UpstreamId,
-        /// The tokens so far, as last noted.
+        /// The number of tokens generated when the phase was recorded.
         tokens: u32,
     },
-    /// A prefill engine reads the prompt.
+    /// A prefill engine processes the prompt.
     Prefilling {
-        /// The prefill engine.
+        /// The engine that prefills the prompt.
         prefill: UpstreamId,
-        /// For how long.
+        /// The time since the request entered this phase.
         age: Duration,
     },
-    /// It waits for a prefill engine.
+    /// The request waits for a prefill engine.
     Queued,
-    /// Its KV cache waits for its transfer.
+    /// The KV cache waits for its transfer.
     Prefilled {
-        /// The prefill engine.
+        /// The engine that keeps the KV cache.
         prefill: UpstreamId,
-        /// For how long.
+        /// The time since the request entered this phase.
         age: Duration,
     },
-    /// Its KV cache crosses the link.
+    /// The KV cache is being transferred over the link.
     Transferring {
-        /// The decode engine.
+        /// The engine on which the request holds a decode place.
         decode: UpstreamId,
-        /// The prefill engine.
+        /// The engine that keeps the KV cache.
         prefill: UpstreamId,
-        /// For how long.
+        /// The time since the request entered this phase.
         age: Duration,
     },
 }
 
-/// What an entry instance sends to an allocator.
+/// A frame from an entry instance to an allocator.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CellFrame {
-    /// What a request holds that another allocator granted.
+    /// Announces what a request holds by grants of another allocator.
     Announce {
-        /// How far it has come.
+        /// The phase of the request.
         phase: HeldPhase,
         /// The request.
         submit: CellSubmit,
     },
-    /// The first frame for a cell: all that the instance holds there. Whatever else the allocator was told of by the
-    /// instance is over, and the word of it was lost.
+    /// The first frame for a cell lists every request that the instance holds there. Requests that the allocator knows
+    /// from this instance and that are not listed have ended, and their final notice was lost.
     Holds {
         /// The entry instance.
         instance: InstanceId,
-        /// The cell.
+        /// The model, which identifies the cell.
         model: ModelId,
-        /// The serials of the requests.
+        /// The serial numbers of the held requests.
         serials: BTreeSet<u64>,
     },
-    /// What happened to a request.
+    /// Reports a change of a request.
     Notice {
         /// The request.
         key: RequestKey,
-        /// The cell.
+        /// The model, which identifies the cell.
         model: ModelId,
-        /// What happened.
+        /// The reported change.
         notice: CellNotice,
     },
-    /// A new attempt.
+    /// Submits a new attempt.
     Submit(CellSubmit),
 }
 
-/// What an allocator sends to an entry instance.
+/// A frame from an allocator to an entry instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GrantFrame {
-    /// The decision.
+    /// The decision on the request.
     pub grant: CellGrant,
     /// The request.
     pub key: RequestKey,
-    /// The cell.
+    /// The model, which identifies the cell.
     pub model: ModelId,
 }
 
 impl CellFrame {
-    /// The cell that the frame is for.
+    /// The model that identifies the cell.
     pub fn model(&self) -> &ModelId {
         match self {
             Self::Announce { submit, .. } | Self::Submit(submit) => &submit.model,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The entry instance that the frame is of.
+    /// The entry instance that sent the frame.
     pub fn instance(&self) -> &InstanceId {
         match self {
             Self::Announce { submit, .. } | Self::Submit(submit) => &submit.key.instance,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The allocator's event, by this process's clock; `None` for a frame that is of no single request.
+    /// Converts the frame to an event with timestamps of the local clock; `None` for a frame about several requests.
     pub fn into_event(self, now: Instant) -> Option<AdmitEvent> {
         match self {
             Self::Announce { phase, submit } => Some(announce_event(phase, submit, now)),
--- a/crates/flow/src/cell_hub.rs
+++ b/crates/flow/src/cell_hub.rs
@@ -1,4 +1,4 @@
-//! Takes this instance's requests to the allocators of their cells, wherever those are, and brings the grants back.
+//! Sends this instance's requests to the allocators of their cells, local or remote, and distributes the grants.
 
 use {
     crate::{
@@ -21,19 +21,19 @@
     tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender},
 };
 
-/// When to come back after a request was refused because this instance was held for gone.
+/// The retry delay after a refusal because the other instances considered this one gone.
 const RENEWED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Where the frames of one cell go.
+/// The destination of a cell's frames.
 #[derive(Clone, Debug)]
 pub struct CellRoute {
-    /// The allocator.
+    /// The instance that allocates the cell.
     pub allocator: InstanceId,
-    /// Takes the frames to it.
+    /// The channel to the allocator.
     pub frames: UnboundedSender<CellFrame>,
 }
 
-/// This instance's side of all cells.
+/// The entry instance's side of all cells.
 #[derive(Debug)]
 pub struct CellHub {
     incarnation: AtomicU64,
@@ -44,7 +44,7 @@
 }
 
 impl CellHub {
-    /// A hub without seats: requests wait until their cell has one.
+    /// Creates a hub without routes. Requests wait until their cell has one.
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
             incarnation: AtomicU64::new(incarnation),
@@ -55,16 +55,16 @@
         }
     }
 
-    /// The allocator of each cell.
+    /// The allocator of each cell with a route.
     pub fn allocators(&self) -> BTreeMap<ModelId, InstanceId> {
         let routes = self.routes.lock();
-        let named = routes.iter();
-        named
+        let pairs = routes.iter();
+        pairs
             .map(|(model, route)| (model.clone(), route.allocator.clone()))
             .collect()
     }
 
-    /// The name that the next request gets.
+    /// Generates the key of the next request.
     pub fn next_key(&self) -> RequestKey {
         RequestKey {
             incarnation: self.incarnation.load(Ordering::Acquire),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tells the allocator what happened to a request.
+    /// Reports a change of a request to its allocator.
     pub fn notify(&self, key: &RequestKey, notice: CellNotice) {
         let Some(model) = self.requests.apply_notice(key.serial, &notice) else {
             return;
@@ -86,10 +86,11 @@
         self.refuse_ended_incarnation(key);
     }
 
-    /// Takes a grant of a cell's allocator. Grants of an instance that is not the cell's allocator any more are dropped.
+    /// Handles a grant from an allocator. Grants from an instance that is no longer the cell's allocator are dropped.
     pub fn on_grant(&self, allocator: &InstanceId, frame: GrantFrame) {
         let model = &frame.model;
-        // The cell keeps its allocator until the grant is noted: a new one is told of it then.
+        // The lock keeps the cell's allocator unchanged until the grant is recorded, so that a new allocator learns of
+        // it.
         let routes = self.routes.lock();
         let Some(route) = routes.get(model) else {
             return;
@@ -97,19 +98,19 @@
         if route.allocator != *allocator {
             return;
         }
-        let Some(answer) = self.requests.deliver(&frame.key, frame.grant) else {
+        let Some(reply) = self.requests.deliver(&frame.key, frame.grant) else {
             return;
         };
-        // A closed session is followed by another seat, to which everything is announced.
-        let _ = route.frames.send(with_model(answer, model));
+        // If the session is closed, a new route follows and everything is announced there.
+        let _ = route.frames.send(with_model(reply, model));
     }
 
-    /// Takes the request to the end of its time at the allocator, without a word: the allocator refused it.
+    /// Removes a request without notifying the allocator, which refused it.
     pub fn forget(&self, key: &RequestKey) {
         self.requests.remove(key.serial);
     }
 
-    /// The requests that are held.
+    /// The requests held by this instance.
     pub fn requests(&self) -> &RequestTable {
         &self.requests
     }
@@ -121,8 +122,8 @@
             .refuse_waiting(is_selected, ResultCode::UpstreamMissing, retry_after);
     }
 
-    /// Starts a new life: the allocators hold the requests of the earlier one for gone. Those that wait for a grant are
-    /// refused, and the others as soon as they would wait for one.
+    /// Starts a new incarnation, because the allocators consider the requests of the previous one gone. Requests that
+    /// wait for a grant are refused, and the others as soon as they would wait for one.
     pub fn renew(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation, Ordering::Release);
         self.requests.refuse_waiting(
@@ -132,7 +133,7 @@
         );
     }
 
-    /// Queues a further attempt of a request that is held.
+    /// Queues another attempt of a held request.
     pub fn resubmit(&self, key: &RequestKey) {
         let Some(frame) = self.requests.requeue(key.serial) else {
             return;
@@ -141,19 +142,19 @@
         self.refuse_ended_incarnation(key);
     }
 
-    /// Gives a cell another allocator and announces to it what this instance holds.
+    /// Routes a cell to an allocator and announces the requests held here to it.
     pub fn set_route(&self, model: &ModelId, route: CellRoute) {
         let frames = route.frames.clone();
-        // What happens meanwhile is sent after the announcement that doesn't tell of it.
+        // Holding the lock orders later changes after the announcement, which does not contain them.
         let mut routes = self.routes.lock();
         routes.insert(model.clone(), route);
         for frame in self.requests.announcements(&self.instance, model) {
-            // A closed session is followed by another seat.
+            // If the session is closed, a new route follows.
             let _ = frames.send(frame);
         }
     }
 
-    /// The allocator of a cell.
+    /// The allocator of a cell; `None` without a route.
     pub fn allocator(&self, model: &ModelId) -> Option<InstanceId> {
         self.routes
             .lock()
@@ -161,7 +162,7 @@
             .map(|route| route.allocator.clone())
     }
 
-    /// Queues a request; its grants come over the channel.
+    /// Queues a request and returns the channel for its grants.
     pub fn submit(&self, key: &RequestKey, request: &ModelRequest) -> UnboundedReceiver<CellGrant> {
         let (grants, receiver) = mpsc::unbounded_channel();
         let submit = CellSubmit {
@@ -183,7 +184,7 @@
         receiver
     }
 
-    /// Refuses a request that waits for a grant and belongs to an ended life: no allocator takes it.
+    /// Refuses a request that waits for a grant and belongs to an earlier incarnation, which no allocator accepts.
     fn refuse_ended_incarnation(&self, key: &RequestKey) {
         if key.incarnation >= self.incarnation.load(Ordering::Acquire) {
             return;
@@ -200,7 +201,7 @@
         let Some(route) = routes.get(frame.model()) else {
             return;
         };
-        // A closed session is followed by another seat, to which everything is announced.
+        // If the session is closed, a new route follows and everything is announced there.
         let _ = route.frames.send(frame);
     }
 }
--- a/crates/flow/src/cell_notice.rs
+++ b/crates/flow/src/cell_notice.rs
@@ -1,4 +1,5 @@
-//! What an entry instance and the allocator of a cell tell each other about one request.
+//! Messages about one request between its entry instance and the allocator of its cell. They are encoded with postcard,
+//! so the order of fields and variants is the wire format.
 
 use {
     admit::{AdmitEvent, RequestKey},
@@ -7,50 +8,50 @@
     std::time::Duration,
 };
 
-/// What the entry instance tells of a request.
+/// A change of a request, reported by its entry instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CellNotice {
-    /// The request is over; all that it holds is free.
+    /// The request has ended, and everything it holds is free.
     Cancel,
     /// The decode engine failed after the transfer began.
     DecodeLost,
-    /// The decode engine refused; nothing was transferred.
+    /// The decode engine refused the request. Nothing was transferred.
     DecodeRefused,
-    /// The last token came.
+    /// The last token arrived.
     Finished {
-        /// The length of the answer.
+        /// The length of the answer in tokens.
         output_tokens: u32,
     },
-    /// The first token came.
+    /// The first token arrived.
     FirstToken,
     /// The KV cache was evicted before its transfer.
     KvEvicted,
-    /// The prompt is read.
+    /// Prefill is complete.
     PrefillDone,
     /// The prefill engine refused or failed.
     PrefillFailed,
 }
 
-/// What the allocator grants to a request.
+/// A decision of the allocator on a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CellGrant {
-    /// Transfer to this decode engine, now.
+    /// Start the transfer to this decode engine now.
     Decode(UpstreamId),
-    /// Read at this prefill engine, now.
+    /// Start prefill on this engine now.
     Prefill(UpstreamId),
-    /// The final answer.
+    /// The request is refused. This is its final answer.
     Refuse {
-        /// Why.
+        /// The result code for the caller.
         code: ResultCode,
-        /// When to come back.
+        /// The retry delay for the caller.
         retry_after: Duration,
     },
-    /// The allocator lost track of the request: announce it anew.
+    /// The allocator does not hold the request and asks for it to be announced again.
     Resync,
 }
 
 impl CellNotice {
-    /// The allocator's event.
+    /// Converts the notice to an allocator event.
     pub fn into_event(self, key: RequestKey) -> AdmitEvent {
         match self {
             Self::Cancel => AdmitEvent::Cancel { key },
--- a/crates/flow/src/cell_session.rs
+++ b/crates/flow/src/cell_session.rs
@@ -1,4 +1,4 @@
-//! Sessions with allocators at other instances: frames there, grants back.
+//! Sessions with allocators on other instances. Frames are sent to the allocator and grants are returned.
 
 use {
     crate::{
@@ -16,10 +16,10 @@
     tokio::sync::mpsc::{self, UnboundedReceiver},
 };
 
-/// The tag of allocator sessions.
+/// The protocol tag of allocator sessions.
 pub const CELL_TAG: ProtocolTag = 0x20;
 
-/// Takes the sessions that other instances open with the allocators here.
+/// Accepts the sessions that other instances open with the local allocators.
 pub struct SessionHost<M: PolicyFactory> {
     cells: Arc<CellTable<M, GrantRouter>>,
     pool: WorkerPool,
@@ -27,7 +27,7 @@
 }
 
 impl<M: PolicyFactory> SessionHost<M> {
-    /// A host of the allocators in `cells`, whose sessions run in `pool`.
+    /// Creates a host for the allocators in `cells`. Its sessions run in `pool`.
     pub fn new(
         cells: Arc<CellTable<M, GrantRouter>>,
         pool: WorkerPool,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes sessions for as long as it is driven.
+    /// Accepts sessions until `incoming` is closed.
     pub async fn run(self, mut incoming: tokio::sync::mpsc::Receiver<PeerIncoming>) {
         while let Some(session) = incoming.recv().await {
             let PeerIncoming::Session {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Runs this instance's side of one session, until it is lost or `frames` ends.
+/// Runs the local side of one session until it breaks or `frames` is closed.
 pub async fn run_session(
     endpoint: PeerEndpoint,
     allocator: InstanceId,
@@ -97,7 +97,7 @@
         let Some(frame) = decode::<CellFrame>(&frame.body) else {
             return;
         };
-        // An instance speaks for its own requests only.
+        // An instance may only send frames about its own requests.
         if *frame.instance() != from.instance {
             continue;
         }
--- a/crates/flow/src/cell_table.rs
+++ b/crates/flow/src/cell_table.rs
@@ -1,4 +1,4 @@
-//! The cells whose allocator this instance is.
+//! The cells that this instance allocates.
 
 use {
     crate::{
@@ -17,34 +17,34 @@
     tokio::time,
 };
 
-/// How often the parts of limits are worked out anew: the list may name other availability zones.
+/// How often the cells' parts of the limits are recomputed, because the list may name other availability zones.
 const PART_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The limits in a cell's table are its own parts already.
+/// The limits in a cell's table are already reduced to the cell's part.
 const WHOLE_SHARE: f64 = 1.0;
 
-/// Makes the allocator of a cell.
+/// Creates the allocators of cells.
 pub trait PolicyFactory: Send + Sync + 'static {
-    /// The kind of allocator.
+    /// The type of the allocators.
     type Policy: AdmitPolicy + Send + 'static;
 
-    /// A fresh allocator for one model's cell.
+    /// Creates an allocator for a model's cell.
     fn make(&self, model: &ModelId) -> Self::Policy;
 
-    /// The table with this cell's part of every row's limit in place of the whole.
+    /// The table with every limit reduced to this cell's part.
     fn table_for_cell(&self, model: &ModelId, table: &WorkTable) -> WorkTable;
 }
 
-/// One running cell.
+/// The driver of a running cell.
 type CellHandle<M, S> = Arc<CellDriver<<M as PolicyFactory>::Policy, S>>;
 
-/// A cell with the signal that ends its timer.
+/// A running cell with the signal that stops its timer.
 struct RunningCell<M: PolicyFactory, S> {
     driver: CellHandle<M, S>,
     signal: CloseSignal,
 }
 
-/// The cells whose allocator this instance is, by model.
+/// The cells that this instance allocates, by model.
 pub struct CellTable<M: PolicyFactory, S> {
     current: Arc<CurrentTable>,
     cells: RankedLock<BTreeMap<ModelId, RunningCell<M, S>>>,
@@ -54,7 +54,7 @@
 }
 
 impl<M: PolicyFactory, S: GrantSink> CellTable<M, S> {
-    /// The driver of a model's cell, made when it is not there yet.
+    /// The driver of a model's cell, which is created if missing.
     pub fn cell(&self, model: &ModelId) -> CellHandle<M, S> {
         let mut cells = self.cells.lock();
         if let Some(cell) = cells.get(model) {
@@ -81,7 +81,7 @@
         driver
     }
 
-    /// Drops the cell of a model whose allocator is now another instance.
+    /// Stops the cell of a model that another instance now allocates.
     pub fn remove(&self, model: &ModelId) {
         let Some(cell) = self.cells.lock().remove(model) else {
             return;
@@ -98,7 +98,7 @@
             .collect()
     }
 
-    /// An empty table of cells. Timers run in `pool`, decisions go to `sink`.
+    /// Creates an empty table. Timers run in `pool`, and decisions go to `sink`.
     pub fn new(current: Arc<CurrentTable>, factory: M, pool: WorkerPool, sink: Arc<S>) -> Self {
         Self {
             current,
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Gives a frame of an entry instance to its cell.
+    /// Passes a frame from an entry instance to its cell.
     pub fn on_frame(&self, frame: CellFrame) {
         let driver = self.cell(&frame.model().clone());
         driver.on_frame(Instant::now(), frame);
     }
 
-    /// Tells every cell that earlier lives of an entry instance are gone.
+    /// Reports to every cell that earlier incarnations of an entry instance are gone.
     pub fn on_holder_gone(&self, instance: &InstanceId, before: Incarnation) {
         for (_, driver) in self.list() {
             driver.on_event(AdmitEvent::HolderGone {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Gives the table in force to every cell, whenever it changes.
+    /// Passes the active table to every cell whenever it changes.
     pub async fn run_tables(&self) {
         let mut changes = self.current.changes();
         let mut ticks = time::interval(PART_INTERVAL);
--- a/crates/flow/src/current_table.rs
+++ b/crates/flow/src/current_table.rs
@@ -1,4 +1,4 @@
-//! The table in force at this instance.
+//! The active table of this instance.
 
 use {
     arc_swap::ArcSwap,
@@ -10,18 +10,18 @@
     tokio::sync::watch,
 };
 
-/// A table with the moment since which it is in force here.
+/// A table with the time of its activation on this instance.
 #[derive(Clone, Debug)]
 pub struct TableEntry {
-    /// The moment, by this process's clock.
+    /// The time of activation by the monotonic clock.
     pub since: Instant,
-    /// The moment, by the wall clock.
+    /// The time of activation by the wall clock.
     pub since_wall: SystemTime,
-    /// The table.
+    /// The active table.
     pub table: Arc<WorkTable>,
 }
 
-/// Shows the table in force to every part; a part can wait for the next one.
+/// Publishes the active table to all components, which can wait for a change.
 #[derive(Debug)]
 pub struct CurrentTable {
     entry: ArcSwap<Option<TableEntry>>,
@@ -38,22 +38,22 @@
 }
 
 impl CurrentTable {
-    /// Tells of each further table.
+    /// Subscribes to the version of each new table.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
-    /// The entry in force.
+    /// The active table with its activation time; `None` before the first one.
     pub fn entry(&self) -> Option<TableEntry> {
         self.entry.load().as_ref().clone()
     }
 
-    /// A board without a table.
+    /// Creates an instance without a table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Puts a table in force. Whoever calls it answers for the order of versions.
+    /// Activates a table. The caller ensures that versions do not decrease.
     pub fn put(&self, table: Arc<WorkTable>) {
         let version = table.version;
         let entry = TableEntry {
@@ -65,7 +65,7 @@
         self.version.send_replace(version);
     }
 
-    /// The table in force.
+    /// The active table; `None` before the first one.
     pub fn table(&self) -> Option<Arc<WorkTable>> {
         self.entry
             .load()
--- a/crates/flow/src/engine_watch.rs
+++ b/crates/flow/src/engine_watch.rs
@@ -1,4 +1,4 @@
-//! What the allocator of a cell makes of one engine's load reports. Pure.
+//! Converts the load reports of one engine to allocator events. Does no I/O.
 
 use {
     admit::{AdmitEvent, LinkInfo},
@@ -9,10 +9,10 @@
     std::time::{Duration, Instant},
 };
 
-/// How many polls in a row have to fail before an engine counts as gone.
+/// The number of consecutive failed polls after which an engine counts as gone.
 const FAILURE_LIMIT: u32 = 5;
 
-/// One engine as its reports show it.
+/// The state of one engine according to its reports.
 #[derive(Clone, Debug, Default)]
 pub struct EngineWatch {
     failures: u32,
@@ -27,7 +27,7 @@
         self.info.is_some()
     }
 
-    /// Takes a failed poll.
+    /// Handles a failed poll.
     pub fn on_failure(&mut self, upstream: &UpstreamId) -> Vec<AdmitEvent> {
         self.failures += 1;
         if self.failures < FAILURE_LIMIT || self.info.is_none() {
@@ -40,7 +40,8 @@
         vec![AdmitEvent::UpstreamGone(upstream.clone())]
     }
 
-    /// Takes a report; `mark` is why the engine takes no new work, if anything but its own word says so.
+    /// Handles a load report. `mark` is the reason why the engine is draining if it comes from another source than the
+    /// report.
     pub fn on_load(
         &mut self,
         now: Instant,
--- a/crates/flow/src/flow_action.rs
+++ b/crates/flow/src/flow_action.rs
@@ -1,4 +1,4 @@
-//! What to do next for one request.
+//! Actions requested by the state machine of a request.
 
 use {
     crate::{cell_notice::CellNotice, flow_failure::FlowFailure},
@@ -6,39 +6,39 @@
     std::time::Duration,
 };
 
-/// One action, to be done in the order given.
+/// One action. Actions are executed in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowAction {
-    /// Cancel an attempt's stream at this engine, until the engine says so.
+    /// Cancel an attempt's stream on this engine, repeating the call until the engine confirms it.
     Cancel {
-        /// The attempt.
+        /// The number of the attempt.
         attempt: u32,
-        /// Whether the call that starts the stream got no answer yet: it may reach the engine after the cancel.
+        /// Whether the call that starts the stream is still unanswered. It may reach the engine after the cancellation.
         in_flight: bool,
-        /// The engine.
+        /// The engine on which the stream may run.
         upstream: UpstreamId,
     },
-    /// Start the transfer and the generation.
+    /// Start the transfer and generation on this decode engine.
     Decode(UpstreamId),
-    /// Tell the caller that there is no answer.
+    /// Report the failure to the caller.
     Fail(FlowFailure),
-    /// Tell the caller that the answer is whole.
+    /// Report the complete answer to the caller.
     Finish,
-    /// Tell the allocator.
+    /// Notify the allocator.
     Notify(CellNotice),
-    /// Start reading.
+    /// Start prefill on this engine.
     Prefill(UpstreamId),
-    /// Forget the tokens so far.
+    /// Discard the tokens received so far.
     Restart,
-    /// Take the stream up again from a token on.
+    /// Resume the stream from a given token.
     Resume {
-        /// The engine that has the stream.
+        /// The engine that runs the stream.
         decode: UpstreamId,
-        /// The first token wanted.
+        /// The index of the first token to send.
         offset: u32,
-        /// How long to wait before.
+        /// The wait before the call.
         pause: Duration,
     },
-    /// Queue a further attempt.
+    /// Queue another attempt.
     Submit,
 }
--- a/crates/flow/src/flow_core.rs
+++ b/crates/flow/src/flow_core.rs
@@ -1,4 +1,4 @@
-//! The steps of one request as a pure state machine. It alone decides which final answer is true.
+//! The state machine of one request. Does no I/O, and is the only place that decides the final answer.
 
 use {
     crate::{
@@ -12,43 +12,44 @@
     std::time::Duration,
 };
 
-/// How often a prompt is read again because its KV cache was evicted. Such a try is not one of the row's retries: the
-/// eviction is this system's own doing.
+/// How often a prompt is prefilled again because its KV cache was evicted. This does not count against the row's
+/// retries, because the eviction is caused by this system.
 const EVICTION_LIMIT: u8 = 8;
-/// How often a broken stream is taken up again without a further token; the pauses before add up to less than a second.
+/// How often a broken stream is resumed without receiving another token. The pauses in between total less than one
+/// second.
 const RESUME_LIMIT: u8 = 5;
-/// The wait before the second try; it doubles with each further one.
+/// The wait before the second try, doubled for each further one.
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// When to come back after a failure that says nothing of load.
+/// The retry delay after a failure that is not caused by load.
 const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How far a request has come.
+/// The phase of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum FlowPhase {
-    /// It holds a decode place, or its KV cache is on the way there.
+    /// The request holds a decode place, or its KV cache is being transferred there.
     Decoding {
-        /// The decode engine.
+        /// The engine on which the request holds a decode place.
         decode: UpstreamId,
-        /// The prefill engine that read the prompt.
+        /// The engine that prefilled the prompt.
         prefill: UpstreamId,
     },
     /// The final answer was given.
     Ended,
-    /// A prefill engine reads the prompt.
+    /// A prefill engine processes the prompt.
     Prefilling {
-        /// The prefill engine.
+        /// The engine that prefills the prompt.
         prefill: UpstreamId,
     },
-    /// It waits for a prefill engine.
+    /// The request waits for a prefill engine.
     Queued,
-    /// Its KV cache waits for its transfer.
+    /// The KV cache waits for its transfer.
     Prefilled {
-        /// The prefill engine.
+        /// The engine that keeps the KV cache.
         prefill: UpstreamId,
     },
 }
 
-/// The state of one request.
+/// The state machine of one request.
 #[derive(Clone, Debug)]
 pub struct FlowCore {
     attempt: u32,
@@ -65,8 +66,8 @@
 
 #[bon::bon]
 impl FlowCore {
-    /// A request in the queue. `repeat` and `retries` are its row's, `stream` tells whether the caller reads token by
-    /// token.
+    /// Creates a queued request. `repeat` and `retries` come from its row; `stream` is whether the caller receives
+    /// token by token.
     #[builder]
     pub fn new(max_tokens: u32, repeat: bool, retries: u8, stream: bool) -> Self {
         Self {
@@ -85,17 +86,17 @@
 }
 
 impl FlowCore {
-    /// The number of the running attempt.
+    /// The number of the current attempt.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Whether any engine may have done any of the request's work.
+    /// Whether any engine may have done work for the request.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Takes one event and says what to do. Events that come too late are dropped.
+    /// Handles one event and returns the actions to execute. Late events are ignored.
     pub fn on_event(&mut self, event: FlowEvent) -> Vec<FlowAction> {
         if self.phase == FlowPhase::Ended {
             return Vec::new();
@@ -116,17 +117,17 @@
         }
     }
 
-    /// How far the request has come.
+    /// The current phase.
     pub fn phase(&self) -> &FlowPhase {
         &self.phase
     }
 
-    /// The tokens so far.
+    /// The number of tokens received.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Ends the request; the code becomes one that is true if any engine may have done work.
+    /// Ends the request. A code that claims that nothing ran is replaced if an engine may have done work.
     fn end(&mut self, code: ResultCode, retry_after: Option<Duration>) -> FlowAction {
         self.phase = FlowPhase::Ended;
         let code = match code {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Cancels what the attempt holds at engines.
+    /// Cancels the attempt's stream on the current engine.
     fn cancel_held(&self) -> Option<FlowAction> {
         match &self.phase {
             FlowPhase::Decoding { decode, .. } => Some(self.cancel(decode, self.tokens == 0)),
@@ -165,7 +166,7 @@
         actions
     }
 
-    /// Gives the request up in the middle of whatever it is doing: a call under way may have run.
+    /// Gives the request up in any phase. A call in flight may have run.
     fn cut_short(&mut self, code: ResultCode) -> Vec<FlowAction> {
         self.may_have_run |= matches!(
             self.phase,
@@ -248,8 +249,8 @@
             return Vec::new();
         }
         self.may_have_run |= failure.may_have_run;
-        let retried = self.may_retry(failure) && self.take_one_retry();
-        if !retried {
+        let is_retried = self.may_retry(failure) && self.take_one_retry();
+        if !is_retried {
             return self.give_up(failure_code(failure));
         }
         let mut actions: Vec<FlowAction> = Vec::new();
@@ -291,7 +292,8 @@
         ]
     }
 
-    /// The stream is gone for good: run again if that is allowed, or say that the outcome is unknown.
+    /// The stream is lost for good. Runs the request again if that is allowed, and otherwise reports that the outcome
+    /// is unknown.
     fn on_stream_lost(&mut self, failure: CallFailure) -> Vec<FlowAction> {
         if !matches!(self.phase, FlowPhase::Decoding { .. }) {
             return Vec::new();
@@ -330,7 +332,7 @@
         vec![FlowAction::Notify(CellNotice::FirstToken)]
     }
 
-    /// The allocator holds the engine that read the prompt for gone: the KV cache there is lost.
+    /// The allocator considers the engine that prefilled the prompt gone, so its KV cache is lost.
     fn prefill_again(&mut self, lost: &UpstreamId, prefill: UpstreamId) -> Vec<FlowAction> {
         if !self.repeat {
             return self.give_up(ResultCode::PrefillWasted);
@@ -347,7 +349,7 @@
         FlowAction::Prefill(prefill)
     }
 
-    /// Takes the stream up again where it broke, some times without success.
+    /// Resumes the stream where it broke, up to [`RESUME_LIMIT`] times without progress.
     fn resume(&mut self, decode: UpstreamId, failure: CallFailure) -> Vec<FlowAction> {
         if self.resumes == RESUME_LIMIT {
             return self.on_stream_lost(failure);
@@ -364,12 +366,12 @@
         }]
     }
 
-    /// Whether a further attempt after this failure can't run the request twice against its row's word.
+    /// Whether another attempt after this failure can't run a request twice whose row does not allow it.
     fn may_retry(&self, failure: CallFailure) -> bool {
         self.repeat || !failure.may_have_run
     }
 
-    /// Takes a retry for a request that has run in part.
+    /// Consumes a retry for a request that may have run in part.
     fn take_retry(&mut self) -> bool {
         self.repeat && self.take_one_retry()
     }
@@ -383,7 +385,7 @@
     }
 }
 
-/// The final code of a call that failed for good.
+/// The final result code of a failed call.
 fn failure_code(failure: CallFailure) -> ResultCode {
     if !failure.may_have_run {
         return ResultCode::UpstreamRefused;
--- a/crates/flow/src/flow_event.rs
+++ b/crates/flow/src/flow_event.rs
@@ -1,4 +1,4 @@
-//! What happens to one request.
+//! Events of one request.
 
 use {
     engine::{CallCause, CallError},
@@ -6,12 +6,12 @@
     std::time::Duration,
 };
 
-/// A failed call, as the steps see it.
+/// A failed call, reduced to what the state machine needs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallFailure {
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: CallCause,
-    /// Whether the call may have run.
+    /// Whether the engine may have run the call.
     pub may_have_run: bool,
 }
 
@@ -27,33 +27,33 @@
 /// One event of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FlowEvent {
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The close limit of the instance ended the request.
+    /// The instance is closing and its close limit has passed.
     CloseLimit,
-    /// The decode call, or its stream, failed.
+    /// The decode call or its stream failed.
     DecodeFailed(CallFailure),
-    /// The allocator granted a decode place and the link.
+    /// The allocator granted a decode place and the transfer.
     GrantDecode(UpstreamId),
     /// The allocator granted a prefill engine.
     GrantPrefill(UpstreamId),
-    /// The prompt is read.
+    /// Prefill is complete.
     PrefillDone,
     /// The prefill call failed.
     PrefillFailed(CallFailure),
-    /// The allocator refused.
+    /// The allocator refused the request.
     Refused {
-        /// Why.
+        /// The result code for the caller.
         code: ResultCode,
-        /// When to come back.
+        /// The retry delay for the caller.
         retry_after: Duration,
     },
-    /// A stream could not be taken up again.
+    /// A stream could not be resumed.
     ResumeFailed(CallFailure),
-    /// The request's ticket ended before the next dispatch.
+    /// The request's ticket expired before the next dispatch.
     DeadlinePassed,
-    /// The engine's end marker came.
+    /// The engine ended the stream regularly.
     StreamDone,
-    /// A token came.
+    /// A token arrived.
     Token,
 }
--- a/crates/flow/src/flow_failure.rs
+++ b/crates/flow/src/flow_failure.rs
@@ -1,18 +1,18 @@
-//! Why a request has no answer.
+//! The failure of a request.
 
 use {kernel::ResultCode, std::time::Duration};
 
-/// The final word on a request without an answer.
+/// The final result of a request without an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowFailure {
-    /// What became of it.
+    /// The result code.
     pub code: ResultCode,
-    /// When to come back.
+    /// When the caller may retry; `None` if unknown.
     pub retry_after: Option<Duration>,
 }
 
 impl FlowFailure {
-    /// A failure that says nothing of when to come back.
+    /// Creates a failure without a retry delay.
     pub fn new(code: ResultCode) -> Self {
         Self {
             code,
--- a/crates/flow/src/flow_metrics.rs
+++ b/crates/flow/src/flow_metrics.rs
@@ -1,4 +1,4 @@
-//! The counters of the request path.
+//! Metrics of the request path.
 
 use {
     kernel::ResultCode,
@@ -14,21 +14,21 @@
 /// Counters and histograms of the request path.
 #[derive(Debug)]
 pub struct FlowMetrics {
-    /// Seconds from one token to the next.
+    /// Seconds between consecutive tokens.
     pub between_tokens: Histogram,
-    /// Streams cancelled at engines.
+    /// Streams cancelled on engines.
     pub cancels: IntCounter,
     /// Final answers by result code and kind of work.
     pub ended: IntCounterVec,
     /// Seconds from a request's arrival to its first token.
     pub first_token: Histogram,
-    /// Requests that have no final answer yet.
+    /// Requests without a final answer.
     pub open: IntGauge,
-    /// Prompt tokens read.
+    /// Prompt tokens prefilled.
     pub prefill_tokens: IntCounter,
     /// Tokens relayed.
     pub tokens: IntCounter,
-    /// Prompt tokens read that led to no delivered answer, by cause.
+    /// Prompt tokens prefilled for requests without a delivered answer, by cause.
     pub wasted_tokens: IntCounterVec,
 }
 
@@ -40,16 +40,16 @@
             .inc();
     }
 
-    /// Notes the time to the first token.
+    /// Records the time to the first token.
     pub fn note_first_token(&self, elapsed: Duration) {
         self.first_token.observe(elapsed.as_secs_f64());
     }
 
-    /// Fresh counters.
+    /// Creates all metrics with a value of zero.
     ///
     /// # Errors
     ///
-    /// Those of the metrics library, for names that it doesn't take.
+    /// Returns the metrics library's error if a name is invalid.
     pub fn new() -> Result<Self, prometheus::Error> {
         let first_buckets = exponential_buckets(0.005, 1.6, 18)?;
         let between_buckets = exponential_buckets(0.001, 1.5, 16)?;
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Prompt tokens read in vain, by kind of work.
+    /// Wasted prompt tokens by kind of work.
     pub fn wasted_by_work(&self) -> BTreeMap<String, u64> {
         let mut sums = BTreeMap::new();
         for family in self.wasted_tokens.collect() {
@@ -104,11 +104,11 @@
         sums
     }
 
-    /// Registers all of them.
+    /// Registers all metrics.
     ///
     /// # Errors
     ///
-    /// Those of the metrics library, for a name that is registered already.
+    /// Returns the metrics library's error if a name is already registered.
     pub fn register(&self, registry: &Registry) -> Result<(), prometheus::Error> {
         registry.register(Box::new(self.between_tokens.clone()))?;
         registry.register(Box::new(self.cancels.clone()))?;
--- a/crates/flow/src/flow_plugin.rs
+++ b/crates/flow/src/flow_plugin.rs
@@ -1,4 +1,4 @@
-//! The request path's part of the state dump.
+//! The request path's section of the state dump, and its metrics.
 
 use {
     crate::{
@@ -41,6 +41,6 @@
         return;
     };
     if let Err(error) = metrics.register(registry) {
-        tracing::debug!(%error, "the metrics were registered before");
+        tracing::debug!(%error, "the metrics are already registered");
     }
 }
--- a/crates/flow/src/grant_router.rs
+++ b/crates/flow/src/grant_router.rs
@@ -1,4 +1,4 @@
-//! Carries the decisions of the allocators here to the instances that hold the requests.
+//! Delivers the decisions of local allocators to the instances that hold the requests.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
     tokio::sync::mpsc::UnboundedSender,
 };
 
-/// Carries grants to this instance's own hub, or into the session of the instance that asked.
+/// Delivers grants to the local hub, or over the session of the requesting instance.
 pub struct GrantRouter {
     hub: Arc<CellHub>,
     instance: InstanceId,
@@ -18,12 +18,12 @@
 }
 
 impl GrantRouter {
-    /// Takes the session of an instance in; an earlier one of its is dropped.
+    /// Sets the session of an instance and drops its previous one.
     pub fn attach(&self, instance: InstanceId, session: UnboundedSender<GrantFrame>) {
         self.sessions.lock().insert(instance, session);
     }
 
-    /// A router without sessions.
+    /// Creates a router without sessions.
     pub fn new(hub: Arc<CellHub>, instance: InstanceId) -> Self {
         let sessions = RankedLock::new(LockRank::Sessions, BTreeMap::new());
         Self {
@@ -49,7 +49,7 @@
         let Some(session) = sessions.get(&frame.key.instance) else {
             return;
         };
-        // The instance announces itself again over its next session.
+        // If the session is closed, the instance announces its requests over the next one.
         let _ = session.send(frame);
     }
 }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,8 +1,8 @@
-//! One request from the door to its last byte: the steps without I/O, and the tasks that drive them.
+//! The path of one request from the HTTP handler to its last byte: state machines without I/O, and the tasks that drive
+//! them.
 //!
-//! [`FlowCore`] decides the next step and the final answer, and [`RequestDriver`] makes the calls. [`CellHub`] takes
-//! requests to the allocator of their cell, here or at another instance; [`AllocatorTracker`] follows which instance
-//! that is.
+//! [`FlowCore`] decides the next step and the final answer, and [`RequestDriver`] makes the calls. [`CellHub`] connects
+//! requests to the allocator of their cell, local or remote; [`AllocatorTracker`] follows which instance that is.
 
 pub mod abandoned_streams;
 pub mod allocator_tracker;
--- a/crates/flow/src/limit_gate.rs
+++ b/crates/flow/src/limit_gate.rs
@@ -1,4 +1,4 @@
-//! Who may run and who waits, row by row. Pure.
+//! Concurrency limits and waiting queues per row. Does no I/O.
 
 use {
     kernel::WorkId,
@@ -8,31 +8,31 @@
     },
 };
 
-/// A waiting request.
+/// Identifies a waiting request.
 pub type WaiterId = u64;
 
-/// How much of an older mean a new sample leaves: one part in this many is the sample's.
+/// The window of the moving average: a new sample has a weight of one in this many.
 const MEAN_WINDOW: u32 = 8;
-/// The mean before any sample.
+/// The assumed run time before the first sample.
 const INITIAL_MEAN: Duration = Duration::from_millis(100);
-/// The least and the most that a refused caller is told to wait.
+/// The bounds of the retry delay of a refused request.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
-/// What becomes of a request that wants to run.
+/// The decision on a request that wants to run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GateDecision {
-    /// It runs.
+    /// The request may run.
     Admitted,
-    /// It waits for its turn.
+    /// The request waits in the queue.
     Queued(WaiterId),
-    /// It does not run.
+    /// The request is refused.
     Refused {
-        /// When to come back, from the queue's length.
+        /// The retry delay, estimated from the queue length.
         retry_after: Duration,
     },
 }
 
-/// One row's requests.
+/// The limit, queue and running requests of one row.
 #[derive(Clone, Debug)]
 struct RowGate {
     limit: u32,
@@ -41,7 +41,7 @@
     running: u32,
 }
 
-/// The rows of one entry instance.
+/// The concurrency limits of all rows on one entry instance.
 #[derive(Clone, Debug, Default)]
 pub struct LimitGate {
     next: WaiterId,
@@ -49,7 +49,8 @@
 }
 
 impl LimitGate {
-    /// A request of a row wants to run. `limit` is this instance's part; `waits` tells whether it may queue.
+    /// Asks to run a request of a row. `limit` is this instance's part of the limit, and `waits` is whether the request
+    /// may queue.
     pub fn enter(&mut self, work: &WorkId, limit: u32, waits: bool) -> GateDecision {
         let row = self.rows.entry(work.clone()).or_insert_with(RowGate::new);
         row.limit = limit;
@@ -66,7 +67,7 @@
         GateDecision::Queued(self.next)
     }
 
-    /// A waiting request gave up. When to come back.
+    /// Removes a waiting request and returns the retry delay for its caller.
     pub fn give_up(&mut self, work: &WorkId, waiter: WaiterId) -> Duration {
         let Some(row) = self.rows.get_mut(work) else {
             return RETRY_BOUNDS.0;
@@ -75,7 +76,7 @@
         row.retry_after()
     }
 
-    /// A running request ended after so long. Those whose turn it is now run.
+    /// Ends a request that ran for the given time, and returns the waiting requests that may run now.
     pub fn leave(&mut self, work: &WorkId, ran: Duration) -> Vec<WaiterId> {
         let Some(row) = self.rows.get_mut(work) else {
             return Vec::new();
@@ -85,13 +86,13 @@
         row.admit_waiting()
     }
 
-    /// How many requests of a row run and wait.
+    /// The numbers of running and waiting requests of a row.
     pub fn counts(&self, work: &WorkId) -> (u32, usize) {
         let row = self.rows.get(work);
         row.map_or((0, 0), |row| (row.running, row.queue.len()))
     }
 
-    /// The part of the limit changed. Those whose turn it is now run.
+    /// Changes this instance's part of the limit, and returns the waiting requests that may run now.
     pub fn set_limit(&mut self, work: &WorkId, limit: u32) -> Vec<WaiterId> {
         let Some(row) = self.rows.get_mut(work) else {
             return Vec::new();
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The time until a place is free for one more than those that wait.
+    /// The expected time until a further request behind the queue could run.
     fn retry_after(&self) -> Duration {
         let ahead = u32::try_from(self.queue.len())
             .unwrap_or(u32::MAX)
--- a/crates/flow/src/limit_share.rs
+++ b/crates/flow/src/limit_share.rs
@@ -1,4 +1,4 @@
-//! What part of a plain row's limit one entry instance may use. Pure.
+//! The part of a plain row's limit that one entry instance may use. Does no I/O.
 
 use {
     kernel::{InstanceId, ZoneId, seeded_rng},
@@ -6,25 +6,25 @@
     table::WorkRow,
 };
 
-/// The entry instances that share limits, as one of them sees them.
+/// The entry instances that share limits, as seen by one of them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ShareView {
-    /// This instance.
+    /// The own instance.
     pub instance: InstanceId,
-    /// The live instances of the own availability zone, this one among them.
+    /// The live instances of the own availability zone, including the own one.
     pub members: BTreeSet<InstanceId>,
     /// The own availability zone.
     pub zone: ZoneId,
-    /// The availability zones that have entry instances, whether they are heard or not.
+    /// The availability zones that have entry instances, including those that are unreachable.
     pub zones: BTreeSet<ZoneId>,
 }
 
 impl ShareView {
-    /// How many requests of a row this instance may run at once; `None` without a limit.
+    /// How many requests of a row this instance may run at once; `None` if the row has no limit.
     ///
-    /// The limit is split over the availability zones where the row may run, and the zone's part over its live
-    /// instances, in whole numbers that add up to the limit. Which zones and instances get the odd ones is settled by
-    /// rendezvous hashing. A zone that is cut off keeps to its part, since the zones are not those that are heard.
+    /// The limit is split over the availability zones where the row may run, and each zone's part over its live
+    /// instances, in whole numbers that add up to the limit. Rendezvous hashing decides which zones and instances get
+    /// the remainder. Unreachable zones are counted too, so a zone that is cut off keeps to its part.
     pub fn limit(&self, row: &WorkRow) -> Option<u32> {
         let zone_part = zone_limit(row, &self.zones, &self.zone)?;
         let members: Vec<&InstanceId> = self.members.iter().collect();
@@ -32,14 +32,14 @@
     }
 }
 
-/// One availability zone's part of a row's limit; `None` without a limit. The parts are whole numbers and add up to the
-/// limit over the `zones` where the row may run.
+/// The part of a row's limit for one availability zone; `None` if the row has no limit. The parts are whole numbers
+/// that add up to the limit over the `zones` where the row may run.
 pub fn zone_limit(row: &WorkRow, zones: &BTreeSet<ZoneId>, zone: &ZoneId) -> Option<u32> {
     let allowed: Vec<&ZoneId> = zones.iter().filter(|zone| row.allows(zone)).collect();
     Some(part(&row.work, row.limit?, &allowed, zone))
 }
 
-/// The part of `own` when `limit` is split over `all`. Alone when it is not among them.
+/// The part of `own` when `limit` is split over `all`, or the whole limit when `own` is not among them.
 fn part(key: &str, limit: u32, all: &[&InstanceId], own: &InstanceId) -> u32 {
     if !all.contains(&own) {
         return limit;
@@ -47,7 +47,7 @@
     let count = u32::try_from(all.len()).unwrap_or(u32::MAX);
     let rank = |name: &InstanceId| (seeded_rng::rendezvous_score(key, name), name.clone());
     let own_rank = rank(own);
-    let before = all.iter().filter(|other| rank(other) > own_rank).count();
-    let before = u32::try_from(before).unwrap_or(u32::MAX);
-    limit / count + u32::from(before < limit % count)
+    let ahead = all.iter().filter(|other| rank(other) > own_rank).count();
+    let ahead = u32::try_from(ahead).unwrap_or(u32::MAX);
+    limit / count + u32::from(ahead < limit % count)
 }
--- a/crates/flow/src/load_poller.rs
+++ b/crates/flow/src/load_poller.rs
@@ -1,4 +1,4 @@
-//! Asks the engines of this instance's cells for their load, and tells the allocators.
+//! Polls the load of the engines in this instance's cells and reports it to the allocators.
 
 use {
     crate::{
@@ -21,10 +21,10 @@
     tokio::time::{self, MissedTickBehavior},
 };
 
-/// The engines of one cell, by name.
+/// The engines of one cell by name.
 type WatchMap = BTreeMap<UpstreamId, EngineWatch>;
 
-/// Polls load reports.
+/// Polls the engines' load reports.
 pub struct LoadPoller<E, M: PolicyFactory, S> {
     registry: Arc<UpstreamRegistry>,
     cells: Arc<CellTable<M, S>>,
@@ -36,7 +36,7 @@
 
 #[bon::bon]
 impl<E: ModelEngine, M: PolicyFactory, S: GrantSink> LoadPoller<E, M, S> {
-    /// A poller of the cells in `cells`, whose engines are those of `zone` on the board.
+    /// Creates a poller for the cells in `cells`, whose engines are those of `zone` in the registry.
     #[builder]
     pub fn new(
         registry: Arc<UpstreamRegistry>,
@@ -57,7 +57,7 @@
 }
 
 impl<E: ModelEngine, M: PolicyFactory, S: GrantSink> LoadPoller<E, M, S> {
-    /// Polls for as long as it is driven.
+    /// Polls until it is dropped.
     pub async fn run(mut self) {
         let mut ticks = time::interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -99,7 +99,7 @@
     }
 }
 
-/// The engines of a zone that serve a model.
+/// The engines in an availability zone that serve a model.
 pub fn cell_engines(
     registry: &UpstreamRegistry,
     zone: &str,
@@ -125,7 +125,7 @@
     gone
 }
 
-/// Why an engine takes no new work, by any word but its own.
+/// Why an engine is draining according to any source but its own report.
 fn external_mark(entry: &UpstreamEntry) -> Option<LeavingCause> {
     let own = entry
         .marks
@@ -134,7 +134,7 @@
     own.copied().or(entry.peer_mark)
 }
 
-/// Keeps the engine's own word as a mark, so that it spreads to the other instances.
+/// Stores the engine's own drain state as a mark, so that it spreads to the other instances.
 fn sync_own_mark(registry: &UpstreamRegistry, name: &UpstreamId, leaving: bool) {
     match leaving {
         true => {
--- a/crates/flow/src/model_request.rs
+++ b/crates/flow/src/model_request.rs
@@ -1,4 +1,4 @@
-//! One caller's request for a model's answer.
+//! A caller's request to a model.
 
 use {
     crate::run_deadline::RunDeadline,
@@ -6,27 +6,27 @@
     std::{sync::Arc, time::Instant},
 };
 
-/// What the door hands to the flow.
+/// A request to a model, as parsed by the HTTP handler.
 #[derive(Clone, Debug)]
 pub struct ModelRequest {
     /// When the caller's request arrived.
     pub arrived: Instant,
-    /// The most tokens that the caller takes.
+    /// The maximum length of the answer in tokens.
     pub max_tokens: u32,
-    /// The model.
+    /// The model that has to answer.
     pub model: ModelId,
-    /// The prompt.
+    /// The prompt text.
     pub prompt: Arc<str>,
-    /// Until when it may be dispatched, when it has a ticket.
+    /// The latest time of a dispatch to an upstream; `None` for a request without a ticket.
     pub run_by: Option<RunDeadline>,
-    /// Whether the caller reads token by token.
+    /// Whether the caller receives the answer token by token.
     pub stream: bool,
-    /// The row of the table.
+    /// The work that names the row of the table.
     pub work: WorkId,
 }
 
 impl ModelRequest {
-    /// Whether its ticket has ended, so that it may not be dispatched any more.
+    /// Whether the ticket has expired, so that the request must not be dispatched.
     pub fn is_past_deadline(&self) -> bool {
         self.run_by.is_some_and(RunDeadline::is_past)
     }
--- a/crates/flow/src/open_keys.rs
+++ b/crates/flow/src/open_keys.rs
@@ -1,4 +1,4 @@
-//! The requests that an allocator was told of and that are not over: what a lost session may have left behind.
+//! The requests that an allocator knows and that have not ended. Used to find what a broken session left behind.
 
 use {
     admit::{AdmitEvent, RequestKey},
@@ -10,26 +10,26 @@
 #[derive(Debug, Default)]
 pub struct OpenKeys {
     keys: BTreeSet<RequestKey>,
-    /// Those that a new session has to tell anew and has not told yet.
+    /// Requests that a new session holds and has not announced yet.
     unconfirmed: BTreeSet<RequestKey>,
 }
 
 impl OpenKeys {
-    /// Takes a request out.
+    /// Removes a request.
     pub fn close(&mut self, key: &RequestKey) {
         self.keys.remove(key);
         self.unconfirmed.remove(key);
     }
 
-    /// Takes the requests of ended lives of an entry instance out.
+    /// Removes the requests of an entry instance's earlier incarnations.
     pub fn close_incarnations(&mut self, instance: &InstanceId, before: Incarnation) {
-        let goes_on = |key: &RequestKey| key.instance != *instance || key.incarnation >= before;
-        self.keys.retain(goes_on);
-        self.unconfirmed.retain(goes_on);
+        let is_open = |key: &RequestKey| key.instance != *instance || key.incarnation >= before;
+        self.keys.retain(is_open);
+        self.unconfirmed.retain(is_open);
     }
 
-    /// A session of an instance begins that holds these serials. Gives the open requests that it does not hold any more;
-    /// the others are to be told anew.
+    /// Starts a new session of an instance that holds these serial numbers. Returns the open requests that the instance
+    /// no longer holds; the others are expected to be announced again.
     pub fn begin_session(
         &mut self,
         instance: &InstanceId,
@@ -46,7 +46,7 @@
         missing
     }
 
-    /// Follows an event on its way to the allocator.
+    /// Updates the open requests from an event on its way to the allocator.
     pub fn track(&mut self, event: &AdmitEvent) {
         match event {
             AdmitEvent::Announce { request, .. }
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Makes what a new session tells first of an open request take the place of what was known of it.
+    /// Turns the first announcement of an open request in a new session into [`AdmitEvent::Reconcile`], which replaces
+    /// the allocator's state.
     pub fn reconcile(&mut self, event: AdmitEvent) -> AdmitEvent {
         match event {
             AdmitEvent::Announce { phase, request } if self.unconfirmed.remove(&request.key) => {
--- a/crates/flow/src/plain_caller.rs
+++ b/crates/flow/src/plain_caller.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: which replica, whether again, and what is true when no answer came.
+//! Calls to plain services: the choice of a replica, retries, and the result when no answer arrives.
 
 use {
     crate::{
@@ -22,9 +22,9 @@
     tokio::time,
 };
 
-/// The header by which a plain service says that it refused a request without running it.
+/// The header by which a plain service reports that it refused a request without running it.
 pub const RAN_HEADER: HeaderName = HeaderName::from_static("x-ran");
-/// The value of [`RAN_HEADER`] on a request that did not run.
+/// The value of [`RAN_HEADER`] for a request that did not run.
 pub const RAN_NO: &str = "no";
 
 const REPLICA_BACKOFF: Duration = Duration::from_millis(500);
@@ -32,13 +32,13 @@
 const MAX_SAVED_RETRIES: u32 = 20;
 const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The replicas of one service as this instance sees them.
+/// The replicas of one service, as seen by this instance.
 struct ServiceState {
     choice: PlainChoice,
     known: BTreeSet<UpstreamId>,
 }
 
-/// Calls plain services. The counts of calls under way are this instance's own.
+/// Calls plain services. It counts only the calls of this instance.
 pub struct PlainCaller<B> {
     registry: Arc<UpstreamRegistry>,
     budget: RankedLock<RetryBudget>,
@@ -49,10 +49,10 @@
     zone: ZoneId,
 }
 
-/// What became of one try.
+/// The outcome of one try.
 enum TryOutcome<B> {
     Answer(Response<PooledBody<B>>),
-    /// With the request, when it was never written.
+    /// Contains the request if it was never written.
     Failed(Option<Request<B>>, FlowFailure),
 }
 
@@ -62,7 +62,7 @@
     B: Body<Data = Bytes> + Default + Send + Unpin + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// A caller of the services in `zone`; other zones' replicas are used when the own zone has none.
+    /// Creates a caller for the services in `zone`. Replicas of other zones are used when this zone has none.
     #[builder]
     pub fn new(
         registry: Arc<UpstreamRegistry>,
@@ -89,14 +89,14 @@
     B: Body<Data = Bytes> + Default + Send + Unpin + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Sends a request to a replica of the row's service. The answer's body streams.
+    /// Sends a request to a replica of the row's service and streams the body of the answer.
     ///
-    /// A request that was never written goes to another replica. One that may have run is sent again only when its row
-    /// repeats and it has no body: any other body is gone.
+    /// A request that was never written is sent to another replica. One that may have run is sent again only if its row
+    /// allows repeats and it has no body, because a body can't be read twice.
     ///
     /// # Errors
     ///
-    /// The final answer for the caller: "not run" only when no try may have run.
+    /// The final failure for the caller. It has a "not run" code only if no try may have run.
     pub async fn call(
         &self,
         row: &WorkRow,
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Ends the count of a call whose answer was delivered, or given up.
+    /// Ends the count of a call whose answer was delivered or abandoned.
     pub fn end(&self, service: &ServiceId, upstream: &UpstreamId) {
         self.with_choice(service, |choice| choice.answered(upstream));
     }
 
-    /// Calls under way by replica, for the dump.
+    /// Calls in flight by replica, for the state dump.
     pub fn outstanding(&self) -> BTreeMap<UpstreamId, u32> {
         let services = self.services.lock();
         let mut counts = BTreeMap::new();
@@ -158,7 +158,7 @@
         state.choice.pick_except(Instant::now(), tried)
     }
 
-    /// The replicas that take work: those of the own zone, or all when it has none.
+    /// The replicas that accept work: those of the own zone, or all others when it has none.
     fn live_replicas(&self, service: &ServiceId) -> BTreeSet<UpstreamId> {
         let map = self.registry.snapshot();
         let mut local = BTreeSet::new();
@@ -199,7 +199,7 @@
         if run_by.is_some_and(RunDeadline::is_past) {
             return TryOutcome::Failed(None, FlowFailure::new(ResultCode::TicketExpired));
         }
-        // A connection that closed while idle can't make a request unknown that is written on a fresh one.
+        // A fresh connection avoids the unknown outcome of a pooled one that closed while idle.
         let sending = self.pool.try_send(address, request, tries.wants_fresh());
         let outcome = time::timeout(self.first_byte, sending).await;
         guard.disarm();
@@ -259,7 +259,7 @@
 }
 
 impl ServiceState {
-    /// Brings the choice up to what the board shows.
+    /// Synchronises the replica choice with the registry.
     fn sync_replicas(&mut self, live: &BTreeSet<UpstreamId>) {
         if self.known == *live {
             return;
@@ -274,7 +274,7 @@
     }
 }
 
-/// Ends the count of a call whose caller goes away before the answer's head.
+/// Ends the count of a call whose caller disconnects before the head of the answer.
 struct CallGuard<'a, B>
 where
     B: Body<Data = Bytes> + Default + Send + Unpin + 'static,
