--- a/crates/flow/src/plain_limiter.rs
+++ b/crates/flow/src/plain_limiter.rs
@@ -1,4 +1,4 @@
-//! Holds the requests of plain rows to their limits.
+//! Enforces the concurrency limits of plain rows.
 
 use {
     crate::{
@@ -17,28 +17,28 @@
     tokio::{sync::oneshot, time},
 };
 
-/// The rows with those who wait for their turn.
+/// The gate with the wake-up channels of the waiting requests.
 #[derive(Debug, Default)]
 struct LimiterState {
     gate: LimitGate,
     waiters: BTreeMap<WaiterId, oneshot::Sender<()>>,
 }
 
-/// The limits of plain rows at this instance.
+/// The concurrency limits of plain rows on this instance.
 #[derive(Debug)]
 pub struct PlainLimiter {
     shares: ArcSwap<ShareView>,
     state: RankedLock<LimiterState>,
 }
 
-/// The right of one request to run; given back when dropped.
+/// A permit to run one request, returned when dropped.
 #[derive(Debug)]
 pub struct LimitPermit {
     held: Option<(Arc<PlainLimiter>, WorkId)>,
     since: Instant,
 }
 
-/// A request in the queue; leaves it when dropped.
+/// A waiting request, removed from the queue when dropped.
 struct QueueEntry {
     is_over: bool,
     limiter: Arc<PlainLimiter>,
@@ -47,11 +47,12 @@
 }
 
 impl PlainLimiter {
-    /// Lets one request of a row in: at once, or, for a row without a target for its first byte, when its turn comes.
+    /// Admits one request of a row. A row without a first-byte target waits for its turn; one with a target is refused
+    /// when the limit is reached.
     ///
     /// # Errors
     ///
-    /// The final answer for the caller.
+    /// The final failure for the caller.
     pub async fn enter(self: &Arc<Self>, row: &WorkRow) -> Result<LimitPermit, FlowFailure> {
         let Some(limit) = self.shares.load().limit(row) else {
             return Ok(LimitPermit::unlimited());
@@ -68,7 +69,7 @@
         }
     }
 
-    /// A limiter with these shares.
+    /// Creates a limiter with these shares.
     pub fn new(shares: ShareView) -> Self {
         Self {
             shares: ArcSwap::from_pointee(shares),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes the instances that share limits now.
+    /// Replaces the instances that share limits.
     pub fn put_shares(&self, shares: ShareView) {
         if **self.shares.load() == shares {
             return;
@@ -84,12 +85,12 @@
         self.shares.store(Arc::new(shares));
     }
 
-    /// The instances that share limits now.
+    /// The instances that currently share limits.
     pub fn shares(&self) -> Arc<ShareView> {
         self.shares.load_full()
     }
 
-    /// Takes the rows' limits as they are now: those in the queue may run when theirs grew.
+    /// Updates the limits of the rows. Waiting requests run if their limit grew.
     pub fn put_rows<'a>(&self, rows: impl IntoIterator<Item = &'a WorkRow>) {
         let shares = self.shares.load();
         let mut state = self.state.lock();
@@ -158,7 +159,7 @@
             let Some(turn) = self.waiters.remove(&waiter) else {
                 continue;
             };
-            // One that gave up meanwhile hands its turn on when its place is dropped.
+            // A waiter that gave up meanwhile passes its turn on when its entry is dropped.
             let _ = turn.send(());
         }
     }
@@ -183,13 +184,13 @@
 }
 
 impl QueueEntry {
-    /// Leaves the queue. When the turn had come already it goes to the next one.
+    /// Leaves the queue. If the request was admitted meanwhile, its turn passes to the next one.
     fn give_up(&mut self) -> FlowFailure {
         self.is_over = true;
         let mut state = self.limiter.state.lock();
-        let had_turn = state.waiters.remove(&self.waiter).is_none();
+        let was_admitted = state.waiters.remove(&self.waiter).is_none();
         let retry_after = state.gate.give_up(&self.work, self.waiter);
-        if had_turn {
+        if was_admitted {
             let admitted = state.gate.leave(&self.work, Duration::ZERO);
             state.wake(admitted);
         }
--- a/crates/flow/src/plain_tries.rs
+++ b/crates/flow/src/plain_tries.rs
@@ -1,4 +1,4 @@
-//! The tries of one request to a plain service. Pure: it decides whether there is a further one, and what is true at last.
+//! The tries of one request to a plain service. Does no I/O; it decides whether to try again and which result is final.
 
 use {
     crate::{flow_failure::FlowFailure, run_deadline::RunDeadline},
@@ -15,24 +15,24 @@
     body: PhantomData<fn() -> B>,
     left: u8,
     repeat: bool,
-    /// The head of a request without a body: what is needed to send it again.
+    /// The head of a request that may be sent again; `None` if it has a body or may not be repeated.
     template: Option<Parts>,
-    /// The replicas that were tried.
+    /// The replicas that failed.
     pub tried: Vec<UpstreamId>,
     /// The first failure of a try that may have run.
     unknown: Option<FlowFailure>,
 }
 
 impl<B: Body + Default> PlainTries<B> {
-    /// The code that is true in the end: when a try may have run, that try's.
+    /// The final failure. A try that may have run takes precedence over `failure`.
     pub fn end(self, failure: FlowFailure) -> FlowFailure {
         self.unknown.unwrap_or(failure)
     }
 
-    /// No try yet.
+    /// Creates the state before the first try.
     pub fn new(row: &WorkRow, request: &Request<B>) -> Self {
         let is_empty = request.body().is_end_stream();
-        // A request under a ticket runs once, whatever its row says.
+        // A request with a ticket runs only once, whatever its row allows.
         let has_ticket = request.extensions().get::<RunDeadline>().is_some();
         let may_repeat = row.repeat && is_empty && !has_ticket;
         let template = may_repeat.then(|| head_of(request));
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The request of a further try after one that failed, if there is one: a request that was never written goes on as
-    /// it is, one that may have run is made anew if its row repeats.
+    /// The request for the next try after a failed one; `None` if there is no further try. A request that was never
+    /// written is reused, and one that may have run is rebuilt if its row allows repeats.
     pub fn next(
         &mut self,
         upstream: UpstreamId,
@@ -69,8 +69,8 @@
         Some(next)
     }
 
-    /// Whether the next try wants a connection of its own: a kept one that closes while idle would make the outcome
-    /// unknown, or spend a further try.
+    /// Whether the next try needs a new connection. A pooled connection that closes while idle would make the outcome
+    /// unknown or cost another try.
     pub fn wants_fresh(&self) -> bool {
         !self.repeat || !self.tried.is_empty()
     }
--- a/crates/flow/src/prefix_hashes.rs
+++ b/crates/flow/src/prefix_hashes.rs
@@ -1,13 +1,13 @@
-//! The chained hashes of a prompt's blocks, as engines compute them for their prefix caches.
+//! Chained hashes of a prompt's blocks, computed as engines do for their prefix caches.
 
 use {engine::wire::BYTES_PER_TOKEN, kernel::BlockHash};
 
-/// Tokens in a block.
+/// The number of tokens in a block.
 pub const BLOCK_TOKENS: usize = 64;
-/// The most blocks of a prompt that are told to an allocator.
+/// The maximum number of blocks of a prompt that are sent to an allocator.
 pub const BLOCK_LIMIT: usize = 64;
 
-/// The hashes of a prompt's whole blocks, first block first.
+/// The hashes of a prompt's complete blocks, in prompt order.
 pub fn prefix_hashes(prompt: &str) -> Vec<BlockHash> {
     let blocks = prompt
         .as_bytes()
@@ -21,7 +21,7 @@
     hashes
 }
 
-/// A prompt's length in tokens, rounded up.
+/// The prompt length in tokens, rounded up.
 pub fn prompt_tokens(prompt: &str) -> u32 {
     u32::try_from(prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
--- a/crates/flow/src/request_driver.rs
+++ b/crates/flow/src/request_driver.rs
@@ -1,4 +1,4 @@
-//! Drives one request: makes the calls that its steps ask for and tells the steps what came of them.
+//! Drives one request: makes the calls that its state machine asks for and feeds the results back.
 
 use {
     crate::{
@@ -25,23 +25,23 @@
     },
 };
 
-/// What all requests of an instance share.
+/// The state shared by all requests of an instance.
 pub struct FlowShared<E> {
     /// The known upstreams.
     pub registry: Arc<UpstreamRegistry>,
-    /// Cancels streams.
+    /// Cancels streams on engines.
     pub canceller: StreamCanceller<E>,
-    /// Raised when the close limit ends what still runs.
+    /// Raised when the close limit has passed and running requests must end.
     pub cut: CloseSignal,
-    /// The engines' client.
+    /// The client for engines.
     pub engine: E,
-    /// The way to the allocators.
+    /// The connection to the allocators.
     pub hub: Arc<CellHub>,
-    /// The counters.
+    /// The metrics of the request path.
     pub metrics: Arc<FlowMetrics>,
 }
 
-/// One request on its way.
+/// A request in progress.
 pub struct RequestDriver<E: ModelEngine> {
     answers: UnboundedSender<AnswerEvent>,
     core: FlowCore,
@@ -55,7 +55,7 @@
     usage: Option<TokenUsage>,
 }
 
-/// What the driver is waiting for.
+/// What the driver waits for.
 enum FlowStep<T> {
     Decode(UpstreamId),
     End,
@@ -66,7 +66,7 @@
 }
 
 impl<E: ModelEngine> RequestDriver<E> {
-    /// Starts a request; its answer comes over the channel. Dropping the channel gives the request up.
+    /// Starts a request and returns the channel for its answer. Dropping the channel cancels the request.
     pub fn start(
         shared: Arc<FlowShared<E>>,
         request: ModelRequest,
@@ -116,7 +116,7 @@
         self.shared.metrics.open.dec();
     }
 
-    /// Waits for the next event of a step. A stream that goes on is given back.
+    /// Waits for the next event of a step. Returns the stream if it continues.
     async fn advance(
         &mut self,
         step: FlowStep<E::Tokens>,
@@ -150,14 +150,14 @@
 
     async fn await_grant(&mut self) -> Option<FlowEvent> {
         let Some(grant) = self.grants.recv().await else {
-            // The request is held by nobody any more: only the caller's going can end it otherwise.
+            // The request was removed from the table, so nothing but the caller's disconnect would end it otherwise.
             return Some(FlowEvent::CloseLimit);
         };
         Some(match grant {
             CellGrant::Decode(decode) => FlowEvent::GrantDecode(decode),
             CellGrant::Prefill(prefill) => FlowEvent::GrantPrefill(prefill),
             CellGrant::Refuse { code, retry_after } => FlowEvent::Refused { code, retry_after },
-            // The table of requests answers it.
+            // The request table answers it.
             CellGrant::Resync => return None,
         })
     }
@@ -231,7 +231,7 @@
         {
             Ok(tokens) => (None, Some(tokens)),
             Err(error) => {
-                // The stream may have run even when the resuming call did not.
+                // The stream may have run even if the resume call did not.
                 let error = CallError {
                     may_have_run: true,
                     ..error
@@ -272,7 +272,7 @@
             }) => {
                 if self.core.tokens() < self.request.max_tokens {
                     self.note_token();
-                    // A caller that is gone is seen before the next step.
+                    // A disconnected caller is noticed before the next step.
                     let _ = self.answers.send(AnswerEvent::Token {
                         finish_reason,
                         text,
@@ -369,7 +369,7 @@
         }
     }
 
-    /// The name of the running attempt's stream.
+    /// The name of the current attempt's stream.
     fn stream_name(&self) -> String {
         StreamName {
             attempt: self.core.attempt(),
@@ -380,8 +380,5 @@
 }
 
 fn unlisted(upstream: &UpstreamId) -> CallError {
-    CallError::not_run(
-        CallCause::Lost,
-        format!("{upstream} is not listed any more"),
-    )
+    CallError::not_run(CallCause::Lost, format!("{upstream} is no longer listed"))
 }
--- a/crates/flow/src/request_table.rs
+++ b/crates/flow/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that this instance holds: what has to be announced when a cell gets another allocator.
+//! The requests held by this instance, which are announced when a cell gets another allocator.
 
 use {
     crate::{
@@ -14,7 +14,7 @@
     tokio::sync::mpsc::UnboundedSender,
 };
 
-/// One request that this instance holds.
+/// One held request.
 #[derive(Debug)]
 struct HeldRequest {
     arrived: Instant,
@@ -24,7 +24,7 @@
     submit: CellSubmit,
 }
 
-/// The requests that this instance holds, by their serial.
+/// The held requests by serial number.
 #[derive(Debug)]
 pub struct RequestTable {
     requests: RankedLock<BTreeMap<u64, HeldRequest>>,
@@ -39,7 +39,7 @@
 }
 
 impl RequestTable {
-    /// What a new allocator of a cell has to be told: which requests are held, then each of them.
+    /// The announcement for a cell's new allocator: the list of held requests, followed by the state of each.
     pub fn announcements(&self, instance: &InstanceId, model: &ModelId) -> Vec<CellFrame> {
         let requests = self.requests.lock();
         let held = requests
@@ -51,17 +51,17 @@
             serials.insert(*serial);
             frames.push(held.announcement());
         }
-        let holds = CellFrame::Holds {
+        let list_frame = CellFrame::Holds {
             instance: instance.clone(),
             model: model.clone(),
             serials,
         };
-        frames.insert(0, holds);
+        frames.insert(0, list_frame);
         frames
     }
 
-    /// Hands a grant to its request. A grant that doesn't fit how far the request has come is dropped; what the request
-    /// holds is then given back, to be announced, as it is when the allocator asks for it.
+    /// Delivers a grant to its request. A grant that does not fit the request's phase is dropped, and the current state
+    /// is returned to be announced, as it is when the allocator asks for it.
     pub fn deliver(&self, key: &RequestKey, grant: CellGrant) -> Option<CellFrame> {
         let mut requests = self.requests.lock();
         let Some(held) = requests.get_mut(&key.serial) else {
@@ -73,12 +73,12 @@
         if !held.apply_grant(&grant) {
             return Some(held.announcement());
         }
-        // The request may have ended; its end was notified then.
+        // The request may have ended, in which case the allocator was notified.
         let _ = held.grants.send(grant);
         None
     }
 
-    /// Puts a request in.
+    /// Adds a queued request.
     pub fn insert(&self, submit: CellSubmit, arrived: Instant, grants: UnboundedSender<CellGrant>) {
         let serial = submit.key.serial;
         let held = HeldRequest {
@@ -96,12 +96,12 @@
         self.requests.lock().is_empty()
     }
 
-    /// How many requests are held.
+    /// The number of held requests.
     pub fn len(&self) -> usize {
         self.requests.lock().len()
     }
 
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
@@ -115,7 +115,7 @@
             .collect()
     }
 
-    /// Notes what happened to a request. Its cell, or `None` when it is not held.
+    /// Applies a change to a request. Returns its cell, or `None` if the request is not held.
     pub fn apply_notice(&self, serial: u64, notice: &CellNotice) -> Option<ModelId> {
         let mut requests = self.requests.lock();
         let held = requests.get_mut(&serial)?;
@@ -129,7 +129,7 @@
         Some(model)
     }
 
-    /// Phases by name, for the dump.
+    /// The number of requests by phase, for the state dump.
     pub fn phase_counts(&self) -> BTreeMap<&'static str, usize> {
         let mut counts = BTreeMap::new();
         for held in self.requests.lock().values() {
@@ -138,7 +138,7 @@
         counts
     }
 
-    /// Refuses the requests that wait for a grant and are meant.
+    /// Refuses the selected requests that wait for a grant.
     pub fn refuse_waiting(
         &self,
         is_selected: impl Fn(&CellSubmit) -> bool,
@@ -150,12 +150,12 @@
             if !is_waiting || !is_selected(&held.submit) {
                 continue;
             }
-            // The request may be ending by itself.
+            // The request may be ending at the same time.
             let _ = held.grants.send(CellGrant::Refuse { code, retry_after });
         }
     }
 
-    /// Takes a request back to the queue for a further attempt: what to tell the allocator.
+    /// Returns a request to the queue for another attempt. Returns the frame for the allocator.
     pub fn requeue(&self, serial: u64) -> Option<CellFrame> {
         let mut requests = self.requests.lock();
         let held = requests.get_mut(&serial)?;
@@ -163,7 +163,7 @@
         Some(held.announcement())
     }
 
-    /// Takes a request out without a word to the allocator: the allocator refused it.
+    /// Removes a request without notifying the allocator, which refused it.
     pub fn remove(&self, serial: u64) {
         self.requests.lock().remove(&serial);
     }
@@ -216,7 +216,7 @@
 
     fn apply_grant(&mut self, grant: &CellGrant) -> bool {
         match (grant, &self.phase) {
-            // One that waits with a KV cache is to be read again: the engine that has it is gone.
+            // A request with a KV cache is prefilled again if the engine that kept the cache is gone.
             (CellGrant::Prefill(prefill), HeldPhase::Queued | HeldPhase::Prefilled { .. }) => {
                 let prefill = prefill.clone();
                 self.set_phase(HeldPhase::Prefilling {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// The phase's name in the dump.
+    /// The phase's name in the state dump.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Decoding { .. } => "decoding",
@@ -274,7 +274,7 @@
     }
 }
 
-/// Tells an allocator that a request it granted something to is over. The cell is filled in by whoever sends it.
+/// Builds the frame that tells an allocator that a request with a grant has ended. The sender fills in the cell.
 fn cancel_frame(key: &RequestKey) -> CellFrame {
     CellFrame::Notice {
         key: key.clone(),
--- a/crates/flow/src/stream_canceller.rs
+++ b/crates/flow/src/stream_canceller.rs
@@ -1,4 +1,4 @@
-//! Cancels streams at engines until the engine says that it is done, or is gone.
+//! Cancels streams on engines until the engine confirms it or is gone.
 
 use {
     crate::{flow_metrics::FlowMetrics, upstream_registry::UpstreamRegistry},
@@ -15,10 +15,10 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(20);
 /// The longest wait between tries.
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// How long a stream is looked for whose starting call got no answer: the call may have been held up on its way, and
-/// then starts the stream after cancels were answered with "not here".
+/// How long cancellation is repeated for a stream whose start call is unanswered. The call may be delayed and start the
+/// stream after the engine answered that it does not know the stream.
 const IN_FLIGHT_WATCH: Duration = Duration::from_secs(30);
-/// How long an engine that gives no answer is tried; what is left then is found by the sweep of streams.
+/// How long an unreachable engine is tried. The stream sweep finds what remains afterwards.
 const TRY_LIMIT: Duration = Duration::from_secs(60);
 
 /// Cancels streams in the background.
@@ -31,7 +31,7 @@
 }
 
 impl<E: ModelEngine> StreamCanceller<E> {
-    /// Starts to cancel a stream. `in_flight` says that the call which starts it got no answer yet.
+    /// Starts to cancel a stream. `in_flight` is whether the call that starts it is still unanswered.
     pub fn cancel(&self, upstream: UpstreamId, stream: String, in_flight: bool) {
         self.metrics.cancels.inc();
         let canceller = self.clone();
@@ -39,7 +39,7 @@
             .spawn_watching(async move { canceller.run(upstream, stream, in_flight).await });
     }
 
-    /// A canceller whose work is done in `pool`.
+    /// Creates a canceller whose tasks run in `pool`.
     pub fn new(
         registry: Arc<UpstreamRegistry>,
         engine: E,
--- a/crates/flow/src/stream_name.rs
+++ b/crates/flow/src/stream_name.rs
@@ -1,4 +1,4 @@
-//! The names that streams have at engines: who holds them can be told from the name alone.
+//! Stream names on engines. The name alone identifies the holder.
 
 use {
     admit::RequestKey,
@@ -8,14 +8,14 @@
 /// The name of one attempt's stream: `instance.incarnation.serial.attempt`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct StreamName {
-    /// Counts the attempts of the request.
+    /// The number of the attempt, from 0.
     pub attempt: u32,
     /// The request.
     pub key: RequestKey,
 }
 
 impl StreamName {
-    /// Reads a name; `None` for a stream that is not this system's.
+    /// Parses a name. `None` for a stream that this system did not start.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.rsplitn(4, '.');
         let attempt = parts.next()?.parse().ok()?;
--- a/crates/flow/src/stream_sweeper.rs
+++ b/crates/flow/src/stream_sweeper.rs
@@ -1,4 +1,4 @@
-//! Frees what streams of dead entry instances hold at engines.
+//! Cancels streams that dead entry instances left on engines.
 
 use {
     crate::{
@@ -21,20 +21,20 @@
     tokio::time::{self, MissedTickBehavior},
 };
 
-/// Knows which lives of entry instances are over.
+/// Reports which incarnations of entry instances have ended.
 pub trait LifeView: Send + Sync + 'static {
-    /// Whether this life of the instance is known to be over.
+    /// Whether this incarnation of the instance is known to have ended.
     fn is_gone(&self, instance: &str, incarnation: Incarnation) -> bool;
 
-    /// Whether the instance is not heard now: it may be dead, frozen or cut off.
+    /// Whether the instance is currently silent: it may be dead, frozen or cut off.
     fn is_silent(&self, instance: &str) -> bool;
 }
 
-/// Compares the engines' lists of streams with the lives of entry instances. Runs at the allocator of a cell.
+/// Compares the streams on engines with the incarnations of entry instances. Runs on the allocator of a cell.
 ///
-/// A stream is cancelled when its holder's life is known to be over, and also when its holder is merely silent but the
-/// engine says that nobody waits for the answer: one instance that outlives most others can't tell death from a
-/// partition, and the engine can.
+/// A stream is cancelled when its holder's incarnation is known to have ended. It is also cancelled when its holder is
+/// silent and the engine reports that the stream has no connection: an instance that outlives most others can't tell a
+/// crash from a partition, but the engine can.
 pub struct StreamSweeper<E, L, M: PolicyFactory, S> {
     abandoned: AbandonedStreams,
     registry: Arc<UpstreamRegistry>,
@@ -48,7 +48,7 @@
 
 #[bon::bon]
 impl<E: ModelEngine, L: LifeView, M: PolicyFactory, S: GrantSink> StreamSweeper<E, L, M, S> {
-    /// A sweeper of the cells in `cells`.
+    /// Creates a sweeper for the cells in `cells`.
     #[builder]
     pub fn new(
         registry: Arc<UpstreamRegistry>,
@@ -73,7 +73,7 @@
 }
 
 impl<E: ModelEngine, L: LifeView, M: PolicyFactory, S: GrantSink> StreamSweeper<E, L, M, S> {
-    /// Sweeps for as long as it is driven.
+    /// Sweeps until it is dropped.
     pub async fn run(mut self) {
         let mut ticks = time::interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Asks all engines of a cell at once, so that one that is silent holds up none of the others.
+    /// Queries all engines of a cell concurrently, so that a silent one does not delay the others.
     async fn sweep_cell(&mut self, model: &ModelId) {
         let entries = cell_engines(&self.registry, &self.zone, model);
         let asked = entries
--- a/crates/flow/src/upstream_registry.rs
+++ b/crates/flow/src/upstream_registry.rs
@@ -1,4 +1,4 @@
-//! The upstreams that this instance knows, and which of them take no new work.
+//! The upstreams known to this instance, and which of them are draining.
 
 use {
     arc_swap::ArcSwap,
@@ -12,24 +12,24 @@
     },
 };
 
-/// How many addresses of upstreams are kept that are not listed any more.
+/// The number of addresses kept for upstreams that are no longer listed.
 const DEPARTED_LIMIT: usize = 4096;
 
-/// One upstream with its address.
+/// An upstream with its address and drain marks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
-    /// Where it answers.
+    /// The address on which it serves requests.
     pub address: SocketAddr,
-    /// Why it takes no new work, as this instance sees it; empty while it does.
+    /// The reasons why it is draining, found by this instance; empty if it accepts work.
     pub marks: BTreeSet<LeavingCause>,
-    /// Why it takes no new work, as another instance sees it.
+    /// The reason why it is draining, found by another instance.
     pub peer_mark: Option<LeavingCause>,
-    /// What the platform or the settings say of it.
+    /// The record from the platform or the settings.
     pub record: InstanceRecord,
 }
 
 impl UpstreamEntry {
-    /// Why it takes no new work, by anyone's word.
+    /// Why it is draining according to any instance; `None` if it accepts work.
     pub fn drain_cause(&self) -> Option<LeavingCause> {
         self.marks.first().copied().or(self.peer_mark)
     }
@@ -38,7 +38,7 @@
 /// All upstreams by name.
 pub type UpstreamMap = BTreeMap<UpstreamId, UpstreamEntry>;
 
-/// Shows the known upstreams to every part.
+/// Publishes the known upstreams to all components.
 #[derive(Debug)]
 pub struct UpstreamRegistry {
     current: ArcSwap<UpstreamMap>,
@@ -48,12 +48,12 @@
 }
 
 impl UpstreamRegistry {
-    /// The address of an upstream.
+    /// The address of a listed upstream.
     pub fn address(&self, upstream: &str) -> Option<SocketAddr> {
         self.current.load().get(upstream).map(|entry| entry.address)
     }
 
-    /// Takes a mark off an upstream.
+    /// Removes a mark from an upstream.
     pub fn clear(&self, upstream: &str, cause: LeavingCause) {
         if !self.is_marked(upstream, cause) {
             return;
@@ -74,7 +74,7 @@
             .is_some_and(|entry| entry.marks.contains(&cause))
     }
 
-    /// Puts a mark on an upstream; `true` when it had none of the kind.
+    /// Adds a mark to an upstream. Returns `true` if the mark is new.
     pub fn mark(&self, upstream: &str, cause: LeavingCause) -> bool {
         if self.is_marked(upstream, cause) {
             return false;
@@ -89,7 +89,7 @@
         is_new
     }
 
-    /// A board with the upstreams that the settings name.
+    /// Creates a registry with the upstreams from the settings.
     pub fn new(fixed: Vec<InstanceRecord>) -> Self {
         let registry = Self {
             current: ArcSwap::default(),
@@ -101,13 +101,14 @@
         registry
     }
 
-    /// Where an upstream answers, or answered when it was listed last: what it still holds has to be freed there.
+    /// The current or last known address of an upstream. Streams it still runs have to be cancelled after it left the
+    /// list.
     pub fn last_address(&self, upstream: &str) -> Option<SocketAddr> {
         let listed = self.address(upstream);
         listed.or_else(|| self.departed.lock().get(upstream).copied())
     }
 
-    /// The marks that this instance itself put on upstreams: one for each marked upstream.
+    /// The marks set by this instance, at most one for each upstream.
     pub fn own_marks(&self) -> BTreeMap<UpstreamId, LeavingCause> {
         let mut marks = BTreeMap::new();
         for (name, entry) in self.current.load().iter() {
@@ -119,7 +120,7 @@
         marks
     }
 
-    /// Takes the other instances' marks in place of the ones before.
+    /// Replaces the marks received from other instances.
     pub fn put_peer_marks(&self, marks: &BTreeMap<UpstreamId, LeavingCause>) {
         let current = self.current.load();
         if current
@@ -135,7 +136,7 @@
         });
     }
 
-    /// Takes the platform's list in place of the one before. Upstreams of the settings stay.
+    /// Replaces the list from the platform. Upstreams from the settings are kept.
     pub fn put_list(&self, list: &[InstanceRecord]) {
         self.change(|map| {
             let mut next = UpstreamMap::new();
@@ -150,7 +151,7 @@
         });
     }
 
-    /// All upstreams as they are now.
+    /// A snapshot of all upstreams.
     pub fn snapshot(&self) -> Arc<UpstreamMap> {
         self.current.load_full()
     }
@@ -177,7 +178,8 @@
     }
 }
 
-/// The entry of a record, with the marks that the upstream had; `None` for entry instances and unreadable addresses.
+/// Creates the entry of a record and keeps the upstream's existing marks. `None` for entry instances and invalid
+/// addresses.
 fn make_entry(record: &InstanceRecord, earlier: &UpstreamMap) -> Option<UpstreamEntry> {
     if record.kind == InstanceKind::Entry {
         return None;
--- a/crates/flow/tests/cell_driver.rs
+++ b/crates/flow/tests/cell_driver.rs
@@ -1,4 +1,4 @@
-//! The driver of a cell's allocator: the order of events, and the timer.
+//! Event order and timer of a cell's driver.
 
 use {
     admit::{AdmitAction, AdmitEvent, AdmitPolicy, RequestKey},
@@ -13,29 +13,29 @@
 const MODEL: &str = "glaze";
 const SOON: Duration = Duration::from_millis(5);
 
-/// Notes the events, and does what the test says at each of them.
-struct NotePolicy {
-    notes: Notes,
-    plan: fn(usize, &AdmitEvent) -> Option<AdmitAction>,
+/// Records the events and runs the test's reaction to each of them.
+struct RecordingPolicy {
+    log: EventLog,
+    react: fn(usize, &AdmitEvent) -> Option<AdmitAction>,
 }
 
-type Notes = Arc<Mutex<Vec<(Instant, AdmitEvent)>>>;
+type EventLog = Arc<Mutex<Vec<(Instant, AdmitEvent)>>>;
 
-impl AdmitPolicy for NotePolicy {
+impl AdmitPolicy for RecordingPolicy {
     fn on_event(&mut self, now: Instant, event: AdmitEvent, actions: &mut Vec<AdmitAction>) {
-        let mut notes = self.notes.lock().unwrap();
-        actions.extend((self.plan)(notes.len(), &event));
-        notes.push((now, event));
+        let mut log = self.log.lock().unwrap();
+        actions.extend((self.react)(log.len(), &event));
+        log.push((now, event));
     }
 }
 
-/// An entry instance that answers each grant at once.
+/// An entry instance that answers each grant immediately.
 #[derive(Default)]
-struct PromptSink {
-    driver: OnceLock<Arc<CellDriver<NotePolicy, Self>>>,
+struct ImmediateSink {
+    driver: OnceLock<Arc<CellDriver<RecordingPolicy, Self>>>,
 }
 
-impl GrantSink for PromptSink {
+impl GrantSink for ImmediateSink {
     fn deliver(&self, _model: &ModelId, key: RequestKey, _grant: CellGrant) {
         if let Some(driver) = self.driver.get() {
             driver.on_request(AdmitEvent::PrefillDone { key });
@@ -51,25 +51,25 @@
     }
 }
 
-/// A driver that answers its own grants, with what its policy hears.
+/// A driver that answers its own grants, with the events its policy receives.
 fn driver(
-    plan: fn(usize, &AdmitEvent) -> Option<AdmitAction>,
-) -> (Arc<CellDriver<NotePolicy, PromptSink>>, Notes) {
-    let notes = Notes::default();
-    let sink = Arc::new(PromptSink::default());
-    let policy = NotePolicy {
-        notes: notes.clone(),
-        plan,
+    react: fn(usize, &AdmitEvent) -> Option<AdmitAction>,
+) -> (Arc<CellDriver<RecordingPolicy, ImmediateSink>>, EventLog) {
+    let log = EventLog::default();
+    let sink = Arc::new(ImmediateSink::default());
+    let policy = RecordingPolicy {
+        log: log.clone(),
+        react,
     };
     let driver = Arc::new(CellDriver::new(MODEL.into(), policy, sink.clone()));
     let _ = sink.driver.set(driver.clone());
-    (driver, notes)
+    (driver, log)
 }
 
-// Guards against a notice that overtakes what an allocator was told before it was open.
+// Guards against a notice that overtakes events buffered before the allocator was opened.
 #[test]
 fn events_from_before_the_opening_come_first() {
-    let (driver, notes) = driver(|_, event| {
+    let (driver, log) = driver(|_, event| {
         let AdmitEvent::KvEvicted { key } = event else {
             return None;
         };
@@ -81,23 +81,22 @@
     driver.on_request(AdmitEvent::KvEvicted { key: key(1) });
     driver.on_request(AdmitEvent::FirstToken { key: key(2) });
     driver.open();
-    let notes = notes.lock().unwrap();
+    let log = log.lock().unwrap();
     let is_in_order = matches!(
-        notes[..],
+        log[..],
         [
             (_, AdmitEvent::KvEvicted { .. }),
             (_, AdmitEvent::FirstToken { .. }),
             (_, AdmitEvent::PrefillDone { .. })
         ]
     );
-    assert!(is_in_order, "{notes:?}");
+    assert!(is_in_order, "{log:?}");
 }
 
-// Guards against a time that the allocator asked for and that never comes, since an event fell between an earlier
-// time and its tick.
+// Guards against a lost timer: the allocator requests a time while an earlier one is due and its tick is still pending.
 #[tokio::test]
 async fn a_time_asked_for_while_another_one_is_due_is_kept() {
-    let (driver, notes) = driver(|count, _| {
+    let (driver, log) = driver(|count, _| {
         let wake = |wait| Some(AdmitAction::WakeAt(Instant::now() + wait));
         match count {
             0 => wake(SOON),
@@ -111,16 +110,16 @@
     let running = tokio::spawn(async move { timer.run_timer(closing).await });
     tokio::task::yield_now().await;
     driver.on_event(AdmitEvent::FirstToken { key: key(1) });
-    // The timer can't run while its thread is held.
+    // The timer can't run while the runtime's only thread is blocked.
     std::thread::sleep(2 * SOON);
     driver.on_event(AdmitEvent::FirstToken { key: key(1) });
     let asked_for = Instant::now() + 9 * SOON;
     tokio::time::sleep(40 * SOON).await;
     signal.raise();
     running.await.unwrap();
-    let notes = notes.lock().unwrap();
-    let is_kept = notes
+    let log = log.lock().unwrap();
+    let is_kept = log
         .iter()
         .any(|(at, event)| matches!(event, AdmitEvent::Tick) && *at >= asked_for);
-    assert!(is_kept, "{notes:?}");
+    assert!(is_kept, "{log:?}");
 }
--- a/crates/flow/tests/core/flow_fuzz.rs
+++ b/crates/flow/tests/core/flow_fuzz.rs
@@ -1,4 +1,4 @@
-//! Any order of events, against the oracle.
+//! Random orders of events, checked against the oracle.
 
 use {
     crate::{
@@ -15,7 +15,7 @@
 
 const CASES: u32 = 2_000;
 const SEED: u64 = 7;
-/// Ends that the fuzz has to reach, or it proves little.
+/// Result codes that the fuzz test has to reach to be meaningful.
 const ENDS: [ResultCode; 9] = [
     ResultCode::Answered,
     ResultCode::CallerGone,
@@ -44,7 +44,7 @@
             world.run(step);
         }
         world.end();
-        *ends.borrow_mut().entry(world.finals[0]).or_default() += 1;
+        *ends.borrow_mut().entry(world.final_codes[0]).or_default() += 1;
         Ok(())
     });
     outcome.unwrap_or_else(|error| panic!("{error}"));
--- a/crates/flow/tests/core/flow_step.rs
+++ b/crates/flow/tests/core/flow_step.rs
@@ -1,8 +1,8 @@
-//! What may happen in the fuzz of one request.
+//! Steps of the fuzz test of one request.
 
 use {engine::CallCause, proptest::prelude::*};
 
-/// One step. The world applies it when it is possible there, and drops it otherwise.
+/// One step. It is ignored if it is not possible in the current state.
 #[derive(Clone, Debug)]
 pub(crate) enum FlowStep {
     CallerGone,
@@ -22,7 +22,7 @@
     Token,
 }
 
-/// A row's and a caller's wishes.
+/// The parameters of a row and a caller's request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FlowPlan {
     pub(crate) max_tokens: u32,
--- a/crates/flow/tests/core/flow_world.rs
+++ b/crates/flow/tests/core/flow_world.rs
@@ -1,4 +1,4 @@
-//! One request, the world around it, and what has to be true of both.
+//! One request with simulated engines and allocator, and the invariants to check.
 
 use {
     crate::flow_step::{FlowPlan, FlowStep},
@@ -8,20 +8,20 @@
     std::collections::BTreeSet,
 };
 
-/// What the allocator believes.
+/// The phase of the request at the allocator.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum CellSide {
     Decoding,
-    /// It heard that the stream is lost and waits for a new submission.
+    /// The stream was reported lost, and the allocator waits for a new submission.
     Dropped,
-    Over,
+    Ended,
     Prefilling,
     Queued,
     Prefilled,
     Transferring,
 }
 
-/// The call that the driver makes now.
+/// The driver's current call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum OpenCall {
     Decode(UpstreamId),
@@ -30,23 +30,23 @@
     Stream(UpstreamId),
 }
 
-/// The core and the oracle beside it.
+/// The state machine and its oracle.
 pub(crate) struct FlowWorld {
     call: Option<OpenCall>,
     cell: CellSide,
     core: FlowCore,
     /// Decode attempts that may have run.
     decodes: u32,
-    /// Tokens that the caller has.
+    /// Tokens delivered to the caller.
     delivered: u32,
-    pub(crate) finals: Vec<ResultCode>,
-    /// The attempt that was read last: its name at engines is not used again.
-    last_read: Option<u32>,
-    /// What engines may hold: engine and attempt.
+    pub(crate) final_codes: Vec<ResultCode>,
+    /// The last prefilled attempt. Its stream name on engines must not be reused.
+    last_prefilled: Option<u32>,
+    /// Streams that engines may hold, by engine and attempt.
     held: BTreeSet<(UpstreamId, u32)>,
     plan: FlowPlan,
     prefill: Option<UpstreamId>,
-    /// Whether any engine may have worked.
+    /// Whether any engine may have done work.
     ran: bool,
 }
 
@@ -64,31 +64,35 @@
             core,
             decodes: 0,
             delivered: 0,
-            finals: Vec::new(),
+            final_codes: Vec::new(),
             held: BTreeSet::new(),
-            last_read: None,
+            last_prefilled: None,
             plan,
             prefill: None,
             ran: false,
         }
     }
 
-    /// Ends the request if it goes on, and checks that nothing is left.
+    /// Ends the request if it is active, and checks that nothing is left.
     pub(crate) fn end(&mut self) {
         self.run(FlowStep::CallerGone);
-        assert_eq!(self.finals.len(), 1, "one final answer");
+        assert_eq!(self.final_codes.len(), 1, "one final answer");
         let late = [
             FlowEvent::PrefillDone,
             FlowEvent::Token,
             FlowEvent::CallerGone,
         ];
         for event in late {
-            assert_eq!(self.core.on_event(event), Vec::new(), "after the end");
+            assert_eq!(
+                self.core.on_event(event),
+                Vec::new(),
+                "an event after the end has an effect"
+            );
         }
     }
 
     pub(crate) fn run(&mut self, step: FlowStep) {
-        if !self.finals.is_empty() {
+        if !self.final_codes.is_empty() {
             return;
         }
         let Some(event) = self.event(step) else {
@@ -97,10 +101,10 @@
         for action in self.core.on_event(event) {
             self.check(action);
         }
-        self.check_rest();
+        self.check_invariants();
     }
 
-    /// What the driver tells the core of a step; `None` when the step is not possible now.
+    /// The event for the state machine; `None` when the step is not possible now.
     fn event(&mut self, step: FlowStep) -> Option<FlowEvent> {
         match step {
             FlowStep::CallerGone => Some(self.cut_short(FlowEvent::CallerGone)),
@@ -113,7 +117,7 @@
             }
             FlowStep::GrantPrefill(at) => {
                 let event = FlowEvent::GrantPrefill(name("prefill", at));
-                // The allocator grants anew what waits when its prefill engine is gone.
+                // The allocator grants prefill again if the engine of a waiting request is gone.
                 match self.cell {
                     CellSide::Prefilled => {
                         self.grant(CellSide::Prefilled, CellSide::Prefilling, event)
@@ -131,7 +135,7 @@
                 };
                 match self.cell {
                     CellSide::Queued | CellSide::Prefilled => {
-                        self.grant(self.cell, CellSide::Over, event)
+                        self.grant(self.cell, CellSide::Ended, event)
                     }
                     _ => None,
                 }
@@ -180,7 +184,7 @@
         Some(FlowEvent::PrefillDone)
     }
 
-    /// A call that is under way when the request is given up may have run.
+    /// A call in flight may have run when the request is given up.
     fn cut_short(&mut self, event: FlowEvent) -> FlowEvent {
         self.ran |= self.call.is_some();
         self.call = None;
@@ -242,14 +246,18 @@
         Some(event)
     }
 
-    /// A grant that does not fit how far the request has come changes nothing.
+    /// A grant that does not fit the request's phase must have no effect.
     fn late_grant(&mut self, at: usize) -> Option<FlowEvent> {
         let event = match self.cell {
             CellSide::Queued => FlowEvent::GrantDecode(name("decode", at)),
             CellSide::Prefilled => return None,
             _ => FlowEvent::GrantPrefill(name("prefill", at)),
         };
-        assert_eq!(self.core.on_event(event), Vec::new(), "a late grant");
+        assert_eq!(
+            self.core.on_event(event),
+            Vec::new(),
+            "a late grant has an effect"
+        );
         None
     }
 
@@ -270,7 +278,10 @@
     }
 
     fn check(&mut self, action: FlowAction) {
-        assert!(self.finals.is_empty(), "{action:?} after the final answer");
+        assert!(
+            self.final_codes.is_empty(),
+            "{action:?} after the final answer"
+        );
         match action {
             FlowAction::Cancel {
                 attempt, upstream, ..
@@ -284,18 +295,18 @@
             }
             FlowAction::Fail(failure) => self.check_failure(&failure),
             FlowAction::Finish => {
-                assert!(self.call.is_none(), "the stream goes on");
-                self.finals.push(ResultCode::Answered);
+                assert!(self.call.is_none(), "finished while the stream is open");
+                self.final_codes.push(ResultCode::Answered);
             }
             FlowAction::Notify(notice) => self.note(&notice),
             FlowAction::Prefill(prefill) => {
                 assert!(
                     self.plan.repeat || !self.ran,
-                    "read again after it may have run"
+                    "prefilled again after it may have run"
                 );
                 let attempt = Some(self.core.attempt());
-                assert!(attempt > self.last_read, "a stream's name is used again");
-                self.last_read = attempt;
+                assert!(attempt > self.last_prefilled, "a stream's name is reused");
+                self.last_prefilled = attempt;
                 assert_eq!(self.cell, CellSide::Prefilling);
                 self.held.insert((prefill.clone(), self.core.attempt()));
                 self.prefill = Some(prefill.clone());
@@ -303,11 +314,17 @@
             }
             FlowAction::Restart => {
                 let is_seen = self.plan.stream && self.delivered > 0;
-                assert!(!is_seen, "the caller has tokens of the attempt before");
+                assert!(
+                    !is_seen,
+                    "the caller already has tokens of the previous attempt"
+                );
                 self.delivered = 0;
             }
             FlowAction::Resume { decode, offset, .. } => {
-                assert_eq!(offset, self.delivered, "a gap or a repeat");
+                assert_eq!(
+                    offset, self.delivered,
+                    "the offset leaves a gap or repeats tokens"
+                );
                 self.open(OpenCall::Resume(decode));
             }
             FlowAction::Submit => {
@@ -321,19 +338,23 @@
         let is_false = failure.code.not_run() && self.ran;
         assert!(
             !is_false || failure.code == ResultCode::CallerGone,
-            "{:?}, and it may have run",
+            "{:?}, although it may have run",
             failure.code
         );
         assert_ne!(failure.code, ResultCode::Answered);
         self.call = None;
-        self.finals.push(failure.code);
+        self.final_codes.push(failure.code);
     }
 
-    /// What holds between two events: somebody goes on with the request, or nothing of it is left.
-    fn check_rest(&self) {
-        if !self.finals.is_empty() {
-            assert_eq!(self.cell, CellSide::Over, "the allocator knows");
-            assert!(self.held.is_empty(), "left at engines: {:?}", self.held);
+    /// Checks the invariants between events: either some party continues the request, or nothing of it is left.
+    fn check_invariants(&self) {
+        if !self.final_codes.is_empty() {
+            assert_eq!(
+                self.cell,
+                CellSide::Ended,
+                "the allocator was not told of the end"
+            );
+            assert!(self.held.is_empty(), "engines still hold {:?}", self.held);
             return;
         }
         let waits = matches!(self.cell, CellSide::Queued | CellSide::Prefilled);
@@ -345,14 +366,18 @@
             self.call
         );
         if self.cell == CellSide::Queued {
-            assert!(self.held.is_empty(), "queued, and held: {:?}", self.held);
+            assert!(
+                self.held.is_empty(),
+                "queued, but engines hold {:?}",
+                self.held
+            );
         }
     }
 
     fn note(&mut self, notice: &CellNotice) {
         let (from, to): (&[CellSide], CellSide) = match notice {
             CellNotice::Cancel => {
-                self.cell = CellSide::Over;
+                self.cell = CellSide::Ended;
                 return;
             }
             CellNotice::DecodeLost => (
@@ -362,7 +387,7 @@
             CellNotice::DecodeRefused => (&[CellSide::Transferring], CellSide::Prefilled),
             CellNotice::Finished { .. } => (
                 &[CellSide::Decoding, CellSide::Transferring],
-                CellSide::Over,
+                CellSide::Ended,
             ),
             CellNotice::FirstToken => (&[CellSide::Transferring], CellSide::Decoding),
             CellNotice::KvEvicted => (
--- a/crates/flow/tests/core/main.rs
+++ b/crates/flow/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The steps of one request against a simple oracle.
+//! The state machine of one request, checked against a simple oracle.
 
 mod flow_fuzz;
 mod flow_step;
--- a/crates/flow/tests/limits.rs
+++ b/crates/flow/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The split of plain rows' limits, and the gate that holds them.
+//! The split of plain rows' limits, and the gate that enforces them.
 
 use {
     flow::{
@@ -32,7 +32,7 @@
     }
 }
 
-/// The views of all instances of a system of so many zones and instances each.
+/// The views of all instances of a system with `zones` zones and `members` instances in each.
 fn views(zones: usize, members: usize) -> Vec<ShareView> {
     let names: BTreeSet<_> = (0..zones)
         .map(|zone| format!("zone-{zone}").into())
@@ -126,7 +126,7 @@
         let mut running = 0;
         let mut queue: VecDeque<WaiterId> = VecDeque::new();
         for step in steps {
-            let turns = match step {
+            let admitted = match step {
                 GateStep::Enter(waits) => {
                     let is_free = running < limit && queue.is_empty();
                     match gate.enter(&work, limit, waits) {
@@ -161,13 +161,13 @@
                     gate.set_limit(&work, next)
                 }
             };
-            for waiter in turns {
+            for waiter in admitted {
                 prop_assert_eq!(queue.pop_front(), Some(waiter));
                 running += 1;
                 prop_assert!(running <= limit);
             }
             prop_assert_eq!(gate.counts(&work), (running, queue.len()));
-            prop_assert!(queue.is_empty() || running >= limit, "a place is free, and one waits");
+            prop_assert!(queue.is_empty() || running >= limit, "a request waits below the limit");
         }
     }
 }
--- a/crates/flow/tests/track/main.rs
+++ b/crates/flow/tests/track/main.rs
@@ -1,4 +1,4 @@
-//! An entry instance and the allocator of a cell agree on each request again after one of them lost track of it.
+//! Recovery of an entry instance and a cell's allocator after one of them lost track of a request.
 
 mod track_cases;
 mod track_fuzz;
--- a/crates/flow/tests/track/track_cases.rs
+++ b/crates/flow/tests/track/track_cases.rs
@@ -1,4 +1,4 @@
-//! Each way in which one side lost track of a request.
+//! The ways in which one side can lose track of a request.
 
 use {
     crate::track_world::{DECODE, TrackWorld, decode, prefill},
@@ -8,11 +8,11 @@
     route::UpstreamRole,
 };
 
-// Guards against a request that waits for ever, since its allocator forgot it together with the decode engine.
+// Guards against a request that waits forever because its allocator forgot it together with the decode engine.
 #[test]
 fn a_request_refused_by_an_engine_that_is_gone_gets_another_place() {
     let mut world = TrackWorld::new();
-    let mut request = world.placed();
+    let mut request = world.submit_and_place();
     let gone: UpstreamId = DECODE.into();
     world.driver.on_event(AdmitEvent::UpstreamGone(gone));
     world.notify(&request, CellNotice::DecodeRefused);
@@ -21,11 +21,11 @@
     assert_eq!(request.next_grant(), decode());
 }
 
-// Guards against a place of an engine that the allocator takes for free while a stream of its own runs there.
+// Guards against an allocator that counts a decode place as free while one of its own streams runs there.
 #[test]
 fn a_stream_that_outlives_the_loss_of_its_engine_is_counted_again() {
     let mut world = TrackWorld::new();
-    let request = world.placed();
+    let request = world.submit_and_place();
     let gone: UpstreamId = DECODE.into();
     world.driver.on_event(AdmitEvent::UpstreamGone(gone));
     world.engine_up(DECODE, UpstreamRole::Decode);
@@ -35,7 +35,7 @@
     assert_eq!((counts.decoding, counts.places), (1, 1));
 }
 
-// Guards against a request that waits for a grant which was lost with its session.
+// Guards against a request that waits for a grant that was lost with its session.
 #[test]
 fn a_grant_lost_with_its_session_is_given_again() {
     let mut world = TrackWorld::new();
@@ -48,13 +48,13 @@
     world.notify(&request, CellNotice::PrefillDone);
     world.set_broken(false);
     world.open_session();
-    world.pass_transfer();
+    world.finish_transfer();
     assert_eq!(request.next_grant(), decode());
     let counts = world.driver.inspect(CellAllocator::counts);
     assert_eq!((counts.running, counts.transferring), (1, 1));
 }
 
-// Guards against a second grant to a request that has the one that it needs.
+// Guards against a second grant to a request that already has the one it needs.
 #[test]
 fn a_new_session_grants_nothing_anew() {
     let mut world = TrackWorld::new();
@@ -72,7 +72,7 @@
     assert_eq!((counts.running, counts.decoding), (1, 1));
 }
 
-// Guards against a request of an ended life that waits for an allocator which does not take it.
+// Guards against a request of an earlier incarnation that waits for an allocator which does not accept it.
 #[test]
 fn a_request_named_before_its_instance_has_a_new_life_is_refused() {
     let mut world = TrackWorld::new();
--- a/crates/flow/tests/track/track_fuzz.rs
+++ b/crates/flow/tests/track/track_fuzz.rs
@@ -1,4 +1,4 @@
-//! Any order of failures on both sides: every request ends once all is well.
+//! Random failures on both sides. Every request must end once everything works again.
 
 use {
     crate::track_world::{DECODE, OpenRequest, PREFILL, TrackWorld},
@@ -15,27 +15,27 @@
 };
 
 const CASES: u32 = 300;
-const MOST_TOKENS: u32 = 2;
-/// More than any request needs for its retries and tokens.
+const MAX_TOKENS: u32 = 2;
+/// More rounds than any request needs for its retries and tokens.
 const ROUNDS: usize = 400;
 const SEED: u64 = 11;
 
-/// One step; numbers pick among the requests.
+/// One step. Indexes select among the requests.
 #[derive(Clone, Debug)]
 enum TrackStep {
-    /// The session breaks with all that it carries, and another one opens.
+    /// The session breaks with the messages in flight, and a new one opens.
     Break,
     CallFails(usize, CallCause, bool),
     CallSucceeds(usize),
     CallerGone(usize),
     EngineBack(bool),
     EngineGone(bool),
-    /// Grants are lost from now on, until the session breaks.
+    /// Grants are lost until the session breaks.
     LoseGrants,
     Submit(bool),
 }
 
-/// What a request's driver is doing.
+/// The current call of a request's driver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum OpenCall {
     Decode,
@@ -73,7 +73,7 @@
             TrackStep::Break => self.reopen(),
             TrackStep::CallFails(at, cause, ran) => self.finish_call(at, Some((cause, ran))),
             TrackStep::CallSucceeds(at) => self.finish_call(at, None),
-            TrackStep::CallerGone(at) => self.tell(at, FlowEvent::CallerGone),
+            TrackStep::CallerGone(at) => self.apply(at, FlowEvent::CallerGone),
             TrackStep::EngineBack(is_decode) => self.engine_up(is_decode),
             TrackStep::EngineGone(is_decode) => {
                 let gone: UpstreamId = engine(is_decode).0.into();
@@ -89,7 +89,7 @@
         self.take_grants();
     }
 
-    /// Lets all go well from now on, until nothing waits.
+    /// Runs without failures until all requests have ended.
     fn settle(&mut self) {
         if self.is_lossy {
             self.reopen();
@@ -105,11 +105,11 @@
             if self.flows.iter().all(|flow| flow.is_ended) {
                 return;
             }
-            self.world.pass_transfer();
+            self.world.finish_transfer();
         }
         let waiting = self.flows.iter().filter(|flow| !flow.is_ended);
         let phases: Vec<_> = waiting.map(|flow| flow.core.phase().clone()).collect();
-        panic!("requests without an end: {phases:?}");
+        panic!("requests have not ended: {phases:?}");
     }
 
     fn engine_up(&mut self, is_decode: bool) {
@@ -125,7 +125,7 @@
 
     fn submit(&mut self, repeat: bool) {
         let core = FlowCore::builder()
-            .max_tokens(MOST_TOKENS)
+            .max_tokens(MAX_TOKENS)
             .repeat(repeat)
             .retries(2)
             .stream(false)
@@ -139,7 +139,7 @@
         });
     }
 
-    /// Ends the call of a request that has one.
+    /// Ends the call of a request, if it has one.
     fn finish_call(&mut self, at: usize, failure: Option<(CallCause, bool)>) {
         let Some(at) = at.checked_rem(self.flows.len()) else {
             return;
@@ -161,13 +161,13 @@
             (OpenCall::Prefill, None) => FlowEvent::PrefillDone,
             (OpenCall::Prefill, Some(failure)) => FlowEvent::PrefillFailed(failure),
             (OpenCall::Resume, Some(failure)) => FlowEvent::ResumeFailed(failure),
-            (OpenCall::Stream, None) if flow.core.tokens() < MOST_TOKENS => FlowEvent::Token,
+            (OpenCall::Stream, None) if flow.core.tokens() < MAX_TOKENS => FlowEvent::Token,
             (OpenCall::Stream, None) => FlowEvent::StreamDone,
         };
         if event != FlowEvent::Token {
             flow.call = OpenCall::None;
         }
-        self.tell(at, event);
+        self.apply(at, event);
     }
 
     fn take_grants(&mut self) {
@@ -182,14 +182,14 @@
                     CellGrant::Refuse { code, retry_after } => {
                         FlowEvent::Refused { code, retry_after }
                     }
-                    CellGrant::Resync => panic!("a question for the table of requests"),
+                    CellGrant::Resync => panic!("Resync is answered by the request table"),
                 };
-                self.tell(at, event);
+                self.apply(at, event);
             }
         }
     }
 
-    fn tell(&mut self, at: usize, event: FlowEvent) {
+    fn apply(&mut self, at: usize, event: FlowEvent) {
         let Some(at) = at.checked_rem(self.flows.len()) else {
             return;
         };
--- a/crates/flow/tests/track/track_world.rs
+++ b/crates/flow/tests/track/track_world.rs
@@ -23,11 +23,11 @@
 const INSTANCE: &str = "gijon-1";
 const MODEL: &str = "glaze";
 pub(crate) const PREFILL: &str = "p1";
-/// Longer than the KV cache of a test's prompt takes.
+/// Longer than the transfer of the test prompt's KV cache.
 const TRANSFER_TIME: Duration = Duration::from_millis(5);
 const WORK: &str = "report";
 
-/// Brings the grants to the hub, or loses them as a broken session does.
+/// Delivers grants to the hub, or drops them like a broken session.
 pub(crate) struct HubSink {
     hub: Arc<CellHub>,
     is_broken: AtomicBool,
@@ -55,7 +55,7 @@
     sink: Arc<HubSink>,
 }
 
-/// A request as its driver sees it.
+/// A request as seen by its driver.
 pub(crate) struct OpenRequest {
     grants: UnboundedReceiver<CellGrant>,
     pub(crate) key: RequestKey,
@@ -115,7 +115,7 @@
         self.pump();
     }
 
-    /// A new session takes the place of the one before: what that one carried and had not brought is lost.
+    /// Replaces the session. Undelivered messages of the previous one are lost.
     pub(crate) fn open_session(&mut self) {
         let (frames, outbox) = mpsc::unbounded_channel();
         self.frames = outbox;
@@ -127,13 +127,13 @@
         self.pump();
     }
 
-    /// Lets the transfer on the link end.
-    pub(crate) fn pass_transfer(&self) {
+    /// Waits until the current transfer has ended.
+    pub(crate) fn finish_transfer(&self) {
         std::thread::sleep(TRANSFER_TIME);
         self.driver.on_event(AdmitEvent::Tick);
     }
 
-    /// Brings the frames to the allocator.
+    /// Delivers the frames to the allocator.
     pub(crate) fn pump(&mut self) {
         while let Ok(frame) = self.frames.try_recv() {
             self.driver.on_frame(Instant::now(), frame);
@@ -144,8 +144,8 @@
         self.sink.is_broken.store(is_broken, Ordering::SeqCst);
     }
 
-    /// A request that has its decode place.
-    pub(crate) fn placed(&mut self) -> OpenRequest {
+    /// Submits a request that gets its decode place.
+    pub(crate) fn submit_and_place(&mut self) -> OpenRequest {
         let mut request = self.submit();
         assert_eq!(request.next_grant(), prefill());
         self.notify(&request, CellNotice::PrefillDone);
@@ -158,7 +158,7 @@
         self.submit_as(key)
     }
 
-    /// Submits a request that was named before.
+    /// Submits a request with a given key.
     pub(crate) fn submit_as(&mut self, key: RequestKey) -> OpenRequest {
         let request = ModelRequest {
             arrived: Instant::now(),
