--- a/crates/admit/src/cell_estimates.rs
+++ b/crates/admit/src/cell_estimates.rs
@@ -13,7 +13,7 @@
 /// when it is more likely to miss its deadline than to meet it.
 const SERVICE_QUANTILE: f64 = 0.5;
 /// Up to this many requests ahead are assigned to engines one by one. The rest is approximated as a continuous flow.
-const PLACED_LIMIT: f64 = 64.0;
+const ASSIGNED_LIMIT: f64 = 64.0;
 
 impl CellAllocator {
     /// The requests that are prefilled before a new request of a row: those of better ranks, those of its own row, and
@@ -121,19 +121,19 @@
         let open = self.prefills.values().filter(|engine| !engine.is_draining);
         let mut queues: Vec<f64> = open.map(|engine| engine.queue_seconds(now)).collect();
         let engines = queues.len().max(1) as f64;
-        let each = ahead.tokens / self.prefill_rate().max(f64::MIN_POSITIVE) * engines;
-        let each = each / ahead.requests.max(1.0);
-        let placed = ahead.requests.min(PLACED_LIMIT).round() as usize;
-        let fluid = (ahead.requests - PLACED_LIMIT).max(0.0) * each / engines;
-        for _ in 0..placed {
-            if let Some(least) = queues
+        let seconds_each = ahead.tokens / self.prefill_rate().max(f64::MIN_POSITIVE) * engines;
+        let seconds_each = seconds_each / ahead.requests.max(1.0);
+        let assigned = ahead.requests.min(ASSIGNED_LIMIT).round() as usize;
+        let fluid = (ahead.requests - ASSIGNED_LIMIT).max(0.0) * seconds_each / engines;
+        for _ in 0..assigned {
+            if let Some(shortest) = queues
                 .iter_mut()
                 .min_by(|left, right| left.total_cmp(right))
             {
-                *least += each;
+                *shortest += seconds_each;
             }
         }
-        let least = queues.into_iter().reduce(f64::min);
-        least.unwrap_or(0.0) + fluid
+        let shortest = queues.into_iter().reduce(f64::min);
+        shortest.unwrap_or(0.0) + fluid
     }
 }
--- a/crates/admit/src/cell_indexes.rs
+++ b/crates/admit/src/cell_indexes.rs
@@ -169,8 +169,8 @@
                     info.decode_base_seconds
                         + info.decode_slope_seconds * f64::from(info.decode_places)
                 });
-                let left = held.request.max_tokens.saturating_sub(*tokens);
-                lost_deadline(now, step * f64::from(left))
+                let tokens_left = held.request.max_tokens.saturating_sub(*tokens);
+                lost_deadline(now, step * f64::from(tokens_left))
             }
             RequestPhase::Prefilling { prefill, tokens } => {
                 let engine = pool.prefills.get(prefill);
@@ -188,9 +188,9 @@
                     };
                     return next.min(held.patience_end);
                 };
-                let least = pool.min_prefill_seconds(f64::from(tokens)) + transfer;
-                let least = Duration::try_from_secs_f64(least + pool.step_seconds());
-                let latest = deadline.checked_sub(least.unwrap_or_default());
+                let min_seconds = pool.min_prefill_seconds(f64::from(tokens)) + transfer;
+                let min_seconds = Duration::try_from_secs_f64(min_seconds + pool.step_seconds());
+                let latest = deadline.checked_sub(min_seconds.unwrap_or_default());
                 held.patience_end.min(latest.unwrap_or(deadline))
             }
             RequestPhase::Prefilled { evicts_at, .. } => *evicts_at + LOST_AFTER,
--- a/crates/admit/src/cell_order.rs
+++ b/crates/admit/src/cell_order.rs
@@ -150,20 +150,20 @@
             return true;
         };
         let mut engines = 0;
-        let mut least = f64::INFINITY;
+        let mut shortest_queue = f64::INFINITY;
         for (upstream, engine) in &pool.prefills {
             if engine.is_draining {
                 continue;
             }
             engines += 1;
-            let more = if upstream == prefill {
+            let added = if upstream == prefill {
                 prefill_seconds
             } else {
                 0.0
             };
-            least = least.min(engine.queue_seconds(now) + more);
+            shortest_queue = shortest_queue.min(engine.queue_seconds(now) + added);
         }
-        engines < 2 || urgent.rate * (least - urgent.slack) <= MAX_EXPECTED_LATE
+        engines < 2 || urgent.rate * (shortest_queue - urgent.slack) <= MAX_EXPECTED_LATE
     }
 
     /// The demand of urgent rows of a better rank than `row`. `None` if it is too rare to keep resources free for it.
--- a/crates/admit/src/cell_refusals.rs
+++ b/crates/admit/src/cell_refusals.rs
@@ -45,9 +45,9 @@
             return Some((ResultCode::LimitReached, Self::UNKNOWN_WAIT));
         }
         let target = state.row.first_token?;
-        let left = (request.arrived + target).saturating_duration_since(now);
+        let time_left = (request.arrived + target).saturating_duration_since(now);
         let limit_wait = self.limit_wait(row);
-        if limit_wait > left {
+        if limit_wait > time_left {
             return Some((ResultCode::LimitReached, limit_wait));
         }
         if let Some(pool) = self.pools.get_mut(&self.rows[row].pool) {
@@ -55,8 +55,8 @@
         }
         let ahead = self.queue_ahead(row);
         let wait = self.first_token_after(now, row, request, ahead);
-        if wait > left {
-            return Some((ResultCode::FirstTokenLate, wait - left));
+        if wait > time_left {
+            return Some((ResultCode::FirstTokenLate, wait - time_left));
         }
         None
     }
@@ -132,10 +132,10 @@
 
     /// Refuses urgent requests that are already expected to miss their target, before their own timers expire.
     pub(crate) fn sweep_urgent(&mut self, now: Instant, actions: &mut Vec<AdmitAction>) {
-        let since = self
+        let elapsed = self
             .last_sweep
             .map(|swept| now.saturating_duration_since(swept));
-        if since.is_some_and(|since| since < SWEEP_PERIOD) {
+        if elapsed.is_some_and(|elapsed| elapsed < SWEEP_PERIOD) {
             return;
         }
         self.last_sweep = Some(now);
@@ -162,10 +162,10 @@
                 continue;
             };
             let deadline = held.deadline.unwrap_or(held.patience_end);
-            let left = deadline.saturating_duration_since(now);
+            let time_left = deadline.saturating_duration_since(now);
             let wait = self.first_token_after(now, row, &held.request, ahead);
-            if wait > left {
-                late.push((key.clone(), wait - left));
+            if wait > time_left {
+                late.push((key.clone(), wait - time_left));
                 continue;
             }
             ahead.requests += 1.0;
--- a/crates/admit/src/cell_requests.rs
+++ b/crates/admit/src/cell_requests.rs
@@ -24,8 +24,8 @@
         if self.is_over(&request.key) {
             return;
         }
-        let known = self.phase(&request.key);
-        if known.is_some_and(|phase| !matches!(phase, RequestPhase::Queued)) {
+        let current_phase = self.phase(&request.key);
+        if current_phase.is_some_and(|phase| !matches!(phase, RequestPhase::Queued)) {
             return;
         }
         let Some(row) = self.row_ids.get(&request.work).copied() else {
@@ -305,8 +305,8 @@
         request: AdmitRequest,
         actions: &mut Vec<AdmitAction>,
     ) {
-        let known = self.phase(&request.key);
-        if known.is_some_and(|known| known.matches_announced(phase.as_ref())) {
+        let current_phase = self.phase(&request.key);
+        if current_phase.is_some_and(|current| current.matches_announced(phase.as_ref())) {
             return;
         }
         self.remove(now, &request.key);
--- a/crates/admit/src/cell_upstreams.rs
+++ b/crates/admit/src/cell_upstreams.rs
@@ -140,7 +140,7 @@
         let upstream = info.upstream.clone();
         let key = PoolKey::of_upstream(&info);
         let pool = self.pools.entry(key).or_default();
-        let known = match info.role {
+        let is_known = match info.role {
             UpstreamRole::Decode => match pool.decodes.get_mut(&upstream) {
                 Some(engine) => {
                     engine.advance_tokens(now);
@@ -169,7 +169,7 @@
             },
         };
         pool.forecast.invalidate();
-        if !known {
+        if !is_known {
             self.attach_held(now, &upstream);
         }
     }
--- a/crates/admit/src/completion_forecast.rs
+++ b/crates/admit/src/completion_forecast.rs
@@ -10,7 +10,7 @@
 /// The mean and the variance of the number of streams that complete within each horizon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CompletionForecast {
-    at: Option<Instant>,
+    computed_at: Option<Instant>,
     means: [f64; HORIZONS.len()],
     variances: [f64; HORIZONS.len()],
 }
@@ -28,7 +28,7 @@
     /// Resets the forecast, with `now` as its time of computation.
     pub(crate) fn clear(&mut self, now: Instant) {
         *self = Self {
-            at: Some(now),
+            computed_at: Some(now),
             ..Self::default()
         };
     }
@@ -50,13 +50,13 @@
 
     /// Whether the forecast must be recomputed.
     pub(crate) fn is_stale(&self, now: Instant) -> bool {
-        self.at
-            .is_none_or(|at| now.saturating_duration_since(at) >= MAX_AGE)
+        self.computed_at
+            .is_none_or(|computed_at| now.saturating_duration_since(computed_at) >= MAX_AGE)
     }
 
     /// Forces a recomputation before the next use.
     pub(crate) fn invalidate(&mut self) {
-        self.at = None;
+        self.computed_at = None;
     }
 
     /// Removes one stream, given its current probability of completion within a number of seconds.
--- a/crates/admit/src/length_sketch.rs
+++ b/crates/admit/src/length_sketch.rs
@@ -6,7 +6,7 @@
 const BUCKET_COUNT: usize = 17 * 8 + 1;
 /// At this total, the weight of all recorded lengths is halved.
 const DECAY_AT: f64 = 1024.0;
-/// The number of assumed answers of maximum length. They bound the estimates until enough lengths are recorded.
+/// The number of assumed answers of maximum length. They dominate the estimates while few lengths are recorded.
 const PRIOR_COUNT: f64 = 4.0;
 
 /// A histogram with geometric buckets. It is small and deterministic, and its decay lets it follow drift.
--- a/crates/flow/src/cell_hub.rs
+++ b/crates/flow/src/cell_hub.rs
@@ -58,8 +58,8 @@
     /// The allocator of each cell with a route.
     pub fn allocators(&self) -> BTreeMap<ModelId, InstanceId> {
         let routes = self.routes.lock();
-        let pairs = routes.iter();
-        pairs
+        let entries = routes.iter();
+        entries
             .map(|(model, route)| (model.clone(), route.allocator.clone()))
             .collect()
     }
--- a/crates/flow/src/flow_core.rs
+++ b/crates/flow/src/flow_core.rs
@@ -127,7 +127,8 @@
         self.tokens
     }
 
-    /// Ends the request. A code that claims that nothing ran is replaced if an engine may have done work.
+    /// Ends the request. A code that claims that nothing ran is replaced if an engine may have done work, unless the caller
+    /// disconnected.
     fn end(&mut self, code: ResultCode, retry_after: Option<Duration>) -> FlowAction {
         self.phase = FlowPhase::Ended;
         let code = match code {
