--- a/crates/admit/src/cell_allocator.rs
+++ b/crates/admit/src/cell_allocator.rs
@@ -19,7 +19,7 @@
     },
     bon::bon,
     kernel::{Incarnation, InstanceId, WorkId},
-    route::{PrefixTable, ReplicaChoice},
+    route::{EngineSelector, PrefixTable},
     std::{
         collections::{BTreeMap, BTreeSet},
         sync::Arc,
@@ -40,7 +40,7 @@
 /// grant replaces the earlier one.
 #[derive(Clone, Debug)]
 pub struct CellAllocator {
-    pub(crate) choice: ReplicaChoice,
+    pub(crate) choice: EngineSelector,
     pub(crate) ended: EndedKeys,
     /// Announced requests whose row is unknown until the first table arrives.
     pub(crate) pending: BTreeMap<RequestKey, (AnnouncedPhase, AdmitRequest)>,
@@ -102,7 +102,7 @@
             prefix_queue,
         };
         Self {
-            choice: ReplicaChoice::new(seed),
+            choice: EngineSelector::new(seed),
             pending: BTreeMap::new(),
             ended: EndedKeys::default(),
             link: LinkSchedule::default(),
--- a/crates/flow/src/cell_table.rs
+++ b/crates/flow/src/cell_table.rs
@@ -7,7 +7,7 @@
         current_table::CurrentTable,
     },
     admit::{AdmitEvent, AdmitPolicy},
-    kernel::{CloseSignal, Incarnation, InstanceId, LockRank, ModelId, RankedLock, WorkerPool},
+    kernel::{Incarnation, InstanceId, LockRank, ModelId, RankedLock, ShutdownSignal, WorkerPool},
     std::{
         collections::BTreeMap,
         sync::Arc,
@@ -41,7 +41,7 @@
 /// A running cell with the signal that stops its timer.
 struct RunningCell<M: PolicyFactory, S> {
     driver: CellHandle<M, S>,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
 }
 
 /// The cells that this instance allocates, by model.
@@ -65,7 +65,7 @@
             self.factory.make(model),
             self.sink.clone(),
         ));
-        let signal = CloseSignal::new();
+        let signal = ShutdownSignal::new();
         let timer = (driver.clone(), signal.clone());
         self.pool
             .spawn(async move { timer.0.run_timer(timer.1).await });
--- a/crates/flow/src/request_driver.rs
+++ b/crates/flow/src/request_driver.rs
@@ -13,7 +13,7 @@
         CallCause, CallError, ModelEngine, TokenEvent, TokenSource,
         wire::{CompletionCall, KvTransferParams, TokenUsage},
     },
-    kernel::{CloseSignal, ResultCode, UpstreamId},
+    kernel::{ResultCode, ShutdownSignal, UpstreamId},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -32,7 +32,7 @@
     /// Cancels streams on engines.
     pub canceller: StreamCanceller<E>,
     /// Raised when the close limit has passed and running requests must end.
-    pub cut: CloseSignal,
+    pub cut: ShutdownSignal,
     /// The client for engines.
     pub engine: E,
     /// The connection to the allocators.
--- a/crates/relay/src/quota_plugin.rs
+++ b/crates/relay/src/quota_plugin.rs
@@ -1,7 +1,7 @@
 //! The part of the state dump on customers: limits, use, what is in each bucket, and how old the declaration is.
 
 use {
-    crate::{BookFreshness, QuotaDesk},
+    crate::{QuotaBuckets, RouteFreshness},
     kernel::{PluginEntry, StateMap, steady_clock},
     prometheus::Registry,
     serde_json::{Value, json},
@@ -16,16 +16,16 @@
 }
 
 fn dump_customers(map: &StateMap) -> Option<Value> {
-    let quotas = map.get::<QuotaDesk>()?;
-    let freshness = map.get::<BookFreshness>()?;
+    let quotas = map.get::<QuotaBuckets>()?;
+    let freshness = map.get::<RouteFreshness>()?;
     let mut quota_rows = Vec::new();
     for row in quotas.rows() {
         quota_rows.push(json!({
             "burst": row.limit.burst,
             "customer": row.customer,
             "rate": row.limit.rate,
-            "room": row.room.round(),
-            "used_here": row.own,
+            "room": row.balance.round(),
+            "used_here": row.own_usage,
         }));
     }
     let newest = freshness.newest();
