--- a/crates/spread/tests/reader_plan.rs
+++ b/crates/spread/tests/reader_plan.rs
@@ -1,4 +1,5 @@
-//! Who reads the store: one instance a zone while all answer, and never nobody.
+//! Reader election: one instance per zone reads the store while all answer, and there is always a
+//! reader.
 
 use {
     kernel::{InstanceId, ZoneId},
@@ -41,8 +42,8 @@
     election
 }
 
-/// The election of the one instance of a zone, and the name of the one of another zone.
-fn beside_another_zone(now: Instant) -> (ReaderElection, InstanceId) {
+/// The election of the only instance of a zone, and the name of the only one of another zone.
+fn election_with_other_zone(now: Instant) -> (ReaderElection, InstanceId) {
     let own = InstanceId::from("front-1");
     let elsewhere = InstanceId::from("front-2");
     let mut election = ReaderElection::new(own.clone(), ZoneId::from("gijon"), times());
@@ -54,28 +55,29 @@
     (election, elsewhere)
 }
 
-/// Whom an instance asks; none when it reads the store, or has read it just now.
-fn asked(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
+/// The instance that requests are sent to; `None` when this one reads the store or has just read
+/// it.
+fn requested_from(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
     match election.choose(now) {
-        ReadStep::AskPeer { from, .. } => Some(from),
+        ReadStep::AskPeer { peer, .. } => Some(peer),
         ReadStep::Wait(_) | ReadStep::ReadStore => None,
     }
 }
 
-/// The same, and what it reads from the store is there at once.
-fn turn(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
+/// Like [`requested_from`], with reads of the store answered at once.
+fn take_turn(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
     let step = election.choose(now);
     if step == ReadStep::ReadStore {
         election.record_store_read(now);
     }
     match step {
-        ReadStep::AskPeer { from, .. } => Some(from),
+        ReadStep::AskPeer { peer, .. } => Some(peer),
         ReadStep::Wait(_) | ReadStep::ReadStore => None,
     }
 }
 
-/// What one that gets no answer from those before it says.
-const IN_NEED: RequesterState = RequesterState {
+/// State of a requester that the instances before it did not answer.
+const UNANSWERED: RequesterState = RequesterState {
     has_skipped_readers: true,
     reads_store: false,
 };
@@ -89,15 +91,15 @@
     let mut readers_at_start = 0;
     for own in &members {
         let mut election = election(own, &members, now);
-        if turn(&mut election, now).is_none() {
+        if take_turn(&mut election, now).is_none() {
             readers_at_start += 1;
         }
-        match asked(&mut election, now) {
+        match requested_from(&mut election, now) {
             Some(reader) => reader_of.push(reader),
             None => readers.push(own.clone()),
         }
     }
-    assert_eq!(readers_at_start, 3, "so many read at their start");
+    assert_eq!(readers_at_start, 3, "early readers");
     assert_eq!(readers.len(), 1);
     assert!(reader_of.iter().all(|reader| *reader == readers[0]));
 }
@@ -107,8 +109,9 @@
     const ZONES: usize = 200;
     let now = Instant::now();
     let members = names(30);
-    // Each tenth is fifty times as large as the others, as one with a link of 200 Mbit/s beside those of 10: only it can give
-    // a list of thousands of upstreams to all others in time.
+    // Every tenth instance is fifty times as large as the others, like one with a link of 200
+    // Mbit/s beside those of 10 Mbit/s. Only such an instance can send a list of thousands of
+    // upstreams to all others in time.
     let capacity = |index: usize| if index.is_multiple_of(10) { 50 } else { 1 };
     let mut readers: Vec<InstanceId> = Vec::new();
     for zone in 0..ZONES {
@@ -120,7 +123,7 @@
             ..row(name, capacity(index))
         });
         election.set_members(&rows.collect::<Vec<_>>(), now);
-        readers.extend(asked(&mut election, now));
+        readers.extend(requested_from(&mut election, now));
     }
     assert_eq!(readers.len(), ZONES, "a small one asks in each zone");
     for large in members.iter().step_by(10) {
@@ -149,7 +152,7 @@
         let others = members.iter().filter(|name| *name != own);
         unknown.set_members(&rows(&others.cloned().collect::<Vec<_>>()), now);
         match before {
-            ReadStep::ReadStore => assert!(asked(&mut unknown, now).is_some()),
+            ReadStep::ReadStore => assert!(requested_from(&mut unknown, now).is_some()),
             before => assert_eq!(unknown.choose(now), before),
         }
     }
@@ -161,17 +164,21 @@
     let members = names(3);
     let followers = members.iter().filter_map(|own| {
         let mut election = election(own, &members, now);
-        asked(&mut election, now).map(|reader| (election, reader))
+        requested_from(&mut election, now).map(|reader| (election, reader))
     });
     for (mut election, reader) in followers {
         election.record_no_answer(&reader, now);
-        assert_ne!(asked(&mut election, now), Some(reader.clone()));
+        assert_ne!(requested_from(&mut election, now), Some(reader.clone()));
         election.record_store_read(now);
-        assert_eq!(asked(&mut election, now + 6 * SECOND), Some(reader));
+        assert_eq!(
+            requested_from(&mut election, now + 6 * SECOND),
+            Some(reader)
+        );
     }
 }
 
-/// A reader that is silent has one time limit, however many questions go to it.
+/// Guards against waiting longer for a silent reader when requests replace each other: all requests
+/// to it share one timeout.
 #[test]
 fn a_question_in_place_of_another_has_what_is_left_of_its_time() {
     let now = Instant::now();
@@ -179,7 +186,7 @@
     let (mut election, first, _) = second_of(&members, now);
     election.record_update(&first, now);
     let limit = |election: &mut ReaderElection, now: Instant| match election.choose(now) {
-        ReadStep::AskPeer { from, limit, .. } if from == first => limit,
+        ReadStep::AskPeer { peer, limit, .. } if peer == first => limit,
         step => panic!("{step:?}"),
     };
     let last_full_request = limit(&mut election, now);
@@ -206,26 +213,29 @@
     let members = names(3);
     for own in &members {
         let mut election = election(own, &members, now);
-        let Some(reader) = asked(&mut election, now) else {
+        let Some(reader) = requested_from(&mut election, now) else {
             continue;
         };
         let other = members.iter().find(|name| *name != own && **name != reader);
         let other = row(other.unwrap(), 1);
         let is_before = {
-            let mut at_other = election_without(&other.instance, &reader, &members, now);
-            asked(&mut at_other, now).as_ref() != Some(own)
+            let mut other_election = election_without(&other.instance, &reader, &members, now);
+            requested_from(&mut other_election, now).as_ref() != Some(own)
         };
         if is_before {
             continue;
         }
         assert!(!election.record_request(&other, RequesterState::default(), now));
-        assert_eq!(asked(&mut election, now), Some(reader.clone()));
-        assert!(election.record_request(&other, IN_NEED, now));
+        assert_eq!(requested_from(&mut election, now), Some(reader.clone()));
+        assert!(election.record_request(&other, UNANSWERED, now));
         assert_eq!(election.choose(now), ReadStep::ReadStore);
         election.record_update(&reader, now);
-        assert_eq!(asked(&mut election, now), Some(reader.clone()));
+        assert_eq!(requested_from(&mut election, now), Some(reader.clone()));
         assert_eq!(election.choose(now + 2 * SECOND), ReadStep::ReadStore);
-        assert_eq!(asked(&mut election, now + 4 * SECOND), Some(reader));
+        assert_eq!(
+            requested_from(&mut election, now + 4 * SECOND),
+            Some(reader)
+        );
     }
 }
 
@@ -235,8 +245,8 @@
     let members = names(3);
     for own in &members {
         let mut election = election(own, &members, now);
-        turn(&mut election, now);
-        let is_reader = asked(&mut election, now).is_none();
+        take_turn(&mut election, now);
+        let is_reader = requested_from(&mut election, now).is_none();
         assert!(election.silent_members(now + 12 * SECOND).is_empty());
         let others: Vec<InstanceId> = members
             .iter()
@@ -257,7 +267,7 @@
     }
 }
 
-/// A election whose first reader has answered, and then gives no answer.
+/// An election whose first reader has answered once and then stops answering.
 fn election_without(
     own: &InstanceId,
     first: &InstanceId,
@@ -270,10 +280,11 @@
     election
 }
 
-/// The election of the second member to read, where the first has died, and the names of both.
+/// The election of the second member in reader order after the first has died, and the names of
+/// both.
 fn second_of(members: &[InstanceId], now: Instant) -> (ReaderElection, InstanceId, InstanceId) {
     let mut elections = members.iter().map(|own| election(own, members, now));
-    let first = elections.position(|mut election| asked(&mut election, now).is_none());
+    let first = elections.position(|mut election| requested_from(&mut election, now).is_none());
     let first = members[first.expect("one of them reads")].clone();
     for own in members.iter().filter(|own| **own != first) {
         let election = election_without(own, &first, members, now);
@@ -281,14 +292,14 @@
             .iter()
             .filter(|other| *other != own && **other != first);
         let is_second = others.all(|other| {
-            let mut at_other = election_without(other, &first, members, now);
-            asked(&mut at_other, now).as_ref() == Some(own)
+            let mut other_election = election_without(other, &first, members, now);
+            requested_from(&mut other_election, now).as_ref() == Some(own)
         });
         if is_second {
             return (election, first, own.clone());
         }
     }
-    panic!("nobody reads in place of the first");
+    panic!("no instance replaces the first");
 }
 
 #[test]
@@ -303,9 +314,9 @@
         for second in 0..100 {
             let now = start + second * SECOND;
             if is_asked {
-                election.record_request(&row(third, 1), IN_NEED, now);
+                election.record_request(&row(third, 1), UNANSWERED, now);
             }
-            if let Some(reader) = turn(&mut election, now) {
+            if let Some(reader) = take_turn(&mut election, now) {
                 election.record_no_answer(&reader, now);
             }
             removed = election.silent_members(now);
@@ -323,9 +334,9 @@
     for second in 0..100 {
         let now = start + second * SECOND;
         for other in members.iter().filter(|other| **other != first) {
-            election.record_request(&row(other, 1), IN_NEED, now);
+            election.record_request(&row(other, 1), UNANSWERED, now);
         }
-        if let Some(reader) = turn(&mut election, now) {
+        if let Some(reader) = take_turn(&mut election, now) {
             election.record_update(&reader, now);
         }
         assert!(election.silent_members(now).is_empty());
@@ -339,36 +350,40 @@
     let members = names(20);
     for own in &members {
         let mut election = election(own, &members, start);
-        let mut in_vain = 0;
+        let mut unanswered = 0;
         for second in 0..SECONDS {
             let now = start + second * SECOND;
             match election.choose(now) {
-                ReadStep::AskPeer { from, .. } => {
-                    election.record_no_answer(&from, now);
-                    in_vain += u32::from(second >= SECONDS / 2);
+                ReadStep::AskPeer { peer, .. } => {
+                    election.record_no_answer(&peer, now);
+                    unanswered += u32::from(second >= SECONDS / 2);
                 }
                 ReadStep::Wait(_) => {}
                 ReadStep::ReadStore => election.record_store_read(now),
             }
         }
-        // At most the others once in the longest rest, which is a minute.
-        assert!(in_vain <= 19 * 3, "{in_vain} of {} calls", SECONDS / 2);
+        // At most one request to each other instance per maximum cooldown, which is a minute.
+        assert!(
+            unanswered <= 19 * 3,
+            "{unanswered} of {} calls",
+            SECONDS / 2
+        );
     }
 }
 
 #[test]
 fn a_reader_whose_store_fails_probes_it_ever_less_and_asks_other_zones_meanwhile() {
     let start = Instant::now();
-    let (mut election, elsewhere) = beside_another_zone(start);
+    let (mut election, elsewhere) = election_with_other_zone(start);
     let mut probes = 0;
-    let mut passed = 0;
+    let mut updates = 0;
     let mut now = start;
     while now < start + 10 * SECOND {
         match election.choose(now) {
-            ReadStep::AskPeer { from, .. } => {
-                assert_eq!(from, elsewhere);
-                election.record_update(&from, now);
-                passed += 1;
+            ReadStep::AskPeer { peer, .. } => {
+                assert_eq!(peer, elsewhere);
+                election.record_update(&peer, now);
+                updates += 1;
                 now += times().period;
             }
             ReadStep::Wait(until) => now = until,
@@ -379,7 +394,7 @@
         }
     }
     assert!((8..=14).contains(&probes), "{probes} calls in 10 s");
-    assert!(passed >= 8, "{passed} readings in 10 s");
+    assert!(updates >= 8, "{updates} updates in 10 s");
 }
 
 #[test]
@@ -390,15 +405,15 @@
     for own in &members {
         let mut election = election(own, &members, start);
         election.record_store_read(start - SECOND);
-        let Some(reader) = asked(&mut election, start) else {
+        let Some(reader) = requested_from(&mut election, start) else {
             continue;
         };
         election.record_update(&reader, start);
         for step in 0..100 {
             let now = start + Duration::from_millis(100) * step;
             match election.choose(now) {
-                ReadStep::AskPeer { from, .. } => {
-                    assert!(!election.record_no_update(&from, now - start, now))
+                ReadStep::AskPeer { peer, .. } => {
+                    assert!(!election.record_no_update(&peer, now - start, now))
                 }
                 ReadStep::Wait(_) => {}
                 ReadStep::ReadStore => {
@@ -431,30 +446,31 @@
     let state = standby.requester_state(now);
     assert!(state.reads_store);
     assert!(election.record_request(&row(&own, 1), state, now));
-    assert_eq!(asked(&mut election, now), Some(own));
+    assert_eq!(requested_from(&mut election, now), Some(own));
     assert!(standby.record_request(&row(&reader, 1), RequesterState::default(), now));
-    // It does not ask back while it is asked.
+    // An acting reader sends no requests while it receives them.
     assert!(matches!(standby.choose(now), ReadStep::Wait(_)));
     assert_eq!(standby.choose(now + SECOND), ReadStep::ReadStore);
-    // Nobody has asked it for a while, and its news are new.
+    // It has received no request for a while, and its data is current.
     standby.record_store_read(now + 4 * SECOND);
-    assert_eq!(asked(&mut standby, now + 4 * SECOND), Some(reader));
+    assert_eq!(requested_from(&mut standby, now + 4 * SECOND), Some(reader));
 }
 
-/// Customers' use is shared also with an instance of another zone that has no news of the store.
+/// Usage of customers is also shared with an instance of another zone that has no update from the
+/// store.
 #[test]
 fn one_without_news_still_takes_part_in_sharing_use() {
     let now = Instant::now();
-    let (mut election, elsewhere) = beside_another_zone(now);
+    let (mut election, elsewhere) = election_with_other_zone(now);
     assert!(election.record_no_update(&elsewhere, SECOND, now));
-    let partners = election.usage_peers(now, |_| false);
-    assert_eq!(partners.zones, [(ZoneId::from("ferrol"), Some(elsewhere))]);
+    let peers = election.usage_peers(now, |_| false);
+    assert_eq!(peers.zones, [(ZoneId::from("ferrol"), Some(elsewhere))]);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The instance reads: the one that it asks may be dead, or cut off from it.
-    Look(usize),
+    /// The instance takes its turn. The one it asks may be dead or cut off.
+    Turn(usize),
     Toggle(usize),
 }
 
@@ -466,8 +482,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever is dead, an instance that looks has a reading after a few calls in vain: it reads the store then. And once
-    /// nothing changes for a while, all that live use one reader.
+    /// Whichever instances are dead, an instance gets an update within a few unanswered requests,
+    /// after which it reads the store. Once nothing changes for a while, all running instances use
+    /// one reader.
     #[test]
     fn nobody_waits_for_the_dead_for_long_and_all_agree_in_the_end(
         count in 2..8_usize,
@@ -477,72 +494,76 @@
         let members = names(count);
         let mut elections: Vec<ReaderElection> = members.iter().map(|own| election(own, &members, now)).collect();
         let mut alive = vec![true; count];
-        for (looks, index, pause) in steps {
+        for (takes_turn, index, pause) in steps {
             now += Duration::from_millis(pause);
             let index = index % count;
-            let step = match looks {
-                true => Step::Look(index),
+            let step = match takes_turn {
+                true => Step::Turn(index),
                 false => Step::Toggle(index),
             };
             match step {
                 Step::Toggle(index) => alive[index] = !alive[index],
-                Step::Look(index) if alive[index] => {
-                    look(&mut elections, &members, &alive, index, now);
+                Step::Turn(index) if alive[index] => {
+                    run_turn(&mut elections, &members, &alive, index, now);
                 }
-                Step::Look(_) => {}
+                Step::Turn(_) => {}
             }
         }
-        // The longest rest of 60 s, the service of 3 s, and one reading more, with readings each second.
+        // The maximum cooldown of 60 s, the service window of 3 s, and one more read, with one read
+        // per second.
         let mut reads = 0;
         for _ in 0..64 {
             now += SECOND;
             reads = 0;
             for index in 0..count {
                 if alive[index] {
-                    reads += usize::from(look(&mut elections, &members, &alive, index, now));
+                    reads += usize::from(run_turn(&mut elections, &members, &alive, index, now));
                 }
             }
         }
         let living = || (0..count).filter(|index| alive[*index]);
-        prop_assert!(living().count() == 0 || reads >= 1, "nobody reads");
-        // One that was the first and died is tried again now and then, by each on its own.
+        prop_assert!(living().count() == 0 || reads >= 1, "no instance reads the store");
+        // A dead first instance is tried again from time to time by each instance on its own.
         let first_lives = living().any(|index| {
             let mut fresh = election(&members[index], &members, now);
-            asked(&mut fresh, now).is_none()
+            requested_from(&mut fresh, now).is_none()
         });
         prop_assert!(!first_lives || reads == 1, "{reads} read");
     }
 }
 
-/// One reading of an instance, as its driver makes it: whether it read the store.
-fn look(
+/// Runs one turn of an instance as its driver does. Returns whether it read the store.
+fn run_turn(
     elections: &mut [ReaderElection],
     members: &[InstanceId],
     alive: &[bool],
     index: usize,
     now: Instant,
 ) -> bool {
-    const MOST_IN_VAIN: usize = 4;
-    let mut in_vain = 0;
+    const MAX_UNANSWERED: usize = 4;
+    let mut unanswered = 0;
     loop {
-        let from = match elections[index].choose(now) {
-            ReadStep::AskPeer { from, .. } => from,
-            // It has read a moment ago.
+        let peer = match elections[index].choose(now) {
+            ReadStep::AskPeer { peer, .. } => peer,
+            // It has just read the store.
             ReadStep::Wait(_) => return true,
             ReadStep::ReadStore => {
                 elections[index].record_store_read(now);
                 return true;
             }
         };
-        let at = members.iter().position(|name| *name == from).unwrap();
+        let at = members.iter().position(|name| *name == peer).unwrap();
         if alive[at] {
             let state = elections[index].requester_state(now);
             elections[at].record_request(&row(&members[index], 1), state, now);
-            elections[index].record_update(&from, now);
+            elections[index].record_update(&peer, now);
             return false;
         }
-        elections[index].record_no_answer(&from, now);
-        in_vain += 1;
-        assert!(in_vain <= MOST_IN_VAIN, "{in_vain} calls in vain");
+        elections[index].record_no_answer(&peer, now);
+        unanswered += 1;
+        assert!(
+            unanswered <= MAX_UNANSWERED,
+            "{unanswered} unanswered requests"
+        );
     }
 }
--- a/crates/spread/tests/report_journal.rs
+++ b/crates/spread/tests/report_journal.rs
@@ -1,4 +1,4 @@
-//! What an instance tells others of upstreams that ended under requests.
+//! Crash reports that an instance passes on to others.
 
 use {
     policy::{AgedReport, CrashMark, CrashReport, FingerprintParts, RequestFingerprint},
@@ -6,7 +6,7 @@
     std::time::{Duration, Instant},
 };
 
-const COUNTS_FOR: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 fn aged(upstream: &str, mark: CrashMark, age: u64) -> AgedReport {
     AgedReport {
@@ -28,7 +28,7 @@
 #[test]
 fn an_asker_gets_what_it_lacks_once() {
     let now = Instant::now();
-    let mut journal = ReportJournal::new(7, COUNTS_FOR);
+    let mut journal = ReportJournal::new(7, RETENTION);
     assert!(!journal.has_updates(None));
     assert!(journal.apply(
         &[aged("i-1", CrashMark::Early, 0)],
@@ -50,8 +50,8 @@
     ));
     let second = journal.updates_since(Some(first.position), now);
     assert_eq!(second.reports, [aged("i-1", CrashMark::Cleared, 0)]);
-    // Another life of the one asked has counted anew.
-    let other = ReportJournal::new(8, COUNTS_FOR);
+    // Another incarnation of the instance counts revisions anew.
+    let other = ReportJournal::new(8, RETENTION);
     assert!(!other.has_updates(Some(second.position)));
     assert_eq!(
         journal
@@ -66,20 +66,23 @@
 fn what_the_store_may_lack_is_told_on_for_a_while_and_written_by_who_reads_it() {
     let now = Instant::now();
     let later = now + Duration::from_millis(500);
-    let mut journal = ReportJournal::new(7, COUNTS_FOR);
-    let (told, stored) = (
+    let mut journal = ReportJournal::new(7, RETENTION);
+    let (unstored, stored) = (
         aged("i-1", CrashMark::Early, 0),
         aged("i-2", CrashMark::Early, 0),
     );
-    journal.apply(std::slice::from_ref(&told), ReportOrigin::Instance, now);
+    journal.apply(std::slice::from_ref(&unstored), ReportOrigin::Instance, now);
     journal.apply(&[stored], ReportOrigin::Store, now);
-    assert_eq!(journal.to_forward(now), std::slice::from_ref(&told));
+    assert_eq!(journal.to_forward(now), std::slice::from_ref(&unstored));
     assert_eq!(journal.to_forward(now + Duration::from_secs(5)), []);
     assert_eq!(journal.unstored(now), []);
-    assert_eq!(journal.unstored(later), std::slice::from_ref(&told.report));
-    journal.apply(std::slice::from_ref(&told), ReportOrigin::Store, later);
+    assert_eq!(
+        journal.unstored(later),
+        std::slice::from_ref(&unstored.report)
+    );
+    journal.apply(std::slice::from_ref(&unstored), ReportOrigin::Store, later);
     assert_eq!(journal.unstored(later), []);
-    // Whatever else is found out of it has to be written again.
+    // A later finding about the same request must be written again.
     let cleared = aged("i-1", CrashMark::Cleared, 0);
     journal.apply(
         std::slice::from_ref(&cleared),
@@ -99,20 +102,20 @@
 fn reports_keep_their_age_on_their_way_and_go_when_they_no_longer_count() {
     let now = Instant::now();
     let second = Duration::from_secs(1);
-    let mut journal = ReportJournal::new(7, COUNTS_FOR);
+    let mut journal = ReportJournal::new(7, RETENTION);
     journal.apply(
         &[aged("i-1", CrashMark::Early, 590)],
         ReportOrigin::Instance,
         now,
     );
-    let told = journal.updates_since(None, now + second);
-    assert_eq!(told.reports, [aged("i-1", CrashMark::Early, 591)]);
+    let update = journal.updates_since(None, now + second);
+    assert_eq!(update.reports, [aged("i-1", CrashMark::Early, 591)]);
     assert_eq!(journal.expire(now + 9 * second), []);
     assert_eq!(journal.expire(now + 10 * second).len(), 1);
-    let is_news = journal.apply(
+    let is_new = journal.apply(
         &[aged("i-1", CrashMark::Early, 600)],
         ReportOrigin::Instance,
         now,
     );
-    assert!(!is_news);
+    assert!(!is_new);
 }
--- a/crates/spread/tests/spread_state.rs
+++ b/crates/spread/tests/spread_state.rs
@@ -1,4 +1,4 @@
-//! What an instance tells those that wait for its next reading, and when.
+//! What requesters that wait for an update are sent, and when.
 
 use {
     kernel::{InstanceId, ZoneId},
@@ -24,7 +24,7 @@
         is_refused: false,
         list: None,
         list_digests: Vec::new(),
-        members: 0,
+        members_digest: 0,
         update_age: Some(Duration::ZERO),
         has_skipped_readers: false,
         reads_store: false,
@@ -45,7 +45,7 @@
     let mut state = SpreadState::new(1, zone, Duration::from_secs(600));
     state.apply_routes(RouteBook::default(), 3, Some(start));
     let before = state.update_count;
-    // An ordinary answer to a watch goes along with the next reading.
+    // A normal confirmation by a watch is sent with the next update.
     let soon = start + Duration::from_secs(1);
     state.note_current_routes(0, soon);
     assert!(!state.has_updates(&request(), before, &times, soon));
@@ -54,8 +54,9 @@
     assert!(state.has_updates(&request(), before, &times, late));
 }
 
-/// An edit that one zone has read just before the store fell silent: the readers of the others ask it, which has no news of the
-/// upstreams, and theirs ask them.
+/// Guards against an edit staying in one zone that read it just before the store became silent. The
+/// readers of the other zones ask that zone, which has no update of the upstreams, but must still
+/// send the routes.
 #[test]
 fn an_edit_that_one_zone_has_read_goes_on_while_nobody_can_read_the_store() {
     let start = Instant::now();
@@ -75,25 +76,26 @@
         is_refused: true,
         ..request()
     };
-    let knows_it = SpreadRequest {
+    let has_edit = SpreadRequest {
         routes: Some(2),
         ..from_elsewhere.clone()
     };
     let before = state.update_count;
-    // Whoever starts is not sent away as long as the store may still answer.
+    // A starting instance is not turned away as long as the store may still answer.
     assert!(!state.has_updates(&from_elsewhere, before, &times, start));
     let late = start + Duration::from_secs(3);
     state.record_failure(ReadFailure::TimedOut, late);
     assert!(state.has_updates(&from_elsewhere, before, &times, late));
-    assert!(!state.has_updates(&knows_it, before, &times, late));
-    let told = |asker: &SpreadRequest| match state.answer(asker, times.max_staleness, late) {
-        SpreadReply::NoUpdate { routes, .. } => routes,
-        SpreadReply::Update(news) => panic!("{news:?}"),
-    };
-    let (copy, version) = told(&from_elsewhere).copy.expect("the routes");
+    assert!(!state.has_updates(&has_edit, before, &times, late));
+    let no_update =
+        |requester: &SpreadRequest| match state.answer(requester, times.max_staleness, late) {
+            SpreadReply::NoUpdate { routes, .. } => routes,
+            SpreadReply::Update(update) => panic!("{update:?}"),
+        };
+    let (copy, version) = no_update(&from_elsewhere).copy.expect("the routes");
     assert_eq!((copy.into_book().version, version), (2, 3));
-    assert!(told(&knows_it).copy.is_none());
-    let age = told(&from_elsewhere).age.expect("the age goes along");
+    assert!(no_update(&has_edit).copy.is_none());
+    let age = no_update(&from_elsewhere).age.expect("the age goes along");
     assert_eq!((age.age, age.version), (late - start, 2));
 }
 
@@ -110,19 +112,19 @@
     }
 }
 
-/// An instance goes over to a reader whose list is older, and that list becomes the newest one again: what it passes on then is
-/// that list, though nothing changed in what it was told.
+/// Guards against passing on an outdated list: an instance turns to a reader whose list is older,
+/// and later that list becomes the newest one although nothing in it changed.
 #[test]
 fn a_list_that_is_the_newest_again_is_passed_on() {
     let start = Instant::now();
     let mut state = SpreadState::new(1, "gijon".into(), Duration::from_secs(600));
     let mut mirror = ListMirror::default();
-    let told = [
+    let updates = [
         ("reader-1", 11, upstream(true)),
         ("reader-2", 10, upstream(false)),
         ("reader-2", 12, upstream(false)),
     ];
-    for (reader, version, record) in told {
+    for (reader, version, record) in updates {
         let mut journal = ListJournal::new(2);
         journal.apply(std::slice::from_ref(&record));
         let reader = InstanceId::from(reader);
@@ -135,15 +137,16 @@
         };
         state.apply_peer_list(&reading, start, mirror.digest());
     }
-    let SpreadReply::Update(news) = state.answer(&request(), Duration::from_secs(2), start) else {
-        panic!("there is news");
+    let SpreadReply::Update(update) = state.answer(&request(), Duration::from_secs(2), start)
+    else {
+        panic!("no update");
     };
     let mut passed = ListMirror::default();
-    assert!(passed.apply("front-1".into(), news.list, news.position));
+    assert!(passed.apply("front-1".into(), update.list, update.position));
     assert_eq!(passed.records(), [upstream(false)]);
 }
 
-/// News that reach an instance after it stood still are not taken for new ones.
+/// Guards against taking an update for new that reached an instance only after it was suspended.
 #[test]
 fn news_that_were_long_on_their_way_are_as_old_as_that() {
     let start = Instant::now();
@@ -151,9 +154,9 @@
     state.apply_store_list(&UpstreamReading::default(), start);
     let second = Duration::from_secs(1);
     let reply = state.answer(&request(), 2 * second, start + second);
-    let SpreadReply::Update(news) = reply else {
+    let SpreadReply::Update(update) = reply else {
         panic!("{reply:?}");
     };
-    let way = 3 * second;
-    assert_eq!(news.read_at(way, start + second + way), start);
+    let transit = 3 * second;
+    assert_eq!(update.read_at(transit, start + second + transit), start);
 }
