--- a/crates/spread/src/list_journal.rs
+++ b/crates/spread/src/list_journal.rs
@@ -56,17 +56,17 @@
             };
         };
         let mut changed = Vec::new();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for ((_, id), row) in &self.rows {
             if row.revision <= known.revision {
                 continue;
             }
             match &row.record {
                 Some(record) => changed.push(record.clone()),
-                None => gone.push(id.clone()),
+                None => removed.push(id.clone()),
             }
         }
-        ListChange::Changes { changed, gone }
+        ListChange::Changes { changed, removed }
     }
 
     /// Digest of the current list.
--- a/crates/spread/src/list_mirror.rs
+++ b/crates/spread/src/list_mirror.rs
@@ -31,8 +31,8 @@
     ) -> bool {
         self.from = None;
         match change {
-            ListChange::Changes { changed, gone } => {
-                for id in &gone {
+            ListChange::Changes { changed, removed } => {
+                for id in &removed {
                     self.remove(&(part_of(id), id.clone()));
                 }
                 for record in changed {
@@ -96,8 +96,8 @@
         let rows = self.rows.range(first..);
         let rows = rows.take_while(|((number, _), _)| *number == part.number);
         let kept: BTreeSet<_> = part.records.iter().map(|record| &record.id).collect();
-        let gone = rows.filter(|((_, id), _)| !kept.contains(id));
-        let keys: Vec<_> = gone.map(|(key, _)| key.clone()).collect();
+        let removed = rows.filter(|((_, id), _)| !kept.contains(id));
+        let keys: Vec<_> = removed.map(|(key, _)| key.clone()).collect();
         for key in &keys {
             self.remove(key);
         }
--- a/crates/spread/src/report_journal.rs
+++ b/crates/spread/src/report_journal.rs
@@ -41,6 +41,7 @@
     mark: CrashMark,
     origin: ReportOrigin,
     revision: u64,
+    /// When the report was made, as far as known.
     since: Instant,
 }
 
--- a/crates/spread/src/spread_message.rs
+++ b/crates/spread/src/spread_message.rs
@@ -64,7 +64,7 @@
         /// Upstreams that are new or differ.
         changed: Vec<UpstreamRecord>,
         /// Upstreams that are no longer listed.
-        gone: Vec<UpstreamId>,
+        removed: Vec<UpstreamId>,
     },
     /// Parts of the list whose digest differs from the requester's.
     Parts {
--- a/crates/spread/tests/list_journal.rs
+++ b/crates/spread/tests/list_journal.rs
@@ -124,7 +124,7 @@
         change,
         ListChange::Changes {
             changed: Vec::new(),
-            gone: Vec::new()
+            removed: Vec::new()
         }
     );
 }
@@ -147,7 +147,9 @@
     assert!(!sync_mirror(&mut mirror, &reader, &journal).is_empty());
     assert_eq!(mirror.records(), [kept]);
     match journal.change_since(Some(recent), &[]) {
-        ListChange::Changes { changed, gone } => assert_eq!((changed.len(), gone.len()), (0, 1)),
+        ListChange::Changes { changed, removed } => {
+            assert_eq!((changed.len(), removed.len()), (0, 1))
+        }
         whole => panic!("{whole:?}"),
     }
 }
--- a/crates/spread/tests/reader_plan.rs
+++ b/crates/spread/tests/reader_plan.rs
@@ -189,22 +189,16 @@
         ReadStep::AskPeer { peer, limit, .. } if peer == first => limit,
         step => panic!("{step:?}"),
     };
-    let last_full_request = limit(&mut election, now);
+    let full_timeout = limit(&mut election, now);
     let pause = Duration::from_millis(500);
-    assert_eq!(limit(&mut election, now + pause), last_full_request - pause);
+    assert_eq!(limit(&mut election, now + pause), full_timeout - pause);
     assert_eq!(
         limit(&mut election, now + 2 * pause),
-        last_full_request - 2 * pause
-    );
-    assert_eq!(
-        limit(&mut election, now + last_full_request),
-        Duration::ZERO
-    );
-    election.record_update(&first, now + last_full_request);
-    assert_eq!(
-        limit(&mut election, now + last_full_request),
-        last_full_request
+        full_timeout - 2 * pause
     );
+    assert_eq!(limit(&mut election, now + full_timeout), Duration::ZERO);
+    election.record_update(&first, now + full_timeout);
+    assert_eq!(limit(&mut election, now + full_timeout), full_timeout);
 }
 
 #[test]
