--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -46,8 +46,8 @@
     report_watcher::ReportWatcher,
     shared_source::SharedSource,
     spread_message::{
-        JournalPosition, ListChange, ListPart, ReportUpdate, RoutesAge, RoutesCopy, RoutesUpdate,
-        SpreadReply, SpreadRequest, SpreadUpdate, TimedReply,
+        JournalPosition, ListChange, ListPart, PeerRoutes, ReportUpdate, RouteTableAge,
+        RouteTableCopy, SpreadReply, SpreadRequest, SpreadUpdate, TimedReply,
     },
     spread_server::{SPREAD_TAG, SpreadServer},
     spread_state::{ReadFailure, SpreadState},
--- a/crates/spread/src/report_journal.rs
+++ b/crates/spread/src/report_journal.rs
@@ -147,7 +147,7 @@
         self.aged_reports(is_recent, now)
     }
 
-    /// Reports that the store still lacks after [`WRITE_GRACE`]: the instance that found the crash
+    /// Reports that the store still lacks after a grace period: the instance that found the crash
     /// may be unable to write.
     pub fn unstored(&self, now: Instant) -> Vec<CrashReport> {
         let is_due = |row: &JournalRow| {
--- a/crates/spread/src/report_watcher.rs
+++ b/crates/spread/src/report_watcher.rs
@@ -4,7 +4,7 @@
     crate::{ReportOrigin, SpreadState},
     kernel::{RankedLock, steady_clock},
     policy::CrashReport,
-    relay::{OperatorSource, ReportMark, ReportReading},
+    relay::{OperatorSource, ReportBatch, ReportCursor},
     std::{
         sync::{
             Arc,
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct ReportWatcher<S> {
     /// Position up to which the reports were read; `None` before the first read.
-    pub after: RankedLock<Option<ReportMark>>,
+    pub after: RankedLock<Option<ReportCursor>>,
     /// Whether the first read was attempted.
     pub has_started: AtomicBool,
     /// How long a call to the store may take beyond the requested wait.
@@ -54,9 +54,9 @@
         if self.has_started.swap(true, Ordering::Relaxed) {
             return;
         }
-        let reading = self.store.watch_reports(None, self.wait);
-        match time::timeout(FIRST_READ_TIMEOUT, reading).await {
-            Ok(Ok(reading)) => self.apply(&reading),
+        let batch = self.store.watch_reports(None, self.wait);
+        match time::timeout(FIRST_READ_TIMEOUT, batch).await {
+            Ok(Ok(batch)) => self.apply(&batch),
             Ok(Err(error)) => {
                 tracing::info!(%error, "failed to read crash reports")
             }
@@ -82,8 +82,8 @@
             let after = *self.after.lock();
             let watching = self.store.watch_reports(after, self.wait);
             match time::timeout(self.wait + self.read_timeout, watching).await {
-                Ok(Ok(reading)) => {
-                    self.apply(&reading);
+                Ok(Ok(batch)) => {
+                    self.apply(&batch);
                     self.remove_expired().await;
                 }
                 Ok(Err(error)) => {
@@ -147,13 +147,13 @@
         expired
     }
 
-    fn apply(&self, reading: &ReportReading) {
-        *self.after.lock() = reading.next;
+    fn apply(&self, batch: &ReportBatch) {
+        *self.after.lock() = batch.next;
         let now = steady_clock::now();
         self.state.send_if_modified(|state| {
             state
                 .reports
-                .apply(&reading.reports, ReportOrigin::Store, now)
+                .apply(&batch.reports, ReportOrigin::Store, now)
         });
     }
 }
--- a/crates/spread/src/shared_source.rs
+++ b/crates/spread/src/shared_source.rs
@@ -16,9 +16,9 @@
     plat::{PlatError, RowStore},
     policy::{AgedReport, CrashReport},
     relay::{
-        BookFreshness, BookNews, BookReading, CallReason, OperatorSource, QuotaDesk, ReaderRole,
-        RelayCounts, ReportMark, ReportReading, SourceError, StoreVersion, UpstreamReading,
-        ZoneSize, operator_source::SilentSnafu,
+        CallReason, OperatorSource, QuotaBuckets, ReaderRole, RelayCounts, ReportBatch,
+        ReportCursor, RouteFreshness, RouteSnapshot, RouteUpdate, SourceError, StoreVersion,
+        UpstreamSnapshot, ZoneSize, operator_source::SilentSnafu,
     },
     std::{
         sync::{Arc, atomic::AtomicBool},
@@ -47,7 +47,7 @@
     endpoint: PeerEndpoint,
     report_watcher: Arc<ReportWatcher<S>>,
     /// When the routes in force were last known to be the newest.
-    freshness: BookFreshness,
+    freshness: RouteFreshness,
     /// Whether the whole system starts for the first time.
     first_start: bool,
     /// `None` before the directory was read.
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 enum RequestOutcome {
     /// An update.
-    Update(UpstreamReading),
+    Update(UpstreamSnapshot),
     /// No answer, or none that helps: try the next source.
     NoAnswer(SourceError),
     /// The instance has no update; wait for it.
@@ -95,12 +95,12 @@
         directory_store: Arc<S>,
         endpoint: PeerEndpoint,
         first_start: bool,
-        freshness: BookFreshness,
+        freshness: RouteFreshness,
         keys: PeerKeys,
         own: MemberRow,
         pool: &WorkerPool,
         quarantine: Duration,
-        quotas: QuotaDesk,
+        quotas: QuotaBuckets,
         reader: ReaderRole,
         report_wait: Duration,
         store: Arc<S>,
@@ -170,14 +170,14 @@
     }
 
     /// Reads the list from the store, and the directory when it is due.
-    async fn read_store(&self) -> Result<UpstreamReading, SourceError> {
+    async fn read_store(&self) -> Result<UpstreamSnapshot, SourceError> {
         let began = steady_clock::now();
         let reason = self.members.election.lock().call_reason();
-        let reading = with_timeout(self.times.read_timeout, self.store.read_upstreams(reason));
-        let (reading, ()) = tokio::join!(reading, self.report_watcher.read_first());
+        let snapshot = with_timeout(self.times.read_timeout, self.store.read_upstreams(reason));
+        let (snapshot, ()) = tokio::join!(snapshot, self.report_watcher.read_first());
         let now = steady_clock::now();
-        let mut reading = match reading {
-            Ok(reading) => reading,
+        let mut snapshot = match snapshot {
+            Ok(snapshot) => snapshot,
             Err(error) => {
                 self.members.election.lock().record_store_failure(now);
                 self.record_failure(match now >= began + self.times.read_timeout {
@@ -190,11 +190,11 @@
         self.members.election.lock().record_store_read(began);
         self.members
             .state
-            .send_modify(|state| state.apply_store_list(&reading, began));
-        reading.as_of = Some(began);
-        reading.waited = true;
+            .send_modify(|state| state.apply_store_list(&snapshot, began));
+        snapshot.as_of = Some(began);
+        snapshot.waited = true;
         self.refresh(now, true).await;
-        Ok(reading)
+        Ok(snapshot)
     }
 
     /// Delays the next read after an answer with no update or an old one, but not beyond the time
@@ -235,9 +235,9 @@
 
     async fn watch_reports(
         &self,
-        after: Option<ReportMark>,
+        after: Option<ReportCursor>,
         wait: Duration,
-    ) -> Result<ReportReading, SourceError> {
+    ) -> Result<ReportBatch, SourceError> {
         let mut state = self.members.state.subscribe();
         let incarnation = state.borrow().reports.position().incarnation;
         let have = after.map(|revision| JournalPosition {
@@ -254,7 +254,7 @@
             .borrow()
             .reports
             .updates_since(have, steady_clock::now());
-        Ok(ReportReading {
+        Ok(ReportBatch {
             next: Some(update.position.revision),
             reports: update.reports,
         })
@@ -277,20 +277,21 @@
         Ok(())
     }
 
-    async fn read_book(&self, reason: CallReason) -> Result<BookReading, SourceError> {
+    async fn read_routes(&self, reason: CallReason) -> Result<RouteSnapshot, SourceError> {
         let mut state = self.members.state.subscribe();
         let can_read = |state: &SpreadState| state.reads_store || state.routes.is_some();
         // The sender lives as long as `self`.
         let _ = state.wait_for(can_read).await;
-        if let Some(book) = self.peer_routes() {
-            return Ok(book);
+        if let Some(table) = self.peer_routes() {
+            return Ok(table);
         }
-        let reading = with_timeout(self.times.read_timeout, self.store.read_book(reason)).await?;
-        self.keep_routes(&reading);
-        Ok(reading)
+        let snapshot =
+            with_timeout(self.times.read_timeout, self.store.read_routes(reason)).await?;
+        self.keep_routes(&snapshot);
+        Ok(snapshot)
     }
 
-    async fn read_upstreams(&self, _reason: CallReason) -> Result<UpstreamReading, SourceError> {
+    async fn read_upstreams(&self, _reason: CallReason) -> Result<UpstreamSnapshot, SourceError> {
         if self.join.lock().is_none() {
             self.join_with_backoff().await?;
         }
@@ -318,7 +319,7 @@
                         }
                     };
                     match outcome {
-                        RequestOutcome::Update(reading) => {
+                        RequestOutcome::Update(snapshot) => {
                             let now = steady_clock::now();
                             if self.members.election.lock().is_first(now) {
                                 self.refresh(now, false).await;
@@ -326,7 +327,7 @@
                             if self.members.election.lock().is_stale(now) {
                                 self.start_cooldown(turn);
                             }
-                            return Ok(reading);
+                            return Ok(snapshot);
                         }
                         RequestOutcome::NoAnswer(error) => {
                             failed = Some(error);
@@ -350,39 +351,39 @@
                     let _ = time::timeout(left, self.changed.notified()).await;
                 }
                 ReadStep::ReadStore => match self.read_store().await {
-                    Ok(reading) => return Ok(reading),
+                    Ok(snapshot) => return Ok(snapshot),
                     Err(error) => failed = Some(error),
                 },
             }
         }
     }
 
-    async fn watch_book(
+    async fn watch_routes(
         &self,
         after: StoreVersion,
         wait: Duration,
-    ) -> Result<BookNews, SourceError> {
+    ) -> Result<RouteUpdate, SourceError> {
         let reads_store = self.members.state.borrow().reads_store;
         if !reads_store {
             return Ok(self.wait_for_routes(after, wait).await);
         }
-        let watching = self.store.watch_book(after, wait);
+        let watching = self.store.watch_routes(after, wait);
         let watching = with_timeout(wait + self.times.read_timeout, watching);
         let mut state = self.members.state.subscribe();
-        let book_news = tokio::select! {
-            book_news = watching => book_news?,
+        let route_update = tokio::select! {
+            route_update = watching => route_update?,
             // The store no longer answers this instance. A hanging watch must not keep it from what
             // other instances know.
             _ = state.wait_for(|state| !state.reads_store) => {
-                return Ok(BookNews::Unchanged(after, None));
+                return Ok(RouteUpdate::Unchanged(after, None));
             }
         };
-        match &book_news {
-            BookNews::Changed(reading) => self.keep_routes(reading),
-            BookNews::Unchanged(_, Some(as_of)) => self.note_unchanged(*as_of),
-            BookNews::HistoryLost | BookNews::Unchanged(_, None) => {}
+        match &route_update {
+            RouteUpdate::Changed(snapshot) => self.keep_routes(snapshot),
+            RouteUpdate::Unchanged(_, Some(as_of)) => self.note_unchanged(*as_of),
+            RouteUpdate::HistoryLost | RouteUpdate::Unchanged(_, None) => {}
         }
-        Ok(book_news)
+        Ok(route_update)
     }
 }
 
--- a/crates/spread/src/shared_source/requesting.rs
+++ b/crates/spread/src/shared_source/requesting.rs
@@ -3,12 +3,12 @@
 use {
     super::{RequestOutcome, SharedSource, silent_error},
     crate::{
-        JournalPosition, ReadFailure, ReportOrigin, ReportUpdate, RequesterState, RoutesAge,
-        RoutesUpdate, SPREAD_TAG, SpreadReply, SpreadRequest, SpreadUpdate, TimedReply,
+        JournalPosition, PeerRoutes, ReadFailure, ReportOrigin, ReportUpdate, RequesterState,
+        RouteTableAge, SPREAD_TAG, SpreadReply, SpreadRequest, SpreadUpdate, TimedReply,
     },
     kernel::{InstanceId, steady_clock},
     plat::RowStore,
-    relay::{OperatorSource, UpstreamReading},
+    relay::{OperatorSource, UpstreamSnapshot},
     std::time::{Duration, Instant},
     tokio::time,
 };
@@ -63,7 +63,7 @@
         let transit = now.saturating_duration_since(sent_at + held);
         match reply {
             SpreadReply::Update(update) => match self.apply_update(from, *update, transit) {
-                Some(reading) => RequestOutcome::Update(reading),
+                Some(snapshot) => RequestOutcome::Update(snapshot),
                 None => RequestOutcome::Partial,
             },
             SpreadReply::NoUpdate {
@@ -116,7 +116,7 @@
         let state = self.members.state.borrow();
         let request = SpreadRequest {
             is_immediate,
-            routes: state.routes.as_ref().map(|(book, _)| book.version),
+            routes: state.routes.as_ref().map(|(table, _)| table.version),
             member: self.members.own.clone(),
             is_refused,
             list,
@@ -140,7 +140,7 @@
         from: InstanceId,
         update: SpreadUpdate,
         transit: Duration,
-    ) -> Option<UpstreamReading> {
+    ) -> Option<UpstreamSnapshot> {
         let now = steady_clock::now();
         let read = update.read_at(transit, now);
         if let Some(members) = update.members {
@@ -163,7 +163,7 @@
             election.record_reader_refused(&from, age, now);
         }
         drop(election);
-        let reading = UpstreamReading {
+        let snapshot = UpstreamSnapshot {
             as_of: Some(read),
             faults: Vec::new(),
             passed_on: true,
@@ -173,22 +173,22 @@
         };
         self.members
             .state
-            .send_modify(|state| state.apply_peer_list(&reading, read, &digest));
+            .send_modify(|state| state.apply_peer_list(&snapshot, read, &digest));
         self.apply_routes(update.routes, transit, now);
-        Some(reading)
+        Some(snapshot)
     }
 
     /// Applies routes of another instance; their age is increased by the transit time.
-    fn apply_routes(&self, routes: RoutesUpdate, transit: Duration, now: Instant) {
-        let RoutesUpdate { age, copy } = routes;
+    fn apply_routes(&self, routes: PeerRoutes, transit: Duration, now: Instant) {
+        let PeerRoutes { age, copy } = routes;
         if age.is_none() && copy.is_none() {
             return;
         }
         self.members.state.send_modify(|state| {
-            if let Some((book, version)) = copy {
-                state.apply_routes(book.into_book(), version, None);
+            if let Some((table, version)) = copy {
+                state.apply_routes(table.into_table(), version, None);
             }
-            let Some(RoutesAge { age, version }) = age else {
+            let Some(RouteTableAge { age, version }) = age else {
                 return;
             };
             if let Some(as_of) = now.checked_sub(age + transit) {
--- a/crates/spread/src/shared_source/route_sharing.rs
+++ b/crates/spread/src/shared_source/route_sharing.rs
@@ -4,7 +4,7 @@
     super::SharedSource,
     crate::SpreadState,
     plat::RowStore,
-    relay::{BookNews, BookReading, OperatorSource, StoreVersion},
+    relay::{OperatorSource, RouteSnapshot, RouteUpdate, StoreVersion},
     std::time::{Duration, Instant},
     tokio::time,
 };
@@ -12,44 +12,44 @@
 impl<S: OperatorSource + RowStore> SharedSource<S> {
     /// Waits for routes that another instance has read, or until this instance reads the store
     /// itself.
-    pub(super) async fn wait_for_routes(&self, after: StoreVersion, wait: Duration) -> BookNews {
+    pub(super) async fn wait_for_routes(&self, after: StoreVersion, wait: Duration) -> RouteUpdate {
         let mut state = self.members.state.subscribe();
         let is_over =
             |state: &SpreadState| state.reads_store || state.routes_after(after).is_some();
         let waiting = time::timeout(wait, state.wait_for(is_over)).await;
         let Ok(Ok(state)) = waiting else {
-            return BookNews::Unchanged(after, None);
+            return RouteUpdate::Unchanged(after, None);
         };
-        let reading = state
+        let snapshot = state
             .routes_after(after)
-            .and_then(|_| state.routes_reading());
-        match reading {
-            Some(reading) => BookNews::Changed(Box::new(reading)),
-            None => BookNews::Unchanged(after, None),
+            .and_then(|_| state.routes_snapshot());
+        match snapshot {
+            Some(snapshot) => RouteUpdate::Changed(Box::new(snapshot)),
+            None => RouteUpdate::Unchanged(after, None),
         }
     }
 
     /// The known routes, while another instance reads for this one.
-    pub(super) fn peer_routes(&self) -> Option<BookReading> {
+    pub(super) fn peer_routes(&self) -> Option<RouteSnapshot> {
         let state = self.members.state.borrow();
-        state.routes_reading().filter(|_| !state.reads_store)
+        state.routes_snapshot().filter(|_| !state.reads_store)
     }
 
     /// Keeps routes read from the store, to pass them on.
-    pub(super) fn keep_routes(&self, reading: &BookReading) {
-        let Some(book) = reading.book.clone() else {
+    pub(super) fn keep_routes(&self, snapshot: &RouteSnapshot) {
+        let Some(table) = snapshot.table.clone() else {
             return;
         };
         self.members
             .state
-            .send_modify(|state| state.apply_routes(book, reading.version, reading.as_of));
+            .send_modify(|state| state.apply_routes(table, snapshot.version, snapshot.as_of));
     }
 
     /// Records that the known routes were the newest at `as_of`. Other instances learn it with the
     /// next update, or at once if the routes had not been confirmed for long.
     pub(super) fn note_unchanged(&self, as_of: Instant) {
         self.members.state.send_if_modified(|state| {
-            let version = state.routes.as_ref().map(|(book, _)| book.version);
+            let version = state.routes.as_ref().map(|(table, _)| table.version);
             let before = state.update_count;
             if let Some(version) = version {
                 state.note_current_routes(version, as_of);
--- a/crates/spread/src/spread_message.rs
+++ b/crates/spread/src/spread_message.rs
@@ -6,7 +6,7 @@
     kernel::{Incarnation, TableVersion, UpstreamId},
     policy::{AgedReport, KeySalt, UpstreamRecord},
     relay::{
-        CallerLimits, CustomerBook, CustomerRow, RouteBook, ServiceInfo, StoreVersion, WorkRoute,
+        CallerLimits, CustomerRow, CustomerTable, RouteTable, ServiceInfo, StoreVersion, WorkRoute,
     },
     serde::{Deserialize, Serialize},
     std::time::{Duration, Instant},
@@ -86,7 +86,7 @@
 
 /// The routes as they are sent to another instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct RoutesCopy {
+pub struct RouteTableCopy {
     /// The customers with digests of their keys: the keys themselves are never sent to another
     /// instance.
     customers: Option<(KeySalt, Vec<CustomerRow>)>,
@@ -98,7 +98,7 @@
 
 /// How long ago a version of the routes was known to be the newest.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RoutesAge {
+pub struct RouteTableAge {
     /// Upper bound of the age: the true age is never more.
     pub age: Duration,
     /// The version that the age applies to.
@@ -107,18 +107,19 @@
 
 /// What the requester does not know about the routes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct RoutesUpdate {
-    /// Age of the sender's routes; `None` while it was never known to have the newest ones.
-    pub age: Option<RoutesAge>,
+pub struct PeerRoutes {
+    /// Age of the answering instance's routes; `None` while it was never known to have the newest
+    /// ones.
+    pub age: Option<RouteTableAge>,
     /// The routes, if the requester has older ones, with the version of the store's content at
     /// which they were read.
-    pub copy: Option<(RoutesCopy, StoreVersion)>,
+    pub copy: Option<(RouteTableCopy, StoreVersion)>,
 }
 
 /// Crash reports that the requester does not know.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReportUpdate {
-    /// Position of the sender's report journal.
+    /// Position in the report journal of the answering instance.
     pub position: JournalPosition,
     /// Reports since the requester's position.
     pub reports: Vec<AgedReport>,
@@ -130,15 +131,15 @@
     /// How long ago the store was read for this update.
     pub age: Duration,
     /// What changed in the routes.
-    pub routes: RoutesUpdate,
+    pub routes: PeerRoutes,
     /// What changed in the list.
     pub list: ListChange,
     /// Position of the list after the change, or after its last part.
     pub position: JournalPosition,
     /// Members of all zones, if the requester's differ.
     pub members: Option<Vec<MemberRow>>,
-    /// How long the store has refused the sender, the reader, without any newer read by another
-    /// instance.
+    /// How long the store has refused the answering instance, the reader, without any newer read by
+    /// another instance.
     pub refused_for: Option<Duration>,
     /// New crash reports.
     pub reports: ReportUpdate,
@@ -161,25 +162,25 @@
 pub enum SpreadReply {
     /// An update.
     Update(Box<SpreadUpdate>),
-    /// The receiver has no update, or it does not read the store itself and the requester is to
-    /// read it for another zone.
+    /// The answering instance has no update, or it does not read the store itself and the requester
+    /// is to read it for another zone.
     NoUpdate {
-        /// Age of the receiver's data; zero without data.
+        /// Age of the answering instance's data; zero without data.
         age: Duration,
         /// The routes are passed on also while no instance can read the store, so that an edit read
         /// by one zone reaches all.
-        routes: Box<RoutesUpdate>,
+        routes: Box<PeerRoutes>,
         /// Crash reports are passed on also while no instance can read the store.
         reports: ReportUpdate,
     },
 }
 
-impl RoutesCopy {
+impl RouteTableCopy {
     /// Builds the lookup structure that requests are routed with.
-    pub fn into_book(self) -> RouteBook {
+    pub fn into_table(self) -> RouteTable {
         let customers = self.customers;
-        let customers = customers.map(|(salt, rows)| CustomerBook::new(salt, rows));
-        RouteBook::new(self.version, self.routes, self.services, self.limits)
+        let customers = customers.map(|(salt, rows)| CustomerTable::new(salt, rows));
+        RouteTable::new(self.version, self.routes, self.services, self.limits)
             .for_customers(customers)
     }
 }
@@ -192,15 +193,15 @@
     }
 }
 
-impl From<&RouteBook> for RoutesCopy {
-    fn from(book: &RouteBook) -> Self {
-        let services = book.services.values();
+impl From<&RouteTable> for RouteTableCopy {
+    fn from(table: &RouteTable) -> Self {
+        let services = table.services.values();
         Self {
-            customers: book.customers.as_ref().map(CustomerBook::rows),
-            limits: book.limits,
-            routes: book.routes().map(|route| (**route).clone()).collect(),
+            customers: table.customers.as_ref().map(CustomerTable::rows),
+            limits: table.limits,
+            routes: table.routes().map(|route| (**route).clone()).collect(),
             services: services.map(|service| (**service).clone()).collect(),
-            version: book.version,
+            version: table.version,
         }
     }
 }
--- a/crates/spread/src/spread_state.rs
+++ b/crates/spread/src/spread_state.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        ListDigest, ListJournal, MemberRow, ReportJournal, RoutesAge, RoutesCopy, RoutesUpdate,
-        SpreadReply, SpreadRequest, SpreadTimes, SpreadUpdate,
+        ListDigest, ListJournal, MemberRow, PeerRoutes, ReportJournal, RouteTableAge,
+        RouteTableCopy, SpreadReply, SpreadRequest, SpreadTimes, SpreadUpdate,
     },
     kernel::{Incarnation, TableVersion, ZoneId},
-    relay::{BookReading, RouteBook, StoreVersion, UpstreamReading},
+    relay::{RouteSnapshot, RouteTable, StoreVersion, UpstreamSnapshot},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct SpreadState {
     /// The routes with the version of the store's content at which they were read.
-    pub routes: Option<(Arc<RouteBook>, StoreVersion)>,
+    pub routes: Option<(Arc<RouteTable>, StoreVersion)>,
     /// Latest time at which these routes were known to be the newest.
     routes_as_of: Option<Instant>,
     /// Number of consecutive failures of the store for this instance. A refusal counts as several
@@ -98,7 +98,7 @@
     }
 
     /// The routes, if they were read after a version of the store's content.
-    pub fn routes_after(&self, after: StoreVersion) -> Option<&(Arc<RouteBook>, StoreVersion)> {
+    pub fn routes_after(&self, after: StoreVersion) -> Option<&(Arc<RouteTable>, StoreVersion)> {
         self.routes.as_ref().filter(|(_, version)| *version > after)
     }
 
@@ -175,35 +175,40 @@
     }
 
     /// Applies a list that this instance read from the store.
-    pub fn apply_store_list(&mut self, reading: &UpstreamReading, began: Instant) {
+    pub fn apply_store_list(&mut self, snapshot: &UpstreamSnapshot, began: Instant) {
         self.reads_store = true;
-        self.apply_records(reading, began);
+        self.apply_records(snapshot, began);
     }
 
     /// Applies a list with this digest that another instance sent. A list that is known already is
     /// not compared row by row.
     pub fn apply_peer_list(
         &mut self,
-        reading: &UpstreamReading,
+        snapshot: &UpstreamSnapshot,
         read: Instant,
         digest: &ListDigest,
     ) {
         self.reads_store = false;
-        if reading.version < self.version {
+        if snapshot.version < self.version {
             return;
         }
         if self.journal.digest() != digest {
-            self.journal.apply(&reading.records);
+            self.journal.apply(&snapshot.records);
         }
-        self.note_read(reading.version, read);
+        self.note_read(snapshot.version, read);
     }
 
     /// Applies routes unless they are older than the known ones.
-    pub fn apply_routes(&mut self, book: RouteBook, version: StoreVersion, as_of: Option<Instant>) {
+    pub fn apply_routes(
+        &mut self,
+        table: RouteTable,
+        version: StoreVersion,
+        as_of: Option<Instant>,
+    ) {
         let known = self.routes.as_ref();
-        let number = book.version;
+        let number = table.version;
         if known.is_none_or(|(known, _)| number > known.version) {
-            self.routes = Some((Arc::new(book), version));
+            self.routes = Some((Arc::new(table), version));
             self.routes_as_of = None;
         }
         if let Some(as_of) = as_of {
@@ -214,7 +219,7 @@
     /// Records that a version of the routes was the newest at `as_of`. It only applies to the known
     /// version.
     pub fn note_current_routes(&mut self, version: TableVersion, as_of: Instant) {
-        let is_known = |(book, _): &(Arc<RouteBook>, StoreVersion)| book.version == version;
+        let is_known = |(table, _): &(Arc<RouteTable>, StoreVersion)| table.version == version;
         if !self.routes.as_ref().is_some_and(is_known) {
             return;
         }
@@ -227,21 +232,21 @@
     }
 
     /// The known routes.
-    pub fn routes_reading(&self) -> Option<BookReading> {
-        let (book, version) = self.routes.as_ref()?;
-        Some(BookReading {
+    pub fn routes_snapshot(&self) -> Option<RouteSnapshot> {
+        let (table, version) = self.routes.as_ref()?;
+        Some(RouteSnapshot {
             as_of: self.routes_as_of,
-            book: Some((**book).clone()),
+            table: Some((**table).clone()),
             version: *version,
         })
     }
 
     /// Version of the known routes, and how long ago it was known to be the newest.
-    fn routes_age(&self, now: Instant) -> Option<RoutesAge> {
-        let (book, _) = self.routes.as_ref()?;
-        Some(RoutesAge {
+    fn routes_age(&self, now: Instant) -> Option<RouteTableAge> {
+        let (table, _) = self.routes.as_ref()?;
+        Some(RouteTableAge {
             age: now.saturating_duration_since(self.routes_as_of?),
-            version: book.version,
+            version: table.version,
         })
     }
 
@@ -263,17 +268,17 @@
     }
 
     /// The routes, if the requester has older ones.
-    fn newer_routes(&self, request: &SpreadRequest) -> Option<&(Arc<RouteBook>, StoreVersion)> {
-        let book = self.routes.as_ref();
-        book.filter(|(book, _)| request.routes.is_none_or(|have| book.version > have))
+    fn newer_routes(&self, request: &SpreadRequest) -> Option<&(Arc<RouteTable>, StoreVersion)> {
+        let table = self.routes.as_ref();
+        table.filter(|(table, _)| request.routes.is_none_or(|have| table.version > have))
     }
 
     /// What a requester is sent about the routes.
-    fn routes_update(&self, request: &SpreadRequest, now: Instant) -> RoutesUpdate {
+    fn routes_update(&self, request: &SpreadRequest, now: Instant) -> PeerRoutes {
         let newer = self.newer_routes(request);
-        RoutesUpdate {
+        PeerRoutes {
             age: self.routes_age(now),
-            copy: newer.map(|(book, version)| (RoutesCopy::from(&**book), *version)),
+            copy: newer.map(|(table, version)| (RouteTableCopy::from(&**table), *version)),
         }
     }
 
@@ -300,11 +305,11 @@
         self.version = version;
     }
 
-    fn apply_records(&mut self, reading: &UpstreamReading, read: Instant) {
-        if reading.version < self.version {
+    fn apply_records(&mut self, snapshot: &UpstreamSnapshot, read: Instant) {
+        if snapshot.version < self.version {
             return;
         }
-        self.journal.apply(&reading.records);
-        self.note_read(reading.version, read);
+        self.journal.apply(&snapshot.records);
+        self.note_read(snapshot.version, read);
     }
 }
--- a/crates/spread/src/usage_exchange.rs
+++ b/crates/spread/src/usage_exchange.rs
@@ -8,11 +8,11 @@
 use {
     crate::{
         PeerCooldown, UsageReply, UsageRequest, UsageServer, UsageSummary,
-        usage_message::FULL_REACH, usage_server::USAGE_TAG,
+        usage_message::FULL_COVERAGE, usage_server::USAGE_TAG,
     },
     kernel::{CustomerId, Incarnation, InstanceId, ZoneId, steady_clock},
     peer::PeerEndpoint,
-    policy::{QuotaTable, UseRow, UseTeller, UseTotals},
+    policy::{QuotaTable, UsageReporter, UsageRow, UsageTotals},
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
@@ -44,7 +44,7 @@
     /// Instances that did not answer their last call.
     cooldowns: BTreeMap<InstanceId, PeerCooldown>,
     /// The totals reported to each instance, with its incarnation.
-    reported: BTreeMap<InstanceId, (Incarnation, UseTotals)>,
+    reported: BTreeMap<InstanceId, (Incarnation, UsageTotals)>,
     /// When usage of all customers was last requested.
     last_full_request: Option<Instant>,
 }
@@ -69,7 +69,7 @@
             let quotas = self.server.quotas.clone();
             tokio::select! {
                 () = time::sleep(NORMAL_PERIOD) => {}
-                () = quotas.pressed.notified() => {
+                () = quotas.low_bucket.notified() => {
                     let pause = LOW_BUCKET_PERIOD.saturating_sub(steady_clock::elapsed(last));
                     time::sleep(pause).await;
                 }
@@ -102,7 +102,7 @@
                 peers.aggregator.clone(),
             );
             if before.is_some() && peers.aggregator.is_none() {
-                self.server.quotas.table.lock().note_first(now);
+                self.server.quotas.table.lock().start_aggregating(now);
             }
             let Some(aggregator) = peers.aggregator else {
                 return self.report_to_zones(peers.zones, &own, now).await;
@@ -117,11 +117,11 @@
     async fn report_to_aggregator(
         &mut self,
         aggregator: InstanceId,
-        own: &UseTotals,
+        own: &UsageTotals,
         now: Instant,
     ) -> bool {
         let request = UsageRequest {
-            bucket_levels: self.server.low_bucket_levels(),
+            balances: self.server.low_balances(),
             rows: self.unreported_rows(&aggregator, Some(&aggregator), own),
             customers: self.requested_customers(now),
             zone: None,
@@ -129,30 +129,30 @@
         let Some(UsageReply::Summary(summary)) = self.call(&aggregator, &request).await else {
             return false;
         };
-        let teller = UseTeller {
+        let reporter = UsageReporter {
             instance: aggregator,
             life: summary.incarnation,
         };
         let now = steady_clock::now();
         let mut ledger = self.server.ledger.lock();
-        ledger.note_beyond(&teller, &summary.totals, now);
+        ledger.note_remote(&reporter, &summary.totals, now);
         let others = ledger.others_of(summary.totals.keys());
         drop(ledger);
         let mut table = self.server.quotas.table.lock();
-        table.set_reach(f64::from(summary.reach) / FULL_REACH);
-        table.note_heard(now);
+        table.set_coverage(f64::from(summary.coverage) / FULL_COVERAGE);
+        table.note_synced(now);
         table.note_others(&others, &summary.assumed, now);
-        apply_bucket_levels(&mut table, &summary, own, now);
+        apply_balances(&mut table, &summary, own, now);
         true
     }
 
     /// Reports the usage of this zone to the aggregators of all other zones. All zones adopt the
-    /// bucket levels of the first zone by name that answers: one view of each bucket is better than
-    /// several different ones.
+    /// bucket balances of the first zone by name that answers: one view of each bucket is better
+    /// than several different ones.
     async fn report_to_zones(
         &mut self,
         zones: Vec<(ZoneId, Option<InstanceId>)>,
-        own: &UseTotals,
+        own: &UsageTotals,
         now: Instant,
     ) {
         let names = zones.iter().map(|(zone, _)| zone);
@@ -174,7 +174,7 @@
         self.apply_zones();
         if let Some(summary) = adopted {
             let mut table = self.server.quotas.table.lock();
-            apply_bucket_levels(&mut table, &summary, own, steady_clock::now());
+            apply_balances(&mut table, &summary, own, steady_clock::now());
         }
     }
 
@@ -183,12 +183,12 @@
         &mut self,
         zone: ZoneId,
         aggregator: InstanceId,
-        own: &UseTotals,
+        own: &UsageTotals,
     ) -> Option<UsageSummary> {
         let mut aggregator = aggregator;
         for _ in 0..MAX_ATTEMPTS {
             let request = UsageRequest {
-                bucket_levels: self.server.low_bucket_levels(),
+                balances: self.server.low_balances(),
                 rows: self.unreported_rows(&aggregator, None, own),
                 customers: None,
                 zone: Some(self.server.members.own.zone.clone()),
@@ -199,13 +199,13 @@
                     aggregator = named;
                 }
                 Some(UsageReply::Summary(summary)) => {
-                    let teller = UseTeller {
+                    let reporter = UsageReporter {
                         instance: aggregator,
                         life: summary.incarnation,
                     };
                     let now = steady_clock::now();
                     let mut ledger = self.server.ledger.lock();
-                    ledger.note_zone(&zone, &teller, &summary.totals, now);
+                    ledger.note_zone(&zone, &reporter, &summary.totals, now);
                     drop(ledger);
                     return Some(summary);
                 }
@@ -228,9 +228,9 @@
         &self,
         to: &InstanceId,
         of: Option<&InstanceId>,
-        own: &UseTotals,
-    ) -> Vec<UseRow> {
-        let mut rows = self.server.ledger.lock().telling(of, own);
+        own: &UsageTotals,
+    ) -> Vec<UsageRow> {
+        let mut rows = self.server.ledger.lock().report(of, own);
         let reported = self.reported.get(to);
         rows.retain(|row| {
             reported.and_then(|(_, totals)| totals.get(&row.customer)) != Some(&row.total)
@@ -258,7 +258,7 @@
                 let reported = self.reported.entry(to.clone()).or_default();
                 if reported.0 != summary.incarnation {
                     // A new incarnation has none of the earlier reports.
-                    *reported = (summary.incarnation, UseTotals::new());
+                    *reported = (summary.incarnation, UsageTotals::new());
                 }
                 let reported = &mut reported.1;
                 for row in &request.rows {
@@ -289,7 +289,7 @@
             self.last_full_request = Some(now);
             return None;
         }
-        Some(self.server.quotas.table.lock().pressed(now))
+        Some(self.server.quotas.table.lock().scarce_customers(now))
     }
 
     /// Applies the usage reported by other zones to the buckets, and the estimate for zones that
@@ -302,24 +302,19 @@
         ledger.assume(&limits, now);
         let others = ledger.others_of(limits.keys());
         let assumed = ledger.assumed_of(limits.keys());
-        let reach = ledger.reach(now);
+        let coverage = ledger.coverage(now);
         drop(ledger);
         let mut table = self.server.quotas.table.lock();
-        table.set_reach(reach);
-        table.note_heard(now);
+        table.set_coverage(coverage);
+        table.note_synced(now);
         table.note_others(&others, &assumed, now);
     }
 }
 
-/// Adopts the bucket levels of the instance that was called.
-fn apply_bucket_levels(
-    table: &mut QuotaTable,
-    summary: &UsageSummary,
-    own: &UseTotals,
-    now: Instant,
-) {
+/// Adopts the bucket balances of the instance that was called.
+fn apply_balances(table: &mut QuotaTable, summary: &UsageSummary, own: &UsageTotals, now: Instant) {
     match summary.is_settled {
-        true => table.follow_rooms(&summary.bucket_levels, own, now),
-        false => table.note_rooms(&summary.bucket_levels, now),
+        true => table.follow_balances(&summary.balances, own, now),
+        false => table.cap_balances(&summary.balances, now),
     }
 }
--- a/crates/spread/src/usage_message.rs
+++ b/crates/spread/src/usage_message.rs
@@ -3,23 +3,24 @@
 
 use {
     kernel::{CustomerId, Incarnation, InstanceId, ZoneId},
-    policy::{UseRow, UseTotals},
+    policy::{UsageRow, UsageTotals},
     serde::{Deserialize, Serialize},
 };
 
-/// Value of [`UsageSummary::reach`] of an instance that hears from all zones.
-pub const FULL_REACH: f64 = 100.0;
+/// Value of [`UsageSummary::coverage`] of an instance that hears from all zones.
+pub const FULL_COVERAGE: f64 = 100.0;
 
 /// Reports usage to another instance and requests the usage that others reported.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UsageRequest {
-    /// Levels of the token buckets that are low according to the sender, in units of the quota.
-    pub bucket_levels: UseTotals,
+    /// Balances of the token buckets that are low according to the requester, in units of the
+    /// quota.
+    pub balances: UsageTotals,
     /// Usage that changed since the last request.
-    pub rows: Vec<UseRow>,
+    pub rows: Vec<UsageRow>,
     /// Customers to return usage for; `None` for all.
     pub customers: Option<Vec<CustomerId>>,
-    /// The sender's zone if it is the aggregator of another zone and reports that zone's total;
+    /// The requester's zone if it is that zone's aggregator and reports the total of the zone;
     /// `None` from an instance of the same zone.
     pub zone: Option<ZoneId>,
 }
@@ -34,20 +35,21 @@
     Summary(UsageSummary),
 }
 
-/// Usage known to the receiver without the requester's own; to another zone, the usage of the
-/// receiver's zone.
+/// Usage known to the answering instance without the requester's own; to another zone, the usage of
+/// the answering instance's zone.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct UsageSummary {
     /// Estimated usage of others beyond what they reported, in units of the quota.
-    pub assumed: UseTotals,
-    /// Whether the sender has run long enough for its bucket levels to be reliable.
+    pub assumed: UsageTotals,
+    /// Whether the answering instance has run long enough for its bucket balances to be reliable.
     pub is_settled: bool,
-    /// Incarnation of the sender. Totals of different incarnations are unrelated.
+    /// Incarnation of the answering instance. Totals of different incarnations are unrelated.
     pub incarnation: Incarnation,
-    /// Share of the zones that the sender hears from, in percent.
-    pub reach: u8,
-    /// Levels of the token buckets according to the sender's reports, in units of the quota.
-    pub bucket_levels: UseTotals,
+    /// Share of the zones that the answering instance hears from, in percent.
+    pub coverage: u8,
+    /// Balances of the token buckets according to the reports that the answering instance received,
+    /// in units of the quota.
+    pub balances: UsageTotals,
     /// Total usage by customer, in units of the quota.
-    pub totals: UseTotals,
+    pub totals: UsageTotals,
 }
--- a/crates/spread/src/usage_server.rs
+++ b/crates/spread/src/usage_server.rs
@@ -1,11 +1,11 @@
 //! Receives the usage reports of other instances.
 
 use {
-    crate::{MemberRegistry, UsageReply, UsageRequest, UsageSummary, usage_message::FULL_REACH},
+    crate::{MemberRegistry, UsageReply, UsageRequest, UsageSummary, usage_message::FULL_COVERAGE},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, steady_clock},
     peer::{PeerIdentity, PeerIncoming, ProtocolTag},
-    policy::{UseLedger, UseTeller, UseTotals},
-    relay::QuotaDesk,
+    policy::{UsageLedger, UsageReporter, UsageTotals},
+    relay::QuotaBuckets,
     std::sync::Arc,
     tokio::sync::mpsc,
 };
@@ -19,21 +19,21 @@
     /// The instance that this one reports to; `None` while it is the aggregator of its zone.
     pub aggregator: Arc<RankedLock<Option<InstanceId>>>,
     /// Usage reported by other instances.
-    pub ledger: Arc<RankedLock<UseLedger>>,
+    pub ledger: Arc<RankedLock<UsageLedger>>,
     /// Incarnation of this instance.
     pub incarnation: Incarnation,
     /// Known instances.
     pub members: MemberRegistry,
     /// Quotas enforced by this instance.
-    pub quotas: QuotaDesk,
+    pub quotas: QuotaBuckets,
 }
 
 impl UsageServer {
     /// A server that has received no reports.
-    pub fn new(incarnation: Incarnation, members: MemberRegistry, quotas: QuotaDesk) -> Self {
+    pub fn new(incarnation: Incarnation, members: MemberRegistry, quotas: QuotaBuckets) -> Self {
         Self {
             aggregator: Arc::new(RankedLock::new(LockRank::Samples, None)),
-            ledger: Arc::new(RankedLock::new(LockRank::Readings, UseLedger::default())),
+            ledger: Arc::new(RankedLock::new(LockRank::Readings, UsageLedger::default())),
             incarnation,
             members,
             quotas,
@@ -41,17 +41,19 @@
     }
 
     /// Usage counted by this instance itself.
-    pub fn own_totals(&self) -> UseTotals {
+    pub fn own_totals(&self) -> UsageTotals {
         let table = self.quotas.table.lock();
-        let own = table.own().map(|(customer, own)| (customer.clone(), own));
+        let own = table
+            .own_usage()
+            .map(|(customer, own)| (customer.clone(), own));
         own.collect()
     }
 
-    /// Levels of the token buckets that are low.
-    pub fn low_bucket_levels(&self) -> UseTotals {
+    /// Balances of the token buckets that are low.
+    pub fn low_balances(&self) -> UsageTotals {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
-        table.low_rooms(now)
+        table.low_balances(now)
     }
 
     /// Answers requests until the endpoint closes.
@@ -82,27 +84,27 @@
         if let Some(aggregator) = aggregator.filter(|_| request.zone.is_some()) {
             return UsageReply::Redirect(aggregator);
         }
-        let teller = UseTeller {
+        let reporter = UsageReporter {
             instance: from.instance,
             life: from.incarnation,
         };
         self.quotas
             .table
             .lock()
-            .note_rooms(&request.bucket_levels, now);
+            .cap_balances(&request.balances, now);
         let own = self.own_totals();
         let mut ledger = self.ledger.lock();
         let totals = match &request.zone {
             Some(zone) => {
                 let reported = request.rows.iter();
                 let reported = reported.map(|row| (row.customer.clone(), row.total));
-                ledger.note_zone(zone, &teller, &reported.collect(), now);
-                let rows = ledger.telling(None, &own).into_iter();
+                ledger.note_zone(zone, &reporter, &reported.collect(), now);
+                let rows = ledger.report(None, &own).into_iter();
                 rows.map(|row| (row.customer, row.total)).collect()
             }
             None => {
-                ledger.note_teller(&teller, &request.rows, now);
-                ledger.others_for(&teller.instance, &own)
+                ledger.note_report(&reporter, &request.rows, now);
+                ledger.others_for(&reporter.instance, &own)
             }
         };
         let customers = request.rows.iter().map(|row| &row.customer);
@@ -110,7 +112,7 @@
         let assumed = ledger.assumed_of(customers);
         let all_assumed = ledger.assumed_of(totals.keys());
         drop(ledger);
-        // The returned bucket levels must include the usage just reported.
+        // The returned bucket balances must include the usage just reported.
         let mut table = self.quotas.table.lock();
         table.note_others(&others, &assumed, now);
         drop(table);
@@ -120,15 +122,15 @@
     fn summary(
         &self,
         request: &UsageRequest,
-        totals: UseTotals,
-        assumed: &UseTotals,
+        totals: UsageTotals,
+        assumed: &UsageTotals,
     ) -> UsageSummary {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
         let mut summary = UsageSummary {
             is_settled: table.is_settled(now),
             incarnation: self.incarnation,
-            reach: (table.reach() * FULL_REACH) as u8,
+            coverage: (table.coverage() * FULL_COVERAGE) as u8,
             ..UsageSummary::default()
         };
         let mut is_any_scarce = false;
@@ -143,8 +145,8 @@
             {
                 continue;
             }
-            if let Some(room) = table.told_room(&customer, now) {
-                summary.bucket_levels.insert(customer.clone(), room as i64);
+            if let Some(balance) = table.reported_balance(&customer, now) {
+                summary.balances.insert(customer.clone(), balance as i64);
             }
             if let Some(assumed) = assumed.get(&customer).filter(|assumed| **assumed != 0) {
                 summary.assumed.insert(customer.clone(), *assumed);
@@ -154,7 +156,7 @@
         drop(table);
         if is_any_scarce {
             // Wake the exchange, so that other instances learn of it soon.
-            self.quotas.pressed.notify_one();
+            self.quotas.low_bucket.notify_one();
         }
         summary
     }
--- a/crates/spread/tests/fleet_model/mod.rs
+++ b/crates/spread/tests/fleet_model/mod.rs
@@ -5,7 +5,7 @@
 use {
     kernel::{InstanceId, ZoneId},
     policy::{AgedReport, CrashMark, CrashReport, FingerprintParts, RequestFingerprint},
-    relay::{RouteBook, UpstreamReading},
+    relay::{RouteTable, UpstreamSnapshot},
     spread::{
         JournalPosition, ListDigest, MemberRow, ReadFailure, ReadStep, ReaderElection,
         ReportJournal, ReportOrigin, ReportUpdate, RequesterState, SpreadReply, SpreadRequest,
@@ -500,17 +500,18 @@
         }
         node.failed = false;
         node.election.record_store_read(began);
-        let reading = UpstreamReading {
+        let snapshot = UpstreamSnapshot {
             version,
-            ..UpstreamReading::default()
+            ..UpstreamSnapshot::default()
         };
-        node.state.apply_store_list(&reading, began);
+        node.state.apply_store_list(&snapshot, began);
         let update = self.store.updates_since(node.store_position, now);
         node.store_position = Some(update.position);
         node.state
             .reports
             .apply(&update.reports, ReportOrigin::Store, now);
-        node.state.apply_routes(RouteBook::default(), version, None);
+        node.state
+            .apply_routes(RouteTable::default(), version, None);
         node.set_version(version);
     }
 
@@ -538,15 +539,15 @@
                 if let Some(age) = update.refused_for {
                     node.election.record_reader_refused(from, age, now);
                 }
-                let reading = UpstreamReading {
+                let snapshot = UpstreamSnapshot {
                     version: update.version,
-                    ..UpstreamReading::default()
+                    ..UpstreamSnapshot::default()
                 };
                 // The model has no upstreams.
                 node.state
-                    .apply_peer_list(&reading, read, &ListDigest::default());
+                    .apply_peer_list(&snapshot, read, &ListDigest::default());
                 node.state
-                    .apply_routes(RouteBook::default(), update.version, None);
+                    .apply_routes(RouteTable::default(), update.version, None);
                 // Older data than before is not applied.
                 if update.version >= node.version {
                     node.set_version(update.version);
--- a/crates/spread/tests/spread_state.rs
+++ b/crates/spread/tests/spread_state.rs
@@ -3,7 +3,7 @@
 use {
     kernel::{InstanceId, ZoneId},
     policy::{UpstreamRecord, UpstreamStage},
-    relay::{CallerLimits, RouteBook, UpstreamReading},
+    relay::{CallerLimits, RouteTable, UpstreamSnapshot},
     spread::{
         ListJournal, ListMirror, MemberRow, ReadFailure, SpreadReply, SpreadRequest, SpreadState,
         SpreadTimes,
@@ -43,7 +43,7 @@
         .read_timeout(Duration::from_millis(700))
         .build();
     let mut state = SpreadState::new(1, zone, Duration::from_secs(600));
-    state.apply_routes(RouteBook::default(), 3, Some(start));
+    state.apply_routes(RouteTable::default(), 3, Some(start));
     let before = state.update_count;
     // A normal confirmation by a watch is sent with the next update.
     let soon = start + Duration::from_secs(1);
@@ -65,7 +65,7 @@
         .read_timeout(Duration::from_millis(700))
         .build();
     let mut state = SpreadState::new(1, "gijon".into(), Duration::from_secs(600));
-    let edited = RouteBook::new(2, Vec::new(), Vec::new(), CallerLimits::default());
+    let edited = RouteTable::new(2, Vec::new(), Vec::new(), CallerLimits::default());
     state.apply_routes(edited, 3, Some(start));
     let from_elsewhere = SpreadRequest {
         routes: Some(1),
@@ -93,7 +93,7 @@
             SpreadReply::Update(update) => panic!("{update:?}"),
         };
     let (copy, version) = no_update(&from_elsewhere).copy.expect("the routes");
-    assert_eq!((copy.into_book().version, version), (2, 3));
+    assert_eq!((copy.into_table().version, version), (2, 3));
     assert!(no_update(&has_edit).copy.is_none());
     let age = no_update(&from_elsewhere).age.expect("the age goes along");
     assert_eq!((age.age, age.version), (late - start, 2));
@@ -130,12 +130,12 @@
         let reader = InstanceId::from(reader);
         let change = journal.change_since(mirror.position(&reader), mirror.digest().parts());
         assert!(mirror.apply(reader, change, journal.position()));
-        let reading = UpstreamReading {
+        let snapshot = UpstreamSnapshot {
             records: mirror.records(),
             version,
-            ..UpstreamReading::default()
+            ..UpstreamSnapshot::default()
         };
-        state.apply_peer_list(&reading, start, mirror.digest());
+        state.apply_peer_list(&snapshot, start, mirror.digest());
     }
     let SpreadReply::Update(update) = state.answer(&request(), Duration::from_secs(2), start)
     else {
@@ -151,7 +151,7 @@
 fn news_that_were_long_on_their_way_are_as_old_as_that() {
     let start = Instant::now();
     let mut state = SpreadState::new(1, "gijon".into(), Duration::from_secs(600));
-    state.apply_store_list(&UpstreamReading::default(), start);
+    state.apply_store_list(&UpstreamSnapshot::default(), start);
     let second = Duration::from_secs(1);
     let reply = state.answer(&request(), 2 * second, start + second);
     let SpreadReply::Update(update) = reply else {
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -11,8 +11,8 @@
         run_error::PeersSnafu,
     },
     door::{AdmissionGate, DoorServer},
-    flow::TableBoard,
-    kernel::CloseSignal,
+    flow::CurrentTable,
+    kernel::ShutdownSignal,
     peer::PeerEndpoint,
     snafu::ResultExt,
     std::{
@@ -29,11 +29,11 @@
 /// Everything between the callers' socket and the upstreams.
 pub struct RequestPath {
     control: ControlWork,
-    cut: CloseSignal,
+    cut: ShutdownSignal,
     endpoint: PeerEndpoint,
     gate: Arc<AdmissionGate>,
     server: JoinHandle<bool>,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     tickets: Arc<EntryTickets>,
 }
 
@@ -78,7 +78,7 @@
 
     /// Which table is in force.
     pub fn source(parts: &EntryParts) -> Arc<impl StatusSource + use<>> {
-        let board = parts.map.get::<TableBoard>().unwrap_or_default();
+        let board = parts.map.get::<CurrentTable>().unwrap_or_default();
         let identity = &parts.identity;
         Arc::new(BoardStatus {
             board,
@@ -96,12 +96,12 @@
     pub fn start(callers: TcpListener, parts: &EntryParts) -> Result<Self, RunError> {
         let base = PathBase::new(parts)?;
         let control = ControlWork::start(&base, parts)?;
-        let cut = CloseSignal::new();
+        let cut = ShutdownSignal::new();
         let gate = Arc::new(AdmissionGate::new(
             parts.settings.limits.open_requests as usize,
         ));
         let shared = base.door_shared(parts, cut.clone(), gate.clone());
-        let signal = CloseSignal::new();
+        let signal = ShutdownSignal::new();
         let server = DoorServer::new(callers, Arc::new(shared));
         let members = control.members();
         let tickets = start_tickets(&base, parts, gate.clone(), server.router(), members)?;
