--- a/crates/spread/src/report_journal.rs
+++ b/crates/spread/src/report_journal.rs
@@ -41,6 +41,7 @@
     mark: CrashMark,
     origin: ReportOrigin,
     revision: u64,
+    /// When the report was made, as far as known.
     since: Instant,
 }
 
@@ -73,7 +74,7 @@
 
     /// Whether an instance at this position lacks a report.
     pub fn has_updates(&self, have: Option<JournalPosition>) -> bool {
-        match have.filter(|have| have.life == self.position.life) {
+        match have.filter(|have| have.incarnation == self.position.incarnation) {
             Some(have) => self.position.revision > have.revision,
             None => !self.rows.is_empty(),
         }
@@ -85,17 +86,20 @@
     }
 
     /// An empty journal of this incarnation; reports expire after `retention`.
-    pub fn new(life: Incarnation, retention: Duration) -> Self {
+    pub fn new(incarnation: Incarnation, retention: Duration) -> Self {
         Self {
             retention,
-            position: JournalPosition { life, revision: 0 },
+            position: JournalPosition {
+                incarnation,
+                revision: 0,
+            },
             rows: BTreeMap::new(),
         }
     }
 
     /// The reports that an instance at this position lacks.
     pub fn updates_since(&self, have: Option<JournalPosition>, now: Instant) -> ReportUpdate {
-        let have = have.filter(|have| have.life == self.position.life);
+        let have = have.filter(|have| have.incarnation == self.position.incarnation);
         let have = have.map_or(0, |have| have.revision);
         let is_new = |row: &JournalRow| row.revision > have;
         ReportUpdate {
@@ -143,7 +147,7 @@
         self.aged_reports(is_recent, now)
     }
 
-    /// Reports that the store still lacks after [`WRITE_GRACE`]: the instance that found the crash
+    /// Reports that the store still lacks after a grace period: the instance that found the crash
     /// may be unable to write.
     pub fn unstored(&self, now: Instant) -> Vec<CrashReport> {
         let is_due = |row: &JournalRow| {
--- a/crates/spread/src/usage_server.rs
+++ b/crates/spread/src/usage_server.rs
@@ -1,7 +1,7 @@
-//! Takes what other instances tell of their customers' use.
+//! Receives the usage reports of other instances.
 
 use {
-    crate::{MemberRegistry, UsageReply, UsageRequest, UsageSummary, usage_message::FULL_REACH},
+    crate::{MemberRegistry, UsageReply, UsageRequest, UsageSummary, usage_message::FULL_COVERAGE},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, steady_clock},
     peer::{PeerIdentity, PeerIncoming, ProtocolTag},
     policy::{UsageLedger, UsageReporter, UsageTotals},
@@ -10,37 +10,37 @@
     tokio::sync::mpsc,
 };
 
-/// Calls about use.
+/// Protocol tag of usage requests.
 pub const USAGE_TAG: ProtocolTag = 0x41;
 
-/// The sums of one instance, and what they are made of. Clones share them.
+/// Collected usage of one instance and the inputs to it. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct UsageServer {
-    /// Whom this instance tells; none while it is the first of its zone.
+    /// The instance that this one reports to; `None` while it is the aggregator of its zone.
     pub aggregator: Arc<RankedLock<Option<InstanceId>>>,
-    /// What was told.
+    /// Usage reported by other instances.
     pub ledger: Arc<RankedLock<UsageLedger>>,
-    /// This life of the instance.
-    pub life: Incarnation,
-    /// The instances.
+    /// Incarnation of this instance.
+    pub incarnation: Incarnation,
+    /// Known instances.
     pub members: MemberRegistry,
-    /// The quotas.
+    /// Quotas enforced by this instance.
     pub quotas: QuotaBuckets,
 }
 
 impl UsageServer {
-    /// A board that was told nothing.
-    pub fn new(life: Incarnation, members: MemberRegistry, quotas: QuotaBuckets) -> Self {
+    /// A server that has received no reports.
+    pub fn new(incarnation: Incarnation, members: MemberRegistry, quotas: QuotaBuckets) -> Self {
         Self {
             aggregator: Arc::new(RankedLock::new(LockRank::Samples, None)),
             ledger: Arc::new(RankedLock::new(LockRank::Readings, UsageLedger::default())),
-            life,
+            incarnation,
             members,
             quotas,
         }
     }
 
-    /// What the instance itself has used.
+    /// Usage counted by this instance itself.
     pub fn own_totals(&self) -> UsageTotals {
         let table = self.quotas.table.lock();
         let own = table
@@ -49,79 +49,79 @@
         own.collect()
     }
 
-    /// What is in the buckets that are low.
-    pub fn low_bucket_levels(&self) -> UsageTotals {
+    /// Balances of the token buckets that are low.
+    pub fn low_balances(&self) -> UsageTotals {
         let now = steady_clock::now();
         let table = self.quotas.table.lock();
         table.low_balances(now)
     }
 
-    /// Answers calls until the endpoint closes.
+    /// Answers requests until the endpoint closes.
     pub async fn serve(self, calls: mpsc::Receiver<PeerIncoming>) {
         let mut calls = calls;
         while let Some(incoming) = calls.recv().await {
             let PeerIncoming::Call { body, from, reply } = incoming else {
                 continue;
             };
-            let call = match postcard::from_bytes::<UsageRequest>(&body) {
-                Ok(call) => call,
+            let request = match postcard::from_bytes::<UsageRequest>(&body) {
+                Ok(request) => request,
                 Err(error) => {
-                    tracing::warn!(instance = %from.instance, %error, "a call about use can't be read");
+                    tracing::warn!(instance = %from.instance, %error, "failed to decode a usage request");
                     continue;
                 }
             };
-            let answer = self.answer(from, &call);
-            // Texts and numbers always have a binary form.
+            let answer = self.answer(from, &request);
+            // Strings and numbers always serialise.
             if let Ok(body) = postcard::to_stdvec(&answer) {
                 reply.send(body.into());
             }
         }
     }
 
-    fn answer(&self, from: PeerIdentity, call: &UsageRequest) -> UsageReply {
+    fn answer(&self, from: PeerIdentity, request: &UsageRequest) -> UsageReply {
         let now = steady_clock::now();
-        let first = self.aggregator.lock().clone();
-        if let Some(first) = first.filter(|_| call.zone.is_some()) {
-            return UsageReply::Redirect(first);
+        let aggregator = self.aggregator.lock().clone();
+        if let Some(aggregator) = aggregator.filter(|_| request.zone.is_some()) {
+            return UsageReply::Redirect(aggregator);
         }
-        let teller = UsageReporter {
+        let reporter = UsageReporter {
             instance: from.instance,
             life: from.incarnation,
         };
         self.quotas
             .table
             .lock()
-            .cap_balances(&call.bucket_levels, now);
+            .cap_balances(&request.balances, now);
         let own = self.own_totals();
         let mut ledger = self.ledger.lock();
-        let totals = match &call.zone {
+        let totals = match &request.zone {
             Some(zone) => {
-                let told = call.rows.iter();
-                let told = told.map(|row| (row.customer.clone(), row.total));
-                ledger.note_zone(zone, &teller, &told.collect(), now);
+                let reported = request.rows.iter();
+                let reported = reported.map(|row| (row.customer.clone(), row.total));
+                ledger.note_zone(zone, &reporter, &reported.collect(), now);
                 let rows = ledger.report(None, &own).into_iter();
                 rows.map(|row| (row.customer, row.total)).collect()
             }
             None => {
-                ledger.note_report(&teller, &call.rows, now);
-                ledger.others_for(&teller.instance, &own)
+                ledger.note_report(&reporter, &request.rows, now);
+                ledger.others_for(&reporter.instance, &own)
             }
         };
-        let told = call.rows.iter().map(|row| &row.customer);
-        let others = ledger.others_of(told.clone());
-        let assumed = ledger.assumed_of(told);
+        let customers = request.rows.iter().map(|row| &row.customer);
+        let others = ledger.others_of(customers.clone());
+        let assumed = ledger.assumed_of(customers);
         let all_assumed = ledger.assumed_of(totals.keys());
         drop(ledger);
-        // The bucket_levels that go back are those after what was told.
+        // The returned bucket balances must include the usage just reported.
         let mut table = self.quotas.table.lock();
         table.note_others(&others, &assumed, now);
         drop(table);
-        UsageReply::Summary(self.summary(call, totals, &all_assumed))
+        UsageReply::Summary(self.summary(request, totals, &all_assumed))
     }
 
     fn summary(
         &self,
-        call: &UsageRequest,
+        request: &UsageRequest,
         totals: UsageTotals,
         assumed: &UsageTotals,
     ) -> UsageSummary {
@@ -129,24 +129,24 @@
         let table = self.quotas.table.lock();
         let mut summary = UsageSummary {
             is_settled: table.is_settled(now),
-            life: self.life,
-            reach: (table.coverage() * FULL_REACH) as u8,
+            incarnation: self.incarnation,
+            coverage: (table.coverage() * FULL_COVERAGE) as u8,
             ..UsageSummary::default()
         };
-        let mut is_pressed = false;
-        for row in &call.rows {
-            is_pressed |= table.is_scarce(&row.customer, now);
+        let mut is_any_scarce = false;
+        for row in &request.rows {
+            is_any_scarce |= table.is_scarce(&row.customer, now);
         }
         for (customer, total) in totals {
-            if call
+            if request
                 .customers
                 .as_ref()
                 .is_some_and(|customers| !customers.contains(&customer))
             {
                 continue;
             }
-            if let Some(room) = table.reported_balance(&customer, now) {
-                summary.bucket_levels.insert(customer.clone(), room as i64);
+            if let Some(balance) = table.reported_balance(&customer, now) {
+                summary.balances.insert(customer.clone(), balance as i64);
             }
             if let Some(assumed) = assumed.get(&customer).filter(|assumed| **assumed != 0) {
                 summary.assumed.insert(customer.clone(), *assumed);
@@ -154,8 +154,8 @@
             summary.totals.insert(customer, total);
         }
         drop(table);
-        if is_pressed {
-            // Others are to know soon as well.
+        if is_any_scarce {
+            // Wake the exchange, so that other instances learn of it soon.
             self.quotas.low_bucket.notify_one();
         }
         summary
