--- a/crates/trestlewalk/tests/relay_streams.rs
+++ b/crates/trestlewalk/tests/relay_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break, refusals of engines, and callers that go away.
+//! Broken streams, refusals by engines, and callers that leave.
 
 mod relay_support;
 mod support;
@@ -6,15 +6,15 @@
 use {
     relay_support::{
         RelayRun, RelayTest, UpstreamKind, UpstreamMode, caller::request_text,
-        engine_side::event_text, relay_test::STREAM_HEADERS,
+        engine_answers::event_text, relay_test::STREAM_HEADERS,
     },
     serde_json::json,
     std::time::Duration,
     support::wait::wait_until,
 };
 
-/// How often a scene is set that needs an answer within the limits of the product.
-const SCENES: usize = 5;
+/// How often a timing-dependent scenario is attempted.
+const ATTEMPTS: usize = 5;
 
 async fn stream_run(resumable: bool, decode: usize, prefill: usize) -> RelayRun {
     let more = json!({"TargetGapMs": 300, "Resumable": resumable, "MaxAttempts": 2});
@@ -49,7 +49,7 @@
     run.upstreams
         .iter()
         .for_each(|upstream| upstream.set(UpstreamMode::CutAfter(2)));
-    // Whichever engine is asked first breaks off; the other one is whole.
+    // The engine that is asked first breaks off, and the other one completes the stream.
     let mut caller = run.caller().await;
     caller
         .write(&request_text(
@@ -71,7 +71,7 @@
     assert_eq!(reply.text(), events.concat());
     let resumed = run.upstreams.iter().flat_map(|upstream| upstream.runs());
     let after: Vec<String> = resumed
-        .filter_map(|seen| seen.message.header("last-event-id").map(str::to_owned))
+        .filter_map(|received| received.message.header("last-event-id").map(str::to_owned))
         .collect();
     assert_eq!(after, ["2"]);
 }
@@ -86,10 +86,10 @@
     }
     let reply = run.stream("/note/1").await;
     assert_eq!(reply.status(), 503);
-    // Nothing was seen of how long places are held: two seconds, a quarter more or less.
+    // No slot time is known yet: the default is two seconds, plus or minus a quarter.
     let after: f64 = reply.header("retry-after").unwrap().parse().unwrap();
     assert!((1.5..=2.5).contains(&after), "{after}");
-    assert_eq!(run.upstream("i-redactor-p0").seen().len(), 0);
+    assert_eq!(run.upstream("i-redactor-p0").received().len(), 0);
     assert_eq!(decode_runs(&run), 0);
 }
 
@@ -97,7 +97,7 @@
 async fn a_decode_engine_reads_the_prompt_itself_when_reading_is_refused() {
     let run = stream_run(false, 1, 1).await;
     let mut report = run.upstream("i-redactor-d0").report("ready");
-    // The list lags: it names a decode engine as a prefill engine, which refuses readings.
+    // The list lags: it names a decode engine as a prefill engine, which refuses prefills.
     report["Stage"] = json!("prefill");
     run.store.put("servers", "i-redactor-p0", &report);
     let reply = run.stream("/note/1").await;
@@ -120,24 +120,27 @@
             "p",
         ))
         .await;
-    wait_until("the prompt is read", async || {
-        !run.upstream("i-redactor-p0").seen().is_empty()
+    wait_until("the prompt is prefilled", async || {
+        !run.upstream("i-redactor-p0").received().is_empty()
     })
     .await;
-    wait_until("the place is taken", async || {
+    wait_until("the slot is reserved", async || {
         run.upstream("i-redactor-d0").state.lock().unwrap().held > 0
     })
     .await;
     drop(caller);
     let freed = |path: &str| {
-        let seen = run.upstreams.iter().flat_map(|upstream| upstream.seen());
-        let mut deletes = seen.filter(|seen| seen.message.word(0) == "DELETE");
-        deletes.any(|seen| seen.message.word(1).starts_with(path))
+        let received = run
+            .upstreams
+            .iter()
+            .flat_map(|upstream| upstream.received());
+        let mut deletes = received.filter(|received| received.message.word(0) == "DELETE");
+        deletes.any(|received| received.message.word(1).starts_with(path))
     };
-    wait_until("the KV cache is freed", async || freed("/kv-handle/")).await;
-    wait_until("the place is freed", async || freed("/hold-drop/")).await;
-    let vain = "trestlewalk_relay_vain_prompt_tokens_total{reason=\"caller_gone\"}";
-    assert_eq!(run.metric_lines(vain).await, [format!("{vain} 1460")]);
+    wait_until("the KV cache is released", async || freed("/kv-handle/")).await;
+    wait_until("the slot is released", async || freed("/hold-drop/")).await;
+    let metric = "trestlewalk_relay_vain_prompt_tokens_total{reason=\"caller_gone\"}";
+    assert_eq!(run.metric_lines(metric).await, [format!("{metric} 1460")]);
 }
 
 #[tokio::test]
@@ -205,7 +208,7 @@
         (503, Some("2014"))
     );
     assert!(reply.header("retry-after").is_some());
-    assert_eq!(run.upstream("i-redactor-p0").seen().len(), 1);
+    assert_eq!(run.upstream("i-redactor-p0").received().len(), 1);
     assert_eq!(decode_runs(&run), 0);
 }
 
@@ -241,19 +244,19 @@
     assert_eq!(reply.text(), events.concat());
     let resumed = run.upstreams.iter().flat_map(|upstream| upstream.runs());
     let sources: Vec<String> = resumed
-        .filter(|seen| seen.message.header("last-event-id").is_some())
-        .filter_map(|seen| seen.message.header("x-kv-source").map(str::to_owned))
+        .filter(|received| received.message.header("last-event-id").is_some())
+        .filter_map(|received| received.message.header("x-kv-source").map(str::to_owned))
         .collect();
     assert_eq!(sources.len(), 1, "the resumed run begins with a KV cache");
 }
 
 #[tokio::test]
 async fn an_engine_that_turns_requests_away_from_its_places_is_left_alone() {
-    // The other engine is in another zone: each request prefers the one that turns it away, unless that is left alone.
+    // The other engine is in another zone: requests prefer the one that refuses them, unless it is in a cooldown.
     let more = json!({"TargetGapMs": 300, "MaxAttempts": 2});
     let run = RelayTest::new()
         .engines("redactor", 2, 0)
-        .elsewhere("i-redactor-d1")
+        .in_other_zone("i-redactor-d1")
         .route("/note/", "streaming", "redactor", &more)
         .start_ready()
         .await;
@@ -262,15 +265,19 @@
         let reply = run.stream(&format!("/note/{number}")).await;
         assert_eq!((reply.status(), reply.whole), (200, true));
     }
-    let asked = run.upstream("i-redactor-d0").seen();
+    let asked = run.upstream("i-redactor-d0").received();
     let requests = asked
         .iter()
-        .filter(|seen| seen.message.header("x-request-id").is_some());
-    assert_eq!(requests.count(), 1, "of 12 requests one found out");
+        .filter(|received| received.message.header("x-request-id").is_some());
+    assert_eq!(
+        requests.count(),
+        1,
+        "only one of 12 requests is sent to the engine"
+    );
 }
 
-/// The headers of a caller that comes back for the rest of a stream after its second event.
-fn return_headers() -> String {
+/// The headers of a caller that resumes a stream after its second event.
+fn resume_headers() -> String {
     format!("{STREAM_HEADERS}Last-Event-Id: 2\r\n")
 }
 
@@ -280,7 +287,7 @@
         let run = stream_run(true, 3, 1).await;
         let listed = vec!["5c1e07a2".to_owned(), "e4402b7d".to_owned()];
         run.upstream(holder).state.lock().unwrap().listed = listed;
-        let headers = return_headers();
+        let headers = resume_headers();
         let reply = run
             .call_with("POST", "/note/1", "00aa", &headers, "p")
             .await;
@@ -288,18 +295,18 @@
         let rest: Vec<String> = (3..=5).map(event_text).collect();
         assert_eq!(reply.text(), rest.concat());
         assert_eq!(run.upstream(holder).runs().len(), 1);
-        let seen = run.upstream(holder).seen();
-        let place = seen
+        let received = run.upstream(holder).received();
+        let place = received
             .iter()
-            .find(|seen| seen.message.word(1) == "/hold-take");
+            .find(|received| received.message.word(1) == "/hold-take");
         let order: serde_json::Value =
-            serde_json::from_slice(&place.expect("a place is reserved").message.body).unwrap();
-        assert_eq!(order["Tokens"], 40, "the output alone needs room");
-        let read = run.upstream("i-redactor-p0").seen();
+            serde_json::from_slice(&place.expect("a slot is reserved").message.body).unwrap();
+        assert_eq!(order["Tokens"], 40, "only the output needs memory");
+        let read = run.upstream("i-redactor-p0").received();
         let readings = read
             .iter()
-            .filter(|seen| seen.message.header("x-stage").is_some());
-        assert_eq!(readings.count(), 0, "nothing is read again");
+            .filter(|received| received.message.header("x-stage").is_some());
+        assert_eq!(readings.count(), 0, "the prompt is not prefilled again");
     }
 }
 
@@ -307,15 +314,15 @@
 async fn a_caller_that_comes_back_is_served_though_no_engine_holds_its_prompt() {
     let run = stream_run(true, 2, 1).await;
     run.upstream("i-redactor-d0").set(UpstreamMode::Answer);
-    let headers = return_headers();
+    let headers = resume_headers();
     let reply = run
         .call_with("POST", "/note/1", "00aa", &headers, "p")
         .await;
     assert_eq!((reply.status(), reply.whole), (200, true));
-    let read = run.upstream("i-redactor-p0").seen();
+    let read = run.upstream("i-redactor-p0").received();
     let readings = read
         .iter()
-        .filter(|seen| seen.message.header("x-stage").is_some());
+        .filter(|received| received.message.header("x-stage").is_some());
     assert_eq!(readings.count(), 1);
 }
 
@@ -323,36 +330,36 @@
 async fn the_prompt_of_a_stream_in_another_zone_is_read_there() {
     let run = RelayTest::new()
         .engines("redactor", 1, 2)
-        .elsewhere("i-redactor-d0")
-        .elsewhere("i-redactor-p1")
+        .in_other_zone("i-redactor-d0")
+        .in_other_zone("i-redactor-p1")
         .route("/note/", "streaming", "redactor", &json!({}))
         .start_ready()
         .await;
     let reply = run.stream("/note/1").await;
     assert_eq!((reply.status(), reply.whole), (200, true));
-    assert_eq!(run.upstream("i-redactor-p0").seen().len(), 0);
-    assert_eq!(run.upstream("i-redactor-p1").seen().len(), 1);
+    assert_eq!(run.upstream("i-redactor-p0").received().len(), 0);
+    assert_eq!(run.upstream("i-redactor-p1").received().len(), 1);
 }
 
 #[tokio::test]
 async fn an_engine_whose_cache_of_a_prompt_was_gone_is_not_left_alone() {
-    // What engines hold is waited for 60 ms; on a machine that is busier than that the instance knows of no cache, and leaves
-    // the engine alone with reason. So the scene is set again then.
-    for _ in 0..SCENES {
-        if runs_again_after_a_lapsed_cache().await {
+    // The engines have 60 ms to list their caches. On a busier machine the instance knows of no cache and rightly lets
+    // the engine cool down, so the scenario is attempted again.
+    for _ in 0..ATTEMPTS {
+        if runs_after_evicted_cache().await {
             return;
         }
     }
-    panic!("it has room and runs no requests");
+    panic!("the engine has free slots but gets no requests");
 }
 
-/// Has an engine turn a request away whose cache it listed; whether it runs others at once after that.
-async fn runs_again_after_a_lapsed_cache() -> bool {
+/// Has an engine refuse a request whose cache it listed; returns whether it then gets other requests at once.
+async fn runs_after_evicted_cache() -> bool {
     let run = stream_run(true, 2, 0).await;
     let holder = run.upstream("i-redactor-d0");
     holder.state.lock().unwrap().listed = vec!["e4402b7d".to_owned()];
     holder.set(UpstreamMode::TurnAway);
-    let headers = return_headers();
+    let headers = resume_headers();
     let reply = run
         .call_with("POST", "/note/1", "00aa", &headers, "p")
         .await;
@@ -366,7 +373,7 @@
     !holder.runs().is_empty()
 }
 
-/// The prompt of a request is 1,460 tokens.
+/// The prompt of a request has 1,460 tokens.
 #[tokio::test]
 async fn a_prompt_that_is_read_for_nothing_is_counted_by_its_reason() {
     let cases = [
@@ -379,12 +386,12 @@
         let run = stream_run(false, 1, 1).await;
         run.upstream(engine).set(mode);
         run.stream("/note/1").await;
-        let vain = "trestlewalk_relay_vain_prompt_tokens_total";
-        let lines = run.metric_lines(vain).await;
+        let metric = "trestlewalk_relay_vain_prompt_tokens_total";
+        let lines = run.metric_lines(metric).await;
         let counted: Vec<&String> = lines.iter().filter(|line| !line.ends_with(" 0")).collect();
         match reason {
             "none" => assert!(counted.is_empty(), "{counted:?}"),
-            reason => assert_eq!(counted, [&format!("{vain}{{reason=\"{reason}\"}} 1460")]),
+            reason => assert_eq!(counted, [&format!("{metric}{{reason=\"{reason}\"}} 1460")]),
         }
     }
 }
--- a/crates/trestlewalk/tests/relay_support/caller.rs
+++ b/crates/trestlewalk/tests/relay_support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks as the platform's callers do.
+//! A caller that speaks the platform's protocol.
 
 use {
     super::wire_text::{WireMessage, read_body, read_head},
@@ -15,11 +15,11 @@
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// An answer as it came.
+/// An answer as received.
 #[derive(Clone, Debug, Default)]
 pub struct CallerReply {
     pub message: WireMessage,
-    /// Whether the body is as long as its head says.
+    /// Whether the body has the length that its head states.
     pub whole: bool,
 }
 
@@ -45,7 +45,7 @@
     stream: TcpStream,
 }
 
-/// A request id that no other request of the process has.
+/// A request id that is unique in the process.
 pub fn fresh_id() -> String {
     format!(
         "{:016x}",
@@ -53,7 +53,7 @@
     )
 }
 
-/// A request head with the usual headers and an id.
+/// A request with the usual headers.
 pub fn request_text(method: &str, path: &str, id: &str, more: &str, body: &str) -> String {
     let length = match body.is_empty() {
         true => String::new(),
@@ -69,7 +69,7 @@
         Self::connect_from(Ipv4Addr::LOCALHOST, address).await
     }
 
-    /// A connection that comes from this address.
+    /// Connects from a local address.
     pub async fn connect_from(own: Ipv4Addr, address: SocketAddr) -> Self {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind((own, 0).into()).unwrap();
@@ -82,11 +82,11 @@
     }
 
     pub async fn write(&mut self, text: &str) {
-        // A server that refuses a request may close before it has read all of it.
+        // A server that refuses a request may close the connection before it has read all of it.
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
 
-    /// Reads one answer; an answer of status 0 when the connection ends instead.
+    /// Reads one answer; its status is 0 when the connection ends instead.
     pub async fn read(&mut self) -> CallerReply {
         wait_for("an answer", async {
             let Some(mut message) = read_head(&mut self.stream, &mut self.rest).await else {
@@ -98,12 +98,12 @@
         .await
     }
 
-    /// Reads the head of an answer alone.
+    /// Reads only the head of an answer.
     pub async fn read_head(&mut self) -> Option<WireMessage> {
         wait_for("a head", read_head(&mut self.stream, &mut self.rest)).await
     }
 
-    /// Whether the server closes the connection without another byte.
+    /// Whether the server closes the connection without sending anything.
     pub async fn ends(&mut self) -> bool {
         let head = read_head(&mut self.stream, &mut self.rest);
         wait_for("the end of a connection", head).await.is_none()
--- /dev/null
+++ b/crates/trestlewalk/tests/relay_support/crash_scenario.rs
@@ -0,0 +1,79 @@
+//! Upstreams that crash on one request and restart at other addresses.
+
+use {
+    super::{store::StoreStandIn, upstream::UpstreamStandIn},
+    std::{
+        collections::BTreeSet,
+        sync::{Arc, Mutex},
+        time::Duration,
+    },
+    tokio::time,
+};
+
+/// How long the list still names a crashed upstream.
+const LIST_LAG: Duration = Duration::from_millis(300);
+
+/// All incarnations of the upstreams of a run.
+#[derive(Clone, Debug)]
+pub struct CrashScenario {
+    body: String,
+    incarnations: Arc<Mutex<Vec<UpstreamStandIn>>>,
+    store: StoreStandIn,
+}
+
+impl CrashScenario {
+    /// From now on a request with this body crashes each upstream that runs it, and a new incarnation replaces the
+    /// upstream.
+    pub fn start(store: &StoreStandIn, upstreams: &[UpstreamStandIn], body: &str) -> Self {
+        let scenario = Self {
+            body: body.to_owned(),
+            incarnations: Arc::new(Mutex::new(upstreams.to_vec())),
+            store: store.clone(),
+        };
+        for upstream in upstreams {
+            scenario.replace_on_crash(upstream.clone());
+        }
+        scenario
+    }
+
+    /// The number of crashes.
+    pub fn crashed(&self) -> usize {
+        let incarnations = self.incarnations.lock().unwrap();
+        incarnations
+            .iter()
+            .filter(|upstream| upstream.has_crashed())
+            .count()
+    }
+
+    /// How many tries of the request reached an upstream.
+    pub fn tries(&self) -> usize {
+        let incarnations = self.incarnations.lock().unwrap();
+        let received = incarnations.iter().flat_map(UpstreamStandIn::received);
+        let poison = received.filter(|received| received.message.body == self.body.as_bytes());
+        let ids = poison
+            .filter_map(|received| received.message.header("x-request-id").map(str::to_owned));
+        ids.collect::<BTreeSet<String>>().len()
+    }
+
+    /// Starts a new incarnation when the upstream crashes.
+    fn replace_on_crash(&self, upstream: UpstreamStandIn) {
+        upstream.state.lock().unwrap().crashes_on = Some(self.body.clone());
+        let scenario = self.clone();
+        tokio::spawn(async move {
+            upstream.wait_crashed().await;
+            time::sleep(LIST_LAG).await;
+            scenario.store.remove("servers", &upstream.id);
+            let number = scenario.incarnations.lock().unwrap().len();
+            let id = format!("{}-n{number}", upstream.id.split("-n").next().unwrap());
+            let (kind, linger) = {
+                let state = upstream.state.lock().unwrap();
+                (state.kind, state.linger)
+            };
+            let next = UpstreamStandIn::start(&id, &upstream.service, &upstream.zone, kind).await;
+            next.state.lock().unwrap().linger = linger;
+            scenario.store.put("servers", &id, &next.report("ready"));
+            scenario.incarnations.lock().unwrap().push(next.clone());
+            scenario.replace_on_crash(next);
+        });
+    }
+}
--- a/crates/trestlewalk/tests/relay_support/engine_side.rs
+++ b/crates/trestlewalk/tests/relay_support/engine_answers.rs
@@ -1,4 +1,4 @@
-//! What a stand-in of a model engine answers.
+//! The answers of a stand-in for a model engine.
 
 use {
     super::{
@@ -9,7 +9,7 @@
     tokio::{io::AsyncWriteExt, net::TcpStream},
 };
 
-/// How many events a whole stream has.
+/// The number of events in a complete stream.
 pub const EVENTS: usize = 5;
 
 /// The text of one event.
@@ -17,7 +17,7 @@
     format!("id: {index}\ndata: token-{index}\n\n")
 }
 
-/// Answers one call; whether the connection goes on.
+/// Answers one call; returns whether the connection continues.
 pub async fn answer_engine(
     engine: &UpstreamStandIn,
     stream: &mut TcpStream,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Takes a place unless there is none; its name.
+/// Reserves a slot: whether the engine is full, and the name of the reservation.
 fn reserve(engine: &UpstreamStandIn) -> (bool, String) {
     let mut state = engine.state.lock().unwrap();
     let full = state.mode == UpstreamMode::Shed;
@@ -105,7 +105,7 @@
         );
         return stream.write_all(text.as_bytes()).await.is_ok();
     }
-    let is_deadly = mode == UpstreamMode::Answer && engine.ends_on(&message);
+    let is_poison = mode == UpstreamMode::Answer && engine.crashes_on(&message);
     match mode {
         UpstreamMode::Answer | UpstreamMode::CutAfter(_) | UpstreamMode::PauseAfter(..) => {}
         UpstreamMode::Slow(pause) => tokio::time::sleep(pause).await,
@@ -122,7 +122,7 @@
     if stream.write_all(head.as_bytes()).await.is_err() {
         return false;
     }
-    if is_deadly {
+    if is_poison {
         return std::future::pending().await;
     }
     for index in after + 1..=EVENTS {
--- a/crates/trestlewalk/tests/relay_support/mod.rs
+++ b/crates/trestlewalk/tests/relay_support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the users' platform, as its pages describe it: the store, upstreams, callers, and a builder that starts
-//! the real binary between them as a process of its own.
+//! Stand-ins for the users' platform (the store, upstreams and callers), and a builder that starts the real binary
+//! between them as a separate process.
 
 #![allow(
     dead_code,
@@ -8,8 +8,8 @@
 )]
 
 pub mod caller;
-pub mod crash_ground;
-pub mod engine_side;
+pub mod crash_scenario;
+pub mod engine_answers;
 pub mod relay_test;
 pub mod store;
 pub mod upstream;
@@ -22,9 +22,9 @@
 )]
 pub use {
     caller::{Caller, CallerReply},
-    crash_ground::CrashGround,
+    crash_scenario::CrashScenario,
     relay_test::{RelayRun, RelayTest},
     store::StoreStandIn,
-    upstream::{Seen, UpstreamKind, UpstreamMode, UpstreamStandIn},
+    upstream::{ReceivedCall, UpstreamKind, UpstreamMode, UpstreamStandIn},
     zone_run::ZoneRun,
 };
--- a/crates/trestlewalk/tests/relay_support/relay_test.rs
+++ b/crates/trestlewalk/tests/relay_support/relay_test.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct RelayTest {
     customers: Option<Value>,
-    elsewhere: Vec<String>,
+    in_other_zone: Vec<String>,
     engine: Value,
     heartbeat: &'static str,
     limits: Value,
@@ -40,7 +40,7 @@
     pub process: FleetProcess,
     pub store: StoreStandIn,
     pub upstreams: Vec<UpstreamStandIn>,
-    /// Holds the log, which a failed test prints when the process is dropped: so it goes last.
+    /// Holds the log that a failed test prints when the process is dropped, so it has to be dropped last.
     pub folder: TempDir,
 }
 
@@ -48,7 +48,7 @@
     pub fn new() -> Self {
         Self {
             customers: None,
-            elsewhere: Vec::new(),
+            in_other_zone: Vec::new(),
             engine: json!({"Slots": 64, "KvCapacityTokens": 37745, "HandleTtlS": 0.5, "HoldMs": 2000.0}),
             heartbeat: "25ms",
             limits: json!({"MaxHeaderBytes": 16384, "MaxBodyBytes": 65536, "HeaderTimeoutMs": 3000, "IdleTimeoutMs": 15000}),
@@ -62,13 +62,13 @@
         }
     }
 
-    /// Puts an upstream into another availability zone than the instance's.
-    pub fn elsewhere(mut self, id: &str) -> Self {
-        self.elsewhere.push(id.to_owned());
+    /// Puts an upstream into another availability zone than that of the instance.
+    pub fn in_other_zone(mut self, id: &str) -> Self {
+        self.in_other_zone.push(id.to_owned());
         self
     }
 
-    /// A service with model engines.
+    /// Adds a service with model engines.
     pub fn engines(mut self, service: &str, decode: usize, prefill: usize) -> Self {
         let engine = self.engine.clone();
         self.services.push(json!({"Name": service, "HealthPath": "/health", "MaxConnections": 100, "Engine": engine}));
@@ -85,19 +85,19 @@
         self
     }
 
-    /// The customers that the operator declares; callers need keys then.
+    /// Declares customers; callers need keys then.
     pub fn customers(mut self, customers: Value) -> Self {
         self.customers = Some(customers);
         self
     }
 
-    /// A key that is taken away holds nowhere after this time.
+    /// Sets the time within which a revoked key is refused everywhere.
     pub fn revoked_within(mut self, time: &'static str) -> Self {
         self.revoked_within = time;
         self
     }
 
-    /// How often upstreams report to the list.
+    /// Sets the heartbeat interval of upstreams.
     pub fn heartbeat(mut self, time: &'static str) -> Self {
         self.heartbeat = time;
         self
@@ -109,13 +109,13 @@
         self
     }
 
-    /// How long a watch of the routes waits for news.
+    /// Sets how long a watch of the routes waits for a change.
     pub fn poll(mut self, time: &'static str) -> Self {
         self.poll = time;
         self
     }
 
-    /// A plain service.
+    /// Adds a plain service.
     pub fn plain(mut self, service: &str, count: usize) -> Self {
         self.services
             .push(json!({"Name": service, "HealthPath": "/health", "MaxConnections": 100}));
@@ -127,7 +127,7 @@
         self
     }
 
-    /// A route of the host `shop.example`; `more` has further fields.
+    /// Adds a route of the host `shop.example`; `more` has further fields.
     pub fn route(mut self, prefix: &str, kind: &str, service: &str, more: &Value) -> Self {
         let mut route = json!({
             "Name": format!("r{}", prefix.replace('/', "-")), "Host": "shop.example", "Prefix": prefix, "Kind": kind,
@@ -140,7 +140,7 @@
         self
     }
 
-    /// Leaves no call to repeat.
+    /// Sets a retry budget of zero.
     pub fn without_retries(mut self) -> Self {
         self.ratio = 0;
         self
@@ -161,12 +161,12 @@
         }
     }
 
-    /// Starts instances of one zone that pass readings on, each with a way of its own to the store.
+    /// Starts instances of one zone that share snapshots, each with its own connection to the store.
     pub async fn start_zone(self, count: usize) -> ZoneRun {
         self.start_zones(&["gijon"], count).await
     }
 
-    /// The same in several zones, with so many instances each.
+    /// Starts the same in several zones, with `count` instances each.
     pub async fn start_zones(self, zones: &[&str], count: usize) -> ZoneRun {
         let store = StoreStandIn::start().await;
         let folder = TempDir::new().unwrap();
@@ -176,11 +176,14 @@
         for number in 1..=count * zones.len() {
             let name = format!("front-{number}");
             let zone = format!("zone: {}\n", zones[(number - 1) / count]);
-            let way = TcpRelay::start(store.address).await;
-            let settings = self.settings(&name, way.address(), ", peers: '127.0.0.1:0'");
+            let store_relay = TcpRelay::start(store.address).await;
+            let settings = self.settings(&name, store_relay.address(), ", peers: '127.0.0.1:0'");
             let settings = settings.replace("zone: gijon\n", &zone);
             let process = start_instance(&name, &settings, &folder).await;
-            instances.push(ZoneInstance { process, way });
+            instances.push(ZoneInstance {
+                process,
+                store_relay,
+            });
         }
         ZoneRun {
             config: self.config(),
@@ -214,7 +217,7 @@
     async fn start_upstreams(&self, store: &StoreStandIn) -> Vec<UpstreamStandIn> {
         let mut upstreams = Vec::new();
         for (id, service, kind) in &self.upstreams {
-            let zone = match self.elsewhere.contains(id) {
+            let zone = match self.in_other_zone.contains(id) {
                 true => "santander",
                 false => "gijon",
             };
@@ -239,7 +242,7 @@
     start_again(name, folder).await
 }
 
-/// Starts an instance whose settings are there already.
+/// Starts an instance whose settings file exists already.
 pub async fn start_again(name: &str, folder: &TempDir) -> FleetProcess {
     let file = format!("{name}.yaml");
     let args = ["relay".to_owned(), "--settings".to_owned(), file];
@@ -247,7 +250,7 @@
 }
 
 impl RelayRun {
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection.
     pub async fn call(&self, method: &str, path: &str, body: &str) -> CallerReply {
         self.call_with(method, path, &fresh_id(), "X-Deadline-Ms: 4000\r\n", body)
             .await
@@ -272,7 +275,7 @@
         Caller::connect(self.process.address("callers")).await
     }
 
-    /// Writes a changed configuration with the next version.
+    /// Writes a changed configuration with a higher version.
     pub fn change(&mut self, change: impl FnOnce(&mut Value)) {
         let version = self.config["Version"].as_u64().unwrap() + 3;
         self.config["Version"] = json!(version);
@@ -291,7 +294,7 @@
         String::from_utf8_lossy(&reply.body).contains(&quoted)
     }
 
-    /// The lines of the metrics that begin so.
+    /// The lines of the metrics that begin with `start`.
     pub async fn metric_lines(&self, start: &str) -> Vec<String> {
         let reply = self.process.get("admin", "/metrics").send().await;
         let text = String::from_utf8_lossy(&reply.body);
@@ -299,7 +302,7 @@
         lines.map(str::to_owned).collect()
     }
 
-    /// What `/ready` answers.
+    /// The status of `/ready`; 0 without an answer.
     pub async fn ready_status(&self) -> u16 {
         let call = HttpCall::new(Method::GET, self.process.address("admin"), "/ready");
         call.try_send()
@@ -307,7 +310,7 @@
             .map_or(0, |reply| reply.status.as_u16())
     }
 
-    /// Asks for a model answer.
+    /// Sends a request of a model service.
     pub async fn stream(&self, path: &str) -> CallerReply {
         self.call_with("POST", path, &fresh_id(), STREAM_HEADERS, "the prompt")
             .await
@@ -326,5 +329,5 @@
     }
 }
 
-/// What a caller says of its prompt.
+/// The headers that describe a prompt.
 pub const STREAM_HEADERS: &str = "X-Deadline-Ms: 4000\r\nX-Model: m\r\nX-Token-Usage: 1460,80\r\nX-Length-Hint: 40\r\nX-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n";
--- a/crates/trestlewalk/tests/relay_support/store.rs
+++ b/crates/trestlewalk/tests/relay_support/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: rows with versions, transactions under conditions, and a feed of changes.
+//! A stand-in for the platform's store: versioned rows, conditional transactions, and a feed of changes.
 
 use {
     axum::{
@@ -25,15 +25,15 @@
 struct StoreState {
     calls: HashMap<String, usize>,
     down: bool,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version are no longer in the history.
     forgotten: u64,
     garbled: bool,
-    /// The next writes are done, and their answers are lost.
+    /// How many of the next writes are applied without an answer.
     lost_answers: usize,
-    /// Rows that are gone, with the version at which they went: feeds tell them.
+    /// Removed rows with the version of their removal, which feeds report.
     removed: BTreeMap<RowKey, u64>,
     rows: BTreeMap<RowKey, (Vec<u8>, u64)>,
-    /// Readings of this table take so long.
+    /// Delays reads of one table.
     slow: Option<(String, Duration)>,
     version: u64,
 }
@@ -65,7 +65,7 @@
         store
     }
 
-    /// The store's steady clock.
+    /// The store's monotonic clock.
     fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap()
     }
@@ -81,7 +81,7 @@
             .unwrap_or(0)
     }
 
-    /// The history up to now is forgotten: feeds that go on from before get 410.
+    /// Drops the history up to now: feeds from an older version get 410.
     pub fn forget(&self) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
@@ -90,12 +90,12 @@
         self.changed.notify_waiters();
     }
 
-    /// The next writes are done and not answered.
+    /// Applies the next writes without answering them.
     pub fn lose_answers(&self, count: usize) {
         self.state.lock().unwrap().lost_answers = count;
     }
 
-    /// Writes a row as the operator or an upstream does.
+    /// Writes a row as an operator or an upstream does.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         self.put_text(table, key, &value.to_string());
     }
@@ -128,7 +128,7 @@
         .collect()
     }
 
-    /// Has readings of a table take so long.
+    /// Delays reads of a table.
     pub fn set_slow(&self, table: &str, pause: Duration) {
         self.state.lock().unwrap().slow = Some((table.to_owned(), pause));
     }
@@ -139,7 +139,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Answers with what is no JSON.
+    /// Answers with a body that is not JSON.
     pub fn set_garbled(&self, garbled: bool) {
         self.state.lock().unwrap().garbled = garbled;
     }
--- a/crates/trestlewalk/tests/relay_support/upstream.rs
+++ b/crates/trestlewalk/tests/relay_support/upstream.rs
@@ -1,8 +1,8 @@
-//! A stand-in of an upstream that can misbehave in each way that the pages name.
+//! A stand-in for an upstream that can misbehave in each documented way.
 
 use {
     super::{
-        engine_side::answer_engine,
+        engine_answers::answer_engine,
         wire_text::{WireMessage, read_body, read_head},
     },
     serde_json::{Value, json},
@@ -19,10 +19,10 @@
     tokio_util::sync::CancellationToken,
 };
 
-/// How long a deadly request runs before its upstream ends.
-const RUN_BEFORE_END: Duration = Duration::from_millis(60);
+/// How long the crashing request runs before its upstream crashes.
+const RUN_BEFORE_CRASH: Duration = Duration::from_millis(60);
 
-/// What an upstream is.
+/// The kind of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpstreamKind {
     Decode,
@@ -30,38 +30,38 @@
     Prefill,
 }
 
-/// How an upstream behaves to calls that have a request id.
+/// How an upstream behaves towards calls with a request id.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum UpstreamMode {
-    /// 200, whole.
+    /// A complete answer with status 200.
     Answer,
-    /// 503 without a word on whether it ran.
+    /// 503 without a statement on whether the request ran.
     BareRefusal,
-    /// A stream that stops in the middle of an event after so many.
+    /// A stream that stops in the middle of an event, after this many events.
     CutAfter(usize),
-    /// An answer that breaks off.
+    /// A truncated answer.
     CutBody,
-    /// An encoding that nobody asked for.
+    /// An encoding that was not requested.
     Encoded,
     /// A second answer right after the first.
     Extra,
-    /// A failure of its own, signed.
+    /// A signed error of its own.
     Fail,
     /// An answer with the id of another request.
     Foreign,
     /// No answer.
     Mute,
-    /// A stream that pauses after so many events.
+    /// A stream that pauses after this many events.
     PauseAfter(usize, Duration),
-    /// Reads the request, and resets the connection.
+    /// Reads the request and resets the connection.
     Reset,
-    /// 503, not run; an engine reserves no place either.
+    /// 503 as not run; an engine refuses reservations as well.
     Shed,
-    /// 200, whole, after a while.
+    /// A complete answer with status 200, after a delay.
     Slow(Duration),
-    /// An engine reserves a place and turns the request away from it: 503, not run.
+    /// An engine accepts a reservation and then refuses the request: 503 as not run.
     TurnAway,
-    /// No length; the connection ends in order.
+    /// No length; the connection is closed in order.
     Unframed,
     /// No length; the connection is reset.
     UnframedReset,
@@ -69,34 +69,34 @@
     Unsigned,
 }
 
-/// A call as the upstream got it.
+/// A call as the upstream received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub message: WireMessage,
     pub ran: bool,
 }
 
 #[derive(Debug)]
 pub struct UpstreamState {
-    /// The body under which it ends.
-    pub ends_on: Option<String>,
+    /// The body on which the upstream crashes.
+    pub crashes_on: Option<String>,
     pub held: usize,
     pub kind: UpstreamKind,
-    /// How long it goes on listening after its connections were reset at its end.
+    /// How long the listener stays open after the connections are reset by a crash.
     pub linger: Duration,
-    /// The parts of prompts that an engine says it holds.
+    /// The prompt parts that an engine lists as cached.
     pub listed: Vec<String>,
     pub mode: UpstreamMode,
     pub orders: u64,
-    pub seen: Vec<Seen>,
+    pub received: Vec<ReceivedCall>,
 }
 
 /// The upstream. Clones share it.
 #[derive(Clone, Debug)]
 pub struct UpstreamStandIn {
     pub address: SocketAddr,
-    /// Ends this life.
-    ending: CancellationToken,
+    /// Cancelled when the upstream crashes.
+    crashed: CancellationToken,
     pub id: String,
     pub service: String,
     pub state: Arc<Mutex<UpstreamState>>,
@@ -108,18 +108,18 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let upstream = Self {
             address: listener.local_addr().unwrap(),
-            ending: CancellationToken::new(),
+            crashed: CancellationToken::new(),
             id: id.to_owned(),
             service: service.to_owned(),
             state: Arc::new(Mutex::new(UpstreamState {
-                ends_on: None,
+                crashes_on: None,
                 held: 0,
                 kind,
                 linger: Duration::ZERO,
                 listed: Vec::new(),
                 mode: UpstreamMode::Answer,
                 orders: 0,
-                seen: Vec::new(),
+                received: Vec::new(),
             })),
             zone: zone.to_owned(),
         };
@@ -127,7 +127,7 @@
         upstream
     }
 
-    /// The report in the list of upstreams.
+    /// Its row in the list of upstreams.
     pub fn report(&self, state: &str) -> Value {
         let mut report = json!({
             "Service": self.service, "Address": self.address, "Zone": self.zone, "Version": "v1",
@@ -141,66 +141,66 @@
         report
     }
 
-    /// The calls with a request id, in order.
-    pub fn runs(&self) -> Vec<Seen> {
+    /// The calls that ran, in order.
+    pub fn runs(&self) -> Vec<ReceivedCall> {
         let state = self.state.lock().unwrap();
-        let runs = state.seen.iter().filter(|seen| seen.ran);
+        let runs = state.received.iter().filter(|received| received.ran);
         runs.cloned().collect()
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state.lock().unwrap().seen.clone()
+    pub fn received(&self) -> Vec<ReceivedCall> {
+        self.state.lock().unwrap().received.clone()
     }
 
     pub fn set(&self, mode: UpstreamMode) {
         self.state.lock().unwrap().mode = mode;
     }
 
-    /// Ends this life at once: its connections are reset and nobody listens any more.
-    pub fn end(&self) {
-        self.ending.cancel();
+    /// Crashes the upstream at once: its connections are reset and its listener is closed.
+    pub fn crash(&self) {
+        self.crashed.cancel();
     }
 
-    pub fn has_ended(&self) -> bool {
-        self.ending.is_cancelled()
+    pub fn has_crashed(&self) -> bool {
+        self.crashed.is_cancelled()
     }
 
-    pub async fn wait_ended(&self) {
-        self.ending.cancelled().await;
+    pub async fn wait_crashed(&self) {
+        self.crashed.cancelled().await;
     }
 
-    /// Whether a request ends this life; it does so a moment after it began to run.
-    pub fn ends_on(&self, message: &WireMessage) -> bool {
-        let body = self.state.lock().unwrap().ends_on.clone();
-        let is_deadly = body.is_some_and(|body| body.as_bytes() == message.body);
-        if is_deadly {
-            let ending = self.ending.clone();
+    /// Whether a request crashes the upstream; it does so shortly after it started to run.
+    pub fn crashes_on(&self, message: &WireMessage) -> bool {
+        let body = self.state.lock().unwrap().crashes_on.clone();
+        let is_poison = body.is_some_and(|body| body.as_bytes() == message.body);
+        if is_poison {
+            let crashed = self.crashed.clone();
             tokio::spawn(async move {
-                time::sleep(RUN_BEFORE_END).await;
-                ending.cancel();
+                time::sleep(RUN_BEFORE_CRASH).await;
+                crashed.cancel();
             });
         }
-        is_deadly
+        is_poison
     }
 
     async fn accept(self, listener: TcpListener) {
         loop {
             let stream = tokio::select! {
-                () = self.ending.cancelled() => break,
+                () = self.crashed.cancelled() => break,
                 accepted = listener.accept() => accepted.unwrap().0,
             };
             stream.set_nodelay(true).unwrap();
-            tokio::spawn(self.clone().serve_life(stream));
+            tokio::spawn(self.clone().serve_until_crash(stream));
         }
         // Connections made meanwhile wait in the backlog and are reset with it.
         let linger = self.state.lock().unwrap().linger;
         time::sleep(linger).await;
     }
 
-    /// Serves a connection until it ends; at the end of this life it is reset.
-    async fn serve_life(self, mut stream: TcpStream) {
+    /// Serves a connection until it ends, or resets it when the upstream crashes.
+    async fn serve_until_crash(self, mut stream: TcpStream) {
         tokio::select! {
-            () = self.ending.cancelled() => reset(&stream),
+            () = self.crashed.cancelled() => reset(&stream),
             () = self.serve(&mut stream) => {}
         }
     }
@@ -229,16 +229,20 @@
     }
 
     pub fn note(&self, message: WireMessage, ran: bool) {
-        self.state.lock().unwrap().seen.push(Seen { message, ran });
+        self.state
+            .lock()
+            .unwrap()
+            .received
+            .push(ReceivedCall { message, ran });
     }
 
-    /// Answers by the mode; whether the connection goes on.
+    /// Answers by the mode; returns whether the connection continues.
     pub async fn answer_plain(&self, stream: &mut TcpStream, message: WireMessage) -> bool {
         let id = message
             .header("x-request-id")
             .unwrap_or_default()
             .to_owned();
-        if self.ends_on(&message) {
+        if self.crashes_on(&message) {
             self.note(message, true);
             return std::future::pending().await;
         }
@@ -293,7 +297,7 @@
                 let text = format!("{signed}\r\n{body}");
                 stream.write_all(text.as_bytes()).await.unwrap();
                 if mode == UpstreamMode::UnframedReset {
-                    // The bytes have to be read before the reset takes them away.
+                    // The caller has to read the bytes before the reset discards them.
                     time::sleep(Duration::from_millis(100)).await;
                     reset(stream);
                 }
@@ -305,7 +309,7 @@
     }
 }
 
-/// Has the connection reset when it is dropped.
+/// Makes the connection reset when it is dropped.
 pub fn reset(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO)).unwrap();
--- a/crates/trestlewalk/tests/relay_support/wire_text.rs
+++ b/crates/trestlewalk/tests/relay_support/wire_text.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 read and written by hand, so that a stand-in can send what no library would.
+//! Hand-written HTTP/1.1, so that a stand-in can send what no library would.
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A request or a response as it came.
+/// A request or a response as received.
 #[derive(Clone, Debug, Default)]
 pub struct WireMessage {
     pub body: Vec<u8>,
@@ -18,13 +18,13 @@
         found.map(|(_, value)| value.as_str())
     }
 
-    /// The word of the start line at an index.
+    /// A word of the start line, by index.
     pub fn word(&self, index: usize) -> &str {
         self.start.split(' ').nth(index).unwrap_or_default()
     }
 }
 
-/// Reads a head; none at the end of the stream.
+/// Reads a head; `None` at the end of the stream.
 pub async fn read_head(
     stream: &mut (impl AsyncRead + Unpin),
     rest: &mut Vec<u8>,
@@ -50,7 +50,7 @@
     })
 }
 
-/// Reads the body that a head announces. `whole` is false when the stream ends before it.
+/// Reads the body that a head announces; `false` when the stream ends before it is complete.
 pub async fn read_body(
     stream: &mut (impl AsyncRead + Unpin),
     rest: &mut Vec<u8>,
--- a/crates/trestlewalk/tests/relay_support/zone_run.rs
+++ b/crates/trestlewalk/tests/relay_support/zone_run.rs
@@ -1,4 +1,4 @@
-//! Instances of one zone that pass readings of the store on.
+//! Instances of one zone that share snapshots of the store.
 
 use {
     super::{
@@ -13,11 +13,11 @@
     tempfile::TempDir,
 };
 
-/// One process with its way to the store.
+/// One process with the proxy through which it reaches the store.
 #[derive(Debug)]
 pub struct ZoneInstance {
     pub process: FleetProcess,
-    pub way: TcpRelay,
+    pub store_relay: TcpRelay,
 }
 
 /// The running instances with their stand-ins.
@@ -27,12 +27,12 @@
     pub instances: Vec<ZoneInstance>,
     pub store: StoreStandIn,
     pub upstreams: Vec<UpstreamStandIn>,
-    /// Holds the logs, which a failed test prints when the instances are dropped: so it goes last.
+    /// Holds the logs that a failed test prints when the instances are dropped, so it has to be dropped last.
     pub folder: TempDir,
 }
 
 impl ZoneRun {
-    /// Writes a changed configuration with the next version.
+    /// Writes a changed configuration with a higher version.
     pub fn change(&mut self, change: impl FnOnce(&mut Value)) {
         let version = self.config["Version"].as_u64().unwrap() + 3;
         self.config["Version"] = serde_json::json!(version);
@@ -40,7 +40,7 @@
         self.store.put("op", "config", &self.config);
     }
 
-    /// How often an instance got a reading from another one.
+    /// How often an instance received a snapshot from another one.
     pub async fn passed_on(&self, index: usize) -> u64 {
         let process = &self.instances[index].process;
         let reply = process.get("admin", "/metrics").send().await;
@@ -52,7 +52,7 @@
         value.map_or(0, |value| value.parse().unwrap())
     }
 
-    /// Kills all instances and starts them again under their names: nothing of what they knew is left.
+    /// Kills all instances and restarts them under the same names, without any of their state.
     pub async fn restart_all(&mut self) {
         for instance in &mut self.instances {
             instance.process.kill().await;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The answer to one try at an instance, on a connection of its own.
+    /// Sends one request to an instance on a new connection.
     pub async fn send(
         &self,
         index: usize,
@@ -76,7 +76,7 @@
             .await
     }
 
-    /// The same from another address of the caller's.
+    /// The same from another local address.
     pub async fn send_from(
         &self,
         own: Ipv4Addr,
@@ -99,8 +99,8 @@
         reply.await.status()
     }
 
-    /// Waits until all instances but one get their readings from it; gives the index of that one.
-    pub async fn wait_one_reads(&self) -> usize {
+    /// Waits until all instances but one get their snapshots from it; returns the index of that one.
+    pub async fn wait_single_reader(&self) -> usize {
         let mut reader = 0;
         wait_until("one instance reads for all", async || {
             let mut readers = Vec::new();
@@ -118,9 +118,9 @@
         reader
     }
 
-    /// Waits until an instance serves a path with a status.
+    /// Waits until an instance answers a path with a status.
     pub async fn wait_status(&self, index: usize, path: &str, status: u16) {
-        wait_until("a status", async || {
+        wait_until("an instance answers with a status", async || {
             self.status(index, path).await == status
         })
         .await;
--- a/crates/trestlewalk/tests/relay_zone.rs
+++ b/crates/trestlewalk/tests/relay_zone.rs
@@ -1,4 +1,4 @@
-//! Instances of one zone that pass readings of the store on: one reads for all, and nobody depends on it.
+//! Instances of one zone share snapshots of the store: one instance reads for all, and none depends on it.
 
 mod relay_support;
 mod support;
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn one_instance_reads_the_store_for_its_zone() {
     let mut run = start_zone().await;
-    run.wait_one_reads().await;
+    run.wait_single_reader().await;
     add_route(&mut run, "/new/");
     for index in 0..3 {
         run.wait_status(index, "/new/1", 200).await;
@@ -45,7 +45,7 @@
     run.store
         .put("servers", "i-carta-0", &run.upstreams[0].report("draining"));
     for index in 0..3 {
-        wait_until("the upstream that leaves gets no work", async || {
+        wait_until("the draining upstream gets no work", async || {
             let before = run.upstreams[0].runs().len();
             for _ in 0..6 {
                 run.status(index, "/t/1").await;
@@ -59,9 +59,9 @@
 #[tokio::test]
 async fn an_instance_that_the_store_turns_away_goes_on_by_the_readings_of_others() {
     let mut run = start_zone().await;
-    let reader = run.wait_one_reads().await;
+    let reader = run.wait_single_reader().await;
     for index in others(reader) {
-        run.instances[index].way.set(RelayMode::Reset);
+        run.instances[index].store_relay.set(RelayMode::Reset);
     }
     add_route(&mut run, "/new/");
     for index in 0..3 {
@@ -72,13 +72,13 @@
 #[tokio::test]
 async fn when_the_reader_is_turned_away_or_dies_another_takes_its_place() {
     let mut run = start_zone().await;
-    let reader = run.wait_one_reads().await;
-    run.instances[reader].way.set(RelayMode::Reset);
+    let reader = run.wait_single_reader().await;
+    run.instances[reader].store_relay.set(RelayMode::Reset);
     add_route(&mut run, "/new/");
     for index in others(reader) {
         run.wait_status(index, "/new/1", 200).await;
     }
-    run.instances[reader].way.set(RelayMode::Open);
+    run.instances[reader].store_relay.set(RelayMode::Open);
     run.wait_status(reader, "/new/1", 200).await;
     run.instances[reader].process.kill().await;
     add_route(&mut run, "/newer/");
@@ -87,7 +87,7 @@
     }
 }
 
-/// A watch of the routes that hangs does not keep a reader from those that another instance has read.
+/// A reader whose watch of the routes hangs still gets the routes that another instance has read.
 #[tokio::test]
 async fn a_reader_that_the_store_leaves_without_an_answer_takes_the_routes_of_others() {
     let mut run = RelayTest::new()
@@ -99,8 +99,8 @@
     for index in 0..3 {
         run.wait_status(index, "/t/1", 200).await;
     }
-    let reader = run.wait_one_reads().await;
-    run.instances[reader].way.set(RelayMode::Silent);
+    let reader = run.wait_single_reader().await;
+    run.instances[reader].store_relay.set(RelayMode::Silent);
     add_route(&mut run, "/new/");
     run.wait_status(reader, "/new/1", 200).await;
 }
@@ -108,7 +108,7 @@
 #[tokio::test]
 async fn a_reader_that_wakes_from_a_long_pause_brings_nothing_old_back() {
     let mut run = start_zone().await;
-    let reader = run.wait_one_reads().await;
+    let reader = run.wait_single_reader().await;
     run.instances[reader].process.pause().await;
     add_route(&mut run, "/new/");
     run.store.remove("servers", "i-carta-0");
