--- a/crates/relay/src/access_refusal.rs
+++ b/crates/relay/src/access_refusal.rs
@@ -131,7 +131,7 @@
             error: ErrorResponse::with_retry_after(ResultCode::QuotaSpent, refusal.wait),
             reason: RefusalReason::QuotaSpent {
                 cost: refusal.cost,
-                room: refusal.room,
+                room: refusal.balance,
             },
         })
     }
--- a/crates/relay/src/caller_server.rs
+++ b/crates/relay/src/caller_server.rs
@@ -8,7 +8,7 @@
     http::{HeaderValue, Request, header},
     hyper::{body::Incoming, server::conn::http1, service::service_fn},
     hyper_util::rt::{TokioIo, TokioTimer},
-    kernel::CloseSignal,
+    kernel::ShutdownSignal,
     std::{
         pin::{Pin, pin},
         sync::Arc,
@@ -38,9 +38,9 @@
     accepting: JoinHandle<()>,
     connections: TaskTracker,
     /// Raised when each answer is to close its connection.
-    draining: CloseSignal,
+    draining: ShutdownSignal,
     /// Raised when idle connections are to be closed at once and new requests refused.
-    stopping: CloseSignal,
+    stopping: ShutdownSignal,
 }
 
 impl CallerServer {
@@ -67,7 +67,7 @@
         core: Arc<RelayCore<D>>,
     ) -> Self {
         let connections = TaskTracker::new();
-        let draining = CloseSignal::new();
+        let draining = ShutdownSignal::new();
         let stopping = core.closing.clone();
         let caller = ConnectionContext {
             core: core.clone(),
@@ -89,8 +89,8 @@
 struct ConnectionContext<D> {
     core: Arc<RelayCore<D>>,
     handler: RequestHandler<D>,
-    draining: CloseSignal,
-    stopping: CloseSignal,
+    draining: ShutdownSignal,
+    stopping: ShutdownSignal,
 }
 
 impl<D> Clone for ConnectionContext<D> {
--- a/crates/relay/src/connection_pool.rs
+++ b/crates/relay/src/connection_pool.rs
@@ -13,7 +13,7 @@
     },
     hyper_util::rt::TokioIo,
     kernel::{LockRank, RankedLock, steady_clock},
-    policy::UpstreamReach,
+    policy::ProbeOutcome,
     snafu::Snafu,
     socket2::{SockRef, TcpKeepalive},
     std::{
@@ -141,25 +141,25 @@
 
     /// Checks whether a peer accepts connections. A usable idle connection is proof enough; otherwise a new connection
     /// is made and kept.
-    pub async fn probe(&self, key: &ConnectionKey, address: SocketAddr) -> UpstreamReach {
+    pub async fn probe(&self, key: &ConnectionKey, address: SocketAddr) -> ProbeOutcome {
         if self.has_idle(key, address) {
-            return UpstreamReach::Answers;
+            return ProbeOutcome::Accepted;
         }
         let stream = match self.dial(address).await {
             Ok(stream) => stream,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                return UpstreamReach::Refuses;
+                return ProbeOutcome::Refused;
             }
             Err(error) => {
                 tracing::debug!(%address, %error, "could not determine whether an upstream crashed");
-                return UpstreamReach::Silent;
+                return ProbeOutcome::NoAnswer;
             }
         };
         match self.handshake(stream, address).await {
             Ok(connection) => self.keep(key, connection, None),
             Err(error) => tracing::debug!(%address, %error, "the HTTP handshake failed"),
         }
-        UpstreamReach::Answers
+        ProbeOutcome::Accepted
     }
 
     /// Sends a call and waits for the head of the answer.
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -2,7 +2,7 @@
 //! upstreams, and the upstreams reject what exceeds their capacity.
 //!
 //! [`CallerServer`] accepts requests, [`RequestHandler`] finds their route in the [`RouteTable`], [`PlainFlow`] and
-//! [`StreamFlow`] call upstreams chosen by the [`UpstreamTable`], and [`SourceWatch`] keeps both tables up to date from
+//! [`StreamFlow`] call upstreams chosen from [`SharedUpstreams`], and [`SourceWatch`] keeps both tables up to date from
 //! an [`OperatorSource`]. The wire protocols of callers and upstreams are behind [`CallerDialect`] and
 //! [`UpstreamDialect`].
 
--- a/crates/relay/src/order_dialect.rs
+++ b/crates/relay/src/order_dialect.rs
@@ -4,7 +4,7 @@
     bytes::Bytes,
     http::{Request, StatusCode},
     http_body_util::Full,
-    kernel::FenceNumber,
+    kernel::FencingToken,
     lease::OrderReply,
     policy::{UpstreamRecord, UpstreamStage},
 };
@@ -25,7 +25,7 @@
     /// The count of accepted orders that the engine must have.
     pub expected: u64,
     /// The fencing token of the lease.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// The incarnation of the process that holds the lease.
     pub holder: &'a str,
     /// The new stage.
--- a/crates/relay/src/prompt_search.rs
+++ b/crates/relay/src/prompt_search.rs
@@ -51,7 +51,7 @@
     engines.truncate(MAX_ENGINES_ASKED);
     let now = steady_clock::now();
     let parts = core.parts.lock();
-    engines.retain(|engine| parts.is_due(&engine.id, now));
+    engines.retain(|engine| parts.needs_refresh(&engine.id, now));
     engines
 }
 
--- a/crates/relay/src/relay_core.rs
+++ b/crates/relay/src/relay_core.rs
@@ -11,10 +11,12 @@
     bytes::Bytes,
     http::{Request, StatusCode},
     http_body_util::{BodyExt, Full, Limited},
-    kernel::{CloseSignal, LockRank, RankedLock, ResultCode, ServiceId, UpstreamId, steady_clock},
+    kernel::{
+        LockRank, RankedLock, ResultCode, ServiceId, ShutdownSignal, UpstreamId, steady_clock,
+    },
     policy::{
-        CallVerdict, ChoiceQuery, PartTable, PlacePace, RetryWindow, StagePressure, UpstreamRecord,
-        UpstreamTable,
+        CacheIndex, CallVerdict, ChoiceQuery, RetryWindow, SlotHoldTime, StagePressure,
+        UpstreamRecord, UpstreamTable,
     },
     std::{
         collections::HashMap,
@@ -45,7 +47,7 @@
     /// The routes in force; `None` until they have been read for the first time.
     pub routes: ArcSwapOption<RouteTable>,
     /// Raised when the process shuts down and no new request can be finished.
-    pub closing: CloseSignal,
+    pub closing: ShutdownSignal,
     /// The metrics.
     pub counts: RelayCounts,
     /// Tracks upstreams that crash while running requests.
@@ -55,8 +57,8 @@
     /// When the routes and customers were last confirmed to be the newest.
     pub freshness: RouteFreshness,
     /// The prompt parts that engines recently listed as cached.
-    pub parts: RankedLock<PartTable>,
-    paces: RankedLock<HashMap<ServiceId, PlacePace>>,
+    pub parts: RankedLock<CacheIndex>,
+    paces: RankedLock<HashMap<ServiceId, SlotHoldTime>>,
     pressures: RankedLock<HashMap<ServiceId, StagePressure>>,
     /// The connections to upstreams.
     pub pool: Arc<ConnectionPool>,
@@ -234,7 +236,7 @@
     pub fn retry_after(&self, service: &ServiceId, request: &str) -> Duration {
         let paces = self.paces.lock();
         let pace = paces.get(service).copied().unwrap_or_default();
-        pace.come_back(request)
+        pace.retry_after(request)
     }
 
     /// The state of a process that starts now.
@@ -258,11 +260,11 @@
             )),
             upstreams,
             routes: ArcSwapOption::empty(),
-            closing: CloseSignal::new(),
+            closing: ShutdownSignal::new(),
             counts,
             dialect,
             freshness: RouteFreshness::default(),
-            parts: RankedLock::new(LockRank::Services, PartTable::default()),
+            parts: RankedLock::new(LockRank::Services, CacheIndex::default()),
             paces: RankedLock::new(LockRank::Services, HashMap::new()),
             pressures: RankedLock::new(LockRank::Services, HashMap::new()),
             pool,
@@ -278,7 +280,7 @@
 
     /// Opens the start gate once both the routes and the upstreams have been read.
     pub fn open_when_ready(&self) {
-        if self.routes.load().is_some() && self.upstreams.lock().known {
+        if self.routes.load().is_some() && self.upstreams.lock().is_loaded {
             self.start.open();
         }
     }
@@ -287,14 +289,14 @@
     pub fn note_search(&self, service: &ServiceId, is_full: bool) {
         let mut pressures = self.pressures.lock();
         let pressure = pressures.entry(service.clone()).or_default();
-        pressure.note_search(is_full, steady_clock::now());
+        pressure.note_slot_search(is_full, steady_clock::now());
     }
 
     /// Records a prefill of a service: it took `took`, where its tokens alone take `alone`.
     pub fn note_prefill(&self, service: &ServiceId, alone: Duration, took: Duration) {
         let mut pressures = self.pressures.lock();
         let pressure = pressures.entry(service.clone()).or_default();
-        pressure.note_reading(alone, took, steady_clock::now());
+        pressure.note_prefill(alone, took, steady_clock::now());
     }
 
     /// The load on the stages of a service, as measured by the requests of this instance.
@@ -322,7 +324,7 @@
     pub fn is_outlier(&self, upstream: &UpstreamId) -> bool {
         self.upstreams
             .lock()
-            .stands_out(upstream, steady_clock::now())
+            .is_outlier(upstream, steady_clock::now())
     }
 
     /// Takes one retry of a service from the budget; `false` when it is exhausted.
--- a/crates/relay/src/request_handler.rs
+++ b/crates/relay/src/request_handler.rs
@@ -266,7 +266,7 @@
             )
             .into());
         };
-        if !self.core.upstreams.lock().known {
+        if !self.core.upstreams.lock().is_loaded {
             return Err(
                 ErrorResponse::with_retry_after(ResultCode::NotReady, START_RETRY_AFTER).into(),
             );
--- a/crates/relay/src/slot_finder.rs
+++ b/crates/relay/src/slot_finder.rs
@@ -98,7 +98,7 @@
         self.core().choose(&ChoiceQuery {
             avoid,
             holders: &self.flow.holders,
-            linked: &self.core().pool.connected(),
+            connected: &self.core().pool.connected(),
             request: &self.flow.request.head.id,
             service: &self.flow.service,
             stage: UpstreamStage::Decode,
--- a/crates/relay/src/source_watch.rs
+++ b/crates/relay/src/source_watch.rs
@@ -286,7 +286,7 @@
         self.core.counts.upstreams.set(count);
         let mut upstreams = self.core.upstreams.lock();
         let gone = upstreams.replace(&reading.records, outage_ended, now);
-        upstreams.date_list(reading.as_of.unwrap_or(now));
+        upstreams.set_list_time(reading.as_of.unwrap_or(now));
         drop(upstreams);
         for upstream in &gone {
             self.core.counts.forget_upstream(upstream);
--- a/crates/relay/src/stage_controller.rs
+++ b/crates/relay/src/stage_controller.rs
@@ -10,7 +10,7 @@
     kernel::{InstanceId, ServiceId, UpstreamId, seeded_rng, steady_clock},
     lease::{LeaseKeeper, LeaseSettings, OrderReply, OrderSender},
     plat::RowStore,
-    policy::{StageGoal, StageMove, StagePlan, UpstreamRecord, UpstreamStage},
+    policy::{StageChange, StageGoal, StagePlanner, UpstreamRecord, UpstreamStage},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
     tokio::time,
 };
@@ -53,7 +53,7 @@
 
 struct ServiceStages<S> {
     lease: LeaseKeeper<S>,
-    plan: StagePlan,
+    plan: StagePlanner,
 }
 
 /// Sends the orders of one move.
@@ -123,7 +123,7 @@
                 .build();
             ServiceStages {
                 lease: LeaseKeeper::new(self.store.clone(), lease),
-                plan: StagePlan::new(settings.goal.clone(), stagger(&settings.holder)),
+                plan: StagePlanner::new(settings.goal.clone(), stagger(&settings.holder)),
             }
         });
         let Some(plan) = stages.plan.decide(
@@ -135,7 +135,7 @@
             return;
         };
         // Whatever the outcome, the next check waits until the list of upstreams shows it.
-        stages.plan.rest(steady_clock::now());
+        stages.plan.start_cooldown(steady_clock::now());
         execute_move(&self.core, &self.settings, &stages.lease, &plan).await;
     }
 }
@@ -144,7 +144,7 @@
     core: &RelayCore<D>,
     settings: &StageSettings,
     lease: &LeaseKeeper<S>,
-    plan: &StageMove,
+    plan: &StageChange,
 ) {
     let mut sender = StageSender {
         core,
--- a/crates/relay/src/stream_flow.rs
+++ b/crates/relay/src/stream_flow.rs
@@ -17,7 +17,7 @@
     http_body_util::{BodyExt, Limited},
     hyper::body::Incoming,
     kernel::{ResultCode, ServiceId, UpstreamId, steady_clock},
-    policy::{CallVerdict, StreamTries, TryEnd},
+    policy::{AttemptEnd, CallVerdict, StreamAttempts},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -50,7 +50,7 @@
     /// When the last slot was reserved.
     pub slot_reserved_at: Instant,
     /// The calls so far.
-    tries: StreamTries,
+    tries: StreamAttempts,
 }
 
 /// A stream whose first complete events have arrived.
@@ -103,7 +103,7 @@
         route: Arc<WorkRoute>,
         service: ServiceId,
     ) -> Self {
-        let tries = StreamTries::new(route.repeat, route.tries);
+        let tries = StreamAttempts::new(route.repeat, route.tries);
         Self {
             core,
             holders: Vec::new(),
@@ -180,7 +180,7 @@
 
     /// Whether another engine may be asked.
     pub fn may_go_on(&self) -> bool {
-        self.tries.may_go_on() && !self.request.left().is_zero()
+        self.tries.can_continue() && !self.request.left().is_zero()
     }
 
     /// Asks the engines which of them already hold the prompt.
@@ -249,7 +249,7 @@
             false => None,
         };
         let (kv, kv_guard) = kv.unzip();
-        if !self.core.upstreams.lock().takes_work(&upstream.id) {
+        if !self.core.upstreams.lock().accepts_work(&upstream.id) {
             // The engine began to drain during the prefill; the slot is released.
             drop(call);
             discard(kv_guard, WastedPrefill::PlaceLeft);
@@ -284,10 +284,10 @@
             self.note_slot_result(&id, &end, kv_guard.is_some() || has_prompt);
         }
         self.tries.note(match end {
-            CallEnd::Answer(_) | CallEnd::Lost(_) => TryEnd::Ran,
-            CallEnd::Denied(_) => TryEnd::Held,
-            CallEnd::NotRun => TryEnd::Refused,
-            CallEnd::Unsent => TryEnd::Unsent,
+            CallEnd::Answer(_) | CallEnd::Lost(_) => AttemptEnd::Ran,
+            CallEnd::Denied(_) => AttemptEnd::Blocked,
+            CallEnd::NotRun => AttemptEnd::Refused,
+            CallEnd::Unsent => AttemptEnd::Unsent,
         });
         match end {
             CallEnd::Answer(_) => [guard, kv_guard]
@@ -319,7 +319,7 @@
             tries,
             ..
         } = self;
-        let may = tries.take_call(|| core.take_retry(service));
+        let may = tries.allow_call(|| core.take_retry(service));
         if !may {
             self.request.trace.note(format_args!("retry budget spent"));
         }
@@ -333,7 +333,7 @@
         match end {
             CallEnd::Answer(_) => upstreams.note_run(engine),
             CallEnd::Denied(_) | CallEnd::Lost(_) | CallEnd::Unsent => {}
-            CallEnd::NotRun => upstreams.note_turned_away(engine, has_kv, steady_clock::now()),
+            CallEnd::NotRun => upstreams.note_refusal(engine, has_kv, steady_clock::now()),
         }
     }
 
@@ -349,7 +349,7 @@
             tries,
             ..
         } = self;
-        let is_paid = tries.pay_ahead(|| core.take_retry(service));
+        let is_paid = tries.reserve_retry(|| core.take_retry(service));
         if !is_paid {
             self.request.trace.note(format_args!("retry budget spent"));
         }
