--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -18,7 +18,7 @@
 /// Pauses before the checks of an upstream after a lost connection, each counted from the check before. A crashing
 /// process closes its connections one after the other, its listener among them, and a busy instance sees each close
 /// late: an upstream that still accepts connections may be crashing.
-const EXAMINE_PAUSES: [Duration; 3] = [
+const PROBE_PAUSES: [Duration; 3] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(500),
@@ -108,7 +108,7 @@
     }
 
     /// Records the loss of a connection after its call was sent; `has_answered` when a part of the answer had arrived.
-    /// The upstream is examined in the background.
+    /// The upstream is probed in the background.
     pub fn note_loss(
         self: &Arc<Self>,
         request: &CallerRequest,
@@ -131,7 +131,7 @@
         match state.losses.note(&upstream.id, run, steady_clock::now()) {
             LossAction::Report(report) => self.report(&mut state, vec![report]),
             LossAction::Probe => {
-                tokio::spawn(self.clone().examine(upstream.clone()));
+                tokio::spawn(self.clone().probe_upstream(upstream.clone()));
             }
             LossAction::AwaitProbe => {}
         }
@@ -180,18 +180,18 @@
         self.state.lock().push_unsent(reports);
     }
 
-    async fn examine(self: Arc<Self>, upstream: Arc<UpstreamRecord>) {
-        let mut reach = ProbeOutcome::Accepted;
-        for pause in EXAMINE_PAUSES {
+    async fn probe_upstream(self: Arc<Self>, upstream: Arc<UpstreamRecord>) {
+        let mut outcome = ProbeOutcome::Accepted;
+        for pause in PROBE_PAUSES {
             time::sleep(pause).await;
-            reach = self.pool.probe(&upstream.id, upstream.address).await;
-            if reach != ProbeOutcome::Accepted {
+            outcome = self.pool.probe(&upstream.id, upstream.address).await;
+            if outcome != ProbeOutcome::Accepted {
                 break;
             }
         }
-        self.counts.note_loss(reach.label());
+        self.counts.note_loss(outcome.label());
         let mut state = self.state.lock();
-        let reports = state.losses.note_probe(&upstream.id, reach);
+        let reports = state.losses.note_probe(&upstream.id, outcome);
         self.report(&mut state, reports);
     }
 
--- a/crates/relay/src/plain_flow.rs
+++ b/crates/relay/src/plain_flow.rs
@@ -105,7 +105,7 @@
                 NextStep::Done(response) => return Ok(*response),
                 NextStep::Again(answer) => last = last.merge(answer, self.runs > 0),
             }
-            if !self.may_go_on() {
+            if !self.can_continue() {
                 return self.give_up(last);
             }
         }
@@ -127,7 +127,7 @@
         self.fallback.ok_or(last)
     }
 
-    fn may_go_on(&self) -> bool {
+    fn can_continue(&self) -> bool {
         let may_run =
             self.runs < self.route.tries && (self.runs == 0 || self.route.repeat.may_repeat());
         !self.is_denied && may_run && self.refused <= MAX_REFUSALS && !self.request.left().is_zero()
@@ -217,7 +217,7 @@
         if promises_not_run(status) {
             return NextStep::Again(ErrorResponse::new(ResultCode::UpstreamGarbled));
         }
-        if failed && self.may_go_on() && self.core.is_outlier(&upstream) {
+        if failed && self.can_continue() && self.core.is_outlier(&upstream) {
             self.fallback = Some(self.respond(whole));
             return NextStep::Again(ErrorResponse::new(ResultCode::UpstreamGarbled));
         }
--- a/crates/relay/src/relay_core.rs
+++ b/crates/relay/src/relay_core.rs
@@ -58,7 +58,7 @@
     pub freshness: RouteFreshness,
     /// The prompt parts that engines recently listed as cached.
     pub parts: RankedLock<CacheIndex>,
-    paces: RankedLock<HashMap<ServiceId, SlotHoldTime>>,
+    hold_times: RankedLock<HashMap<ServiceId, SlotHoldTime>>,
     pressures: RankedLock<HashMap<ServiceId, StagePressure>>,
     /// The connections to upstreams.
     pub pool: Arc<ConnectionPool>,
@@ -234,9 +234,9 @@
 
     /// The retry delay for a caller that found no free slot at a service.
     pub fn retry_after(&self, service: &ServiceId, request: &str) -> Duration {
-        let paces = self.paces.lock();
-        let pace = paces.get(service).copied().unwrap_or_default();
-        pace.retry_after(request)
+        let hold_times = self.hold_times.lock();
+        let hold_time = hold_times.get(service).copied().unwrap_or_default();
+        hold_time.retry_after(request)
     }
 
     /// The state of a process that starts now.
@@ -265,7 +265,7 @@
             dialect,
             freshness: RouteFreshness::default(),
             parts: RankedLock::new(LockRank::Services, CacheIndex::default()),
-            paces: RankedLock::new(LockRank::Services, HashMap::new()),
+            hold_times: RankedLock::new(LockRank::Services, HashMap::new()),
             pressures: RankedLock::new(LockRank::Services, HashMap::new()),
             pool,
             quotas: QuotaBuckets::new(settings.quotas, settings.is_alone),
@@ -307,8 +307,8 @@
 
     /// Records how long a slot of a service was held.
     pub fn note_slot_time(&self, service: &ServiceId, held: Duration) {
-        let mut paces = self.paces.lock();
-        paces.entry(service.clone()).or_default().note(held);
+        let mut hold_times = self.hold_times.lock();
+        hold_times.entry(service.clone()).or_default().note(held);
     }
 
     /// Counts a request of a service for its retry budget.
--- a/crates/relay/src/stage_controller.rs
+++ b/crates/relay/src/stage_controller.rs
@@ -53,7 +53,7 @@
 
 struct ServiceStages<S> {
     lease: LeaseKeeper<S>,
-    plan: StagePlanner,
+    planner: StagePlanner,
 }
 
 /// Sends the orders of one move.
@@ -123,10 +123,10 @@
                 .build();
             ServiceStages {
                 lease: LeaseKeeper::new(self.store.clone(), lease),
-                plan: StagePlanner::new(settings.goal.clone(), stagger(&settings.holder)),
+                planner: StagePlanner::new(settings.goal.clone(), stagger(&settings.holder)),
             }
         });
-        let Some(plan) = stages.plan.decide(
+        let Some(plan) = stages.planner.decide(
             &service,
             engines,
             &self.core.pressure(&service),
@@ -135,7 +135,7 @@
             return;
         };
         // Whatever the outcome, the next check waits until the list of upstreams shows it.
-        stages.plan.start_cooldown(steady_clock::now());
+        stages.planner.start_cooldown(steady_clock::now());
         execute_move(&self.core, &self.settings, &stages.lease, &plan).await;
     }
 }
--- a/crates/relay/src/stream_flow.rs
+++ b/crates/relay/src/stream_flow.rs
@@ -50,7 +50,7 @@
     /// When the last slot was reserved.
     pub slot_reserved_at: Instant,
     /// The calls so far.
-    tries: StreamAttempts,
+    attempts: StreamAttempts,
 }
 
 /// A stream whose first complete events have arrived.
@@ -103,7 +103,7 @@
         route: Arc<WorkRoute>,
         service: ServiceId,
     ) -> Self {
-        let tries = StreamAttempts::new(route.repeat, route.tries);
+        let attempts = StreamAttempts::new(route.repeat, route.tries);
         Self {
             core,
             holders: Vec::new(),
@@ -112,7 +112,7 @@
             route,
             service,
             tried: Vec::new(),
-            tries,
+            attempts,
         }
     }
 
@@ -165,22 +165,22 @@
                 Some(slot) => slot,
                 None => match self.find_slot(until).await {
                     Ok(slot) => slot,
-                    Err(answer) => return Err(last.merge(answer, self.tries.has_run())),
+                    Err(answer) => return Err(last.merge(answer, self.attempts.has_run())),
                 },
             };
             match self.try_slot(slot, after.clone()).await {
                 Ok(start) => return Ok(start),
-                Err(answer) => last = last.merge(answer, self.tries.has_run()),
+                Err(answer) => last = last.merge(answer, self.attempts.has_run()),
             }
-            if !self.may_go_on() {
+            if !self.can_continue() {
                 return Err(last);
             }
         }
     }
 
     /// Whether another engine may be asked.
-    pub fn may_go_on(&self) -> bool {
-        self.tries.can_continue() && !self.request.left().is_zero()
+    pub fn can_continue(&self) -> bool {
+        self.attempts.can_continue() && !self.request.left().is_zero()
     }
 
     /// Asks the engines which of them already hold the prompt.
@@ -240,7 +240,7 @@
         } = slot;
         self.slot_reserved_at = steady_clock::now();
         let upstream = call.upstream.clone();
-        if self.tries.has_run() && !self.prepay_retry() {
+        if self.attempts.has_run() && !self.reserve_retry() {
             return Err(self.budget_spent());
         }
         let has_prompt = self.holders.contains(&upstream.id);
@@ -260,7 +260,7 @@
                 self.retry_after(),
             ));
         }
-        if !self.may_call() {
+        if !self.allow_call() {
             drop(call);
             discard(kv_guard, WastedPrefill::RunRefused);
             return Err(self.budget_spent());
@@ -283,7 +283,7 @@
         if reserved_until.is_some_and(|until| steady_clock::now() < until) {
             self.note_slot_result(&id, &end, kv_guard.is_some() || has_prompt);
         }
-        self.tries.note(match end {
+        self.attempts.note(match end {
             CallEnd::Answer(_) | CallEnd::Lost(_) => AttemptEnd::Ran,
             CallEnd::Denied(_) => AttemptEnd::Blocked,
             CallEnd::NotRun => AttemptEnd::Refused,
@@ -312,18 +312,18 @@
     }
 
     /// Takes a further call from the tries and the retry budget; `false` when none is allowed.
-    fn may_call(&mut self) -> bool {
+    fn allow_call(&mut self) -> bool {
         let Self {
             core,
             service,
-            tries,
+            attempts,
             ..
         } = self;
-        let may = tries.allow_call(|| core.take_retry(service));
-        if !may {
+        let is_allowed = attempts.allow_call(|| core.take_retry(service));
+        if !is_allowed {
             self.request.trace.note(format_args!("retry budget spent"));
         }
-        may
+        is_allowed
     }
 
     /// Records whether an engine honoured its own reservation; `has_kv` when the request needs a KV cache that may have
@@ -342,18 +342,18 @@
     }
 
     /// Takes the retry for the next call from the budget in advance; `false` when it is exhausted.
-    pub fn prepay_retry(&mut self) -> bool {
+    pub fn reserve_retry(&mut self) -> bool {
         let Self {
             core,
             service,
-            tries,
+            attempts,
             ..
         } = self;
-        let is_paid = tries.reserve_retry(|| core.take_retry(service));
-        if !is_paid {
+        let is_reserved = attempts.reserve_retry(|| core.take_retry(service));
+        if !is_reserved {
             self.request.trace.note(format_args!("retry budget spent"));
         }
-        is_paid
+        is_reserved
     }
 
     async fn take_answer(&mut self, answer: UpstreamAnswer) -> Result<StreamStart, ErrorResponse> {
--- a/crates/relay/src/stream_flow/prefill.rs
+++ b/crates/relay/src/stream_flow/prefill.rs
@@ -40,10 +40,10 @@
         let Self {
             core,
             service,
-            tries,
+            attempts,
             ..
         } = self;
-        if !tries.allow_prefill(|| core.take_retry(service)) {
+        if !attempts.allow_prefill(|| core.take_retry(service)) {
             return None;
         }
         let upstream = choice.upstream;
@@ -55,7 +55,7 @@
         };
         let began = steady_clock::now();
         let end = self.core.call(plan, upstream.clone()).await;
-        self.tries.note(match end {
+        self.attempts.note(match end {
             CallEnd::Answer(_) => AttemptEnd::Prefilled,
             CallEnd::Denied(_) => AttemptEnd::Blocked,
             CallEnd::Lost(_) | CallEnd::NotRun => AttemptEnd::PrefillRefused,
@@ -103,7 +103,7 @@
         }
         let now = steady_clock::now();
         if !choice.is_cached {
-            self.note_pace(&upstream.id, choice.queued_tokens, now - began, now);
+            self.note_duration(&upstream.id, choice.queued_tokens, now - began, now);
         }
         let handle = self.core.dialect.prefill_reply(&upstream, &bytes)?;
         let guard = ResourceGuard::for_kv(self.core.clone(), upstream, handle.clone(), tokens);
@@ -111,14 +111,14 @@
     }
 
     /// Records the duration of a prefill with `ahead` tokens queued before it at the engine.
-    fn note_pace(&self, engine: &UpstreamId, ahead: u64, took: Duration, now: Instant) {
+    fn note_duration(&self, engine: &UpstreamId, ahead: u64, took: Duration, now: Instant) {
         let noted = self
             .core
             .upstreams
             .lock()
             .note_prefill(engine, ahead, took, now);
-        if let Some(pace) = noted {
-            let alone = pace.unqueued(self.request.prompt_tokens());
+        if let Some(estimate) = noted {
+            let alone = estimate.unqueued(self.request.prompt_tokens());
             self.core.note_prefill(&self.service, alone, took);
         }
     }
--- a/crates/relay/src/stream_pump.rs
+++ b/crates/relay/src/stream_pump.rs
@@ -93,7 +93,7 @@
                     let Some(slot) = self.other_slot().await else {
                         continue;
                     };
-                    if !self.flow.prepay_retry() {
+                    if !self.flow.reserve_retry() {
                         continue;
                     }
                     match self.resume(Some(slot)).await {
@@ -154,7 +154,7 @@
         drop(answer.connection);
         drop(answer.body);
         let until = steady_clock::now() + RESUME_WAIT;
-        if flow.route.repeat == RepeatRule::Resumable && flow.may_go_on() {
+        if flow.route.repeat == RepeatRule::Resumable && flow.can_continue() {
             let started = tokio::select! {
                 () = sender.closed() => return None,
                 started = flow.start(last_id.clone(), slot, until) => started,
@@ -205,7 +205,7 @@
     /// A stream that may not resume elsewhere is waited for until its deadline: silence alone is no reason to cut it.
     fn longest_wait(&self) -> Duration {
         let left = self.flow.request.left();
-        let may_leave = self.flow.route.repeat == RepeatRule::Resumable && self.flow.may_go_on();
+        let may_leave = self.flow.route.repeat == RepeatRule::Resumable && self.flow.can_continue();
         match self.flow.route.between_events {
             Some(pause) if may_leave => left.min(pause * SILENCE_FACTOR),
             _ => left,
