--- a/crates/trestlewalk/src/admin/admin_server.rs
+++ b/crates/trestlewalk/src/admin/admin_server.rs
@@ -1,4 +1,4 @@
-//! The admin server. It is the last part to close, so that operators can watch the others go.
+//! The admin server. It closes last, so that operators can watch the other parts close.
 
 use {
     crate::admin::{AdminState, ReadyReply, StatusSource, TableStatus},
@@ -26,7 +26,7 @@
 }
 
 impl AdminServer {
-    /// Answers what was asked already, for at most `limit`, and stops.
+    /// Stops accepting requests, and waits at most `limit` for those in flight.
     pub async fn close(self, limit: Duration) {
         self.signal.raise();
         let stop = self.task.abort_handle();
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Starts to answer at `listener`.
+    /// Starts serving on `listener`.
     pub fn start<S: StatusSource>(listener: TcpListener, state: AdminState<S>) -> Self {
         let signal = CloseSignal::new();
         let shutdown = signal.clone();
--- a/crates/trestlewalk/src/admin/admin_state.rs
+++ b/crates/trestlewalk/src/admin/admin_state.rs
@@ -1,4 +1,4 @@
-//! What the admin server answers from.
+//! The state behind the admin server.
 
 use {
     crate::admin::{ReadinessState, StatusSource},
@@ -7,16 +7,16 @@
     std::sync::Arc,
 };
 
-/// The shared state behind the admin server. Clones share it.
+/// What the handlers of the admin server read. Clones share the same parts.
 #[derive(bon::Builder)]
 pub struct AdminState<S> {
-    /// Whether the instance is ready.
+    /// The conditions that decide whether the instance is ready.
     pub readiness: Arc<ReadinessState>,
-    /// What plug-ins dump.
+    /// The state that plug-ins dump.
     pub map: StateMap,
-    /// The metrics.
+    /// The registry that `/metrics` renders.
     pub registry: Registry,
-    /// Which table is in force.
+    /// Reports which table is in force.
     pub source: Arc<S>,
 }
 
--- a/crates/trestlewalk/src/admin/readiness_state.rs
+++ b/crates/trestlewalk/src/admin/readiness_state.rs
@@ -1,4 +1,4 @@
-//! Whether the instance may get requests, and if not, why.
+//! Whether the instance accepts requests, and if not, why.
 
 use {
     kernel::{LockRank, RankedLock},
@@ -8,17 +8,17 @@
 /// Names one condition, such as `table`.
 pub type ReadyCondition = &'static str;
 
-/// The condition of an instance that closes.
+/// The condition that a closing instance does not meet.
 pub const CLOSING_CONDITION: ReadyCondition = "closing";
 
-/// The conditions that keep the instance from being ready. Each part sets its own by name.
+/// The conditions that are not met yet. The instance is ready when there are none; each part sets its own by name.
 #[derive(Debug)]
 pub struct ReadinessState {
     reasons: RankedLock<BTreeMap<ReadyCondition, Arc<str>>>,
 }
 
 impl ReadinessState {
-    /// Says why a condition does not hold, in place of an earlier reason.
+    /// Marks a condition as not met; the reason replaces an earlier one.
     pub fn block(&self, condition: ReadyCondition, reason: impl Into<Arc<str>>) {
         let reason = reason.into();
         let before = self.reasons.lock().insert(condition, reason.clone());
@@ -28,7 +28,7 @@
         tracing::info!(condition, %reason, "not ready");
     }
 
-    /// Says that a condition holds.
+    /// Marks a condition as met.
     pub fn clear(&self, condition: ReadyCondition) {
         let mut reasons = self.reasons.lock();
         let before = reasons.remove(condition);
@@ -37,20 +37,20 @@
         if before.is_none() {
             return;
         }
-        tracing::info!(condition, ready, "condition holds");
+        tracing::info!(condition, ready, "condition met");
     }
 
-    /// Whether the instance is on its way out.
+    /// Whether the instance is closing.
     pub fn is_closing(&self) -> bool {
         self.reasons.lock().contains_key(CLOSING_CONDITION)
     }
 
-    /// Whether all conditions hold.
+    /// Whether all conditions are met.
     pub fn is_ready(&self) -> bool {
         self.reasons.lock().is_empty()
     }
 
-    /// A board without conditions.
+    /// A state without conditions, so that the instance counts as ready.
     pub fn new() -> Self {
         Self {
             reasons: RankedLock::new(LockRank::Samples, BTreeMap::new()),
--- a/crates/trestlewalk/src/admin/table_status.rs
+++ b/crates/trestlewalk/src/admin/table_status.rs
@@ -1,4 +1,4 @@
-//! Which table is in force.
+//! The status of the table in force.
 
 use {
     kernel::{InstanceId, TableDigest, TableVersion, ZoneId},
@@ -6,12 +6,12 @@
     serde_with::{DisplayFromStr, serde_as},
 };
 
-/// What `/table` answers.
+/// The body of `/table`.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TableStatus {
-    /// Since when neither the instance nor its peers hear from the platform, milliseconds since the Unix epoch; none
-    /// while they do.
+    /// Since when neither the instance nor its peers get answers from the platform, in milliseconds since the Unix
+    /// epoch; `None` while one of them does.
     #[serde(default)]
     pub cut_off_since: Option<u64>,
     /// The hash of the table's content; a string, since JSON readers round numbers of 64 bits.
@@ -19,7 +19,7 @@
     pub digest: TableDigest,
     /// The instance that answers.
     pub instance: InstanceId,
-    /// When the version came into force at this instance, milliseconds since the Unix epoch; 0 without a table.
+    /// When the version came into force at this instance, in milliseconds since the Unix epoch; 0 without a table.
     pub since: u64,
     /// The version in force; 0 without a table.
     pub version: TableVersion,
@@ -27,8 +27,8 @@
     pub zone: ZoneId,
 }
 
-/// Whoever knows which table is in force.
+/// A source of the status that `/table` reports.
 pub trait StatusSource: Send + Sync + 'static {
-    /// The table in force now.
+    /// The status at the moment of the call.
     fn table_status(&self) -> TableStatus;
 }
--- a/crates/trestlewalk/src/arguments.rs
+++ b/crates/trestlewalk/src/arguments.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Parser)]
 #[command(after_help = EXAMPLES, max_term_width = 100, name = "trestlewalk", version)]
 pub struct CliArguments {
-    /// What to do.
+    /// The subcommand to run.
     #[command(subcommand)]
     pub subcommand: Subcommand,
 }
--- a/crates/trestlewalk/src/client/client_error.rs
+++ b/crates/trestlewalk/src/client/client_error.rs
@@ -1,50 +1,50 @@
-//! Why a call got no answer.
+//! Errors of calls to a running instance.
 
 use {
     snafu::Snafu,
     std::{net::SocketAddr, time::Duration},
 };
 
-/// An error of [`HttpClient`](crate::client::HttpClient).
+/// Why [`HttpClient`](crate::client::HttpClient) got no complete answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ClientError {
-    /// The answer ended early.
+    /// The connection ended within the answer.
     #[snafu(display("the answer of {address} ended early: {source}"))]
     AnswerCut {
-        /// The address.
+        /// The address that was called.
         address: SocketAddr,
-        /// Why.
+        /// The underlying error.
         source: hyper::Error,
     },
-    /// The call can't be sent as HTTP.
+    /// The call is not a valid HTTP request.
     #[snafu(display("the call can't be sent: {source}"))]
     BadCall {
-        /// Why.
+        /// The underlying error.
         source: hyper::http::Error,
     },
-    /// The connection was lost: the call may have arrived.
+    /// The connection was lost before an answer came; the call may have arrived.
     #[snafu(display("{address} closed the connection without an answer: {detail}"))]
     ConnectionLost {
-        /// The address.
+        /// The address that was called.
         address: SocketAddr,
-        /// Why, from the outermost cause to the innermost.
+        /// The chain of causes, from the outermost to the innermost.
         detail: String,
     },
-    /// No connection came about: nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[snafu(display("{address} can't be reached: {detail}"))]
     NotConnected {
-        /// The address.
+        /// The address that was called.
         address: SocketAddr,
-        /// Why, from the outermost cause to the innermost.
+        /// The chain of causes, from the outermost to the innermost.
         detail: String,
     },
-    /// No answer came in time.
+    /// No complete answer came before the timeout.
     #[snafu(display("{address} gave no answer within {}", humantime::format_duration(*limit)))]
     TimedOut {
-        /// The address.
+        /// The address that was called.
         address: SocketAddr,
-        /// The time that the call might take.
+        /// The timeout of the call.
         limit: Duration,
     },
 }
--- a/crates/trestlewalk/src/client/client_reply.rs
+++ b/crates/trestlewalk/src/client/client_reply.rs
@@ -1,16 +1,16 @@
-//! A whole answer.
+//! A complete answer.
 
 use {
     hyper::{StatusCode, body::Bytes},
     kernel::ResultCode,
 };
 
-/// The answer to a call.
+/// A complete answer to a call.
 #[derive(Clone, Debug)]
 pub struct ClientReply {
     /// The body.
     pub body: Bytes,
-    /// The numbered result, when the answer carries one that this version knows.
+    /// The result code of the answer; `None` when it has none, or one that this version does not know.
     pub code: Option<ResultCode>,
     /// The HTTP status.
     pub status: StatusCode,
--- a/crates/trestlewalk/src/client/client_request.rs
+++ b/crates/trestlewalk/src/client/client_request.rs
@@ -1,4 +1,4 @@
-//! One call.
+//! One HTTP call.
 
 use {
     bon::Builder,
@@ -6,10 +6,10 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// What to send, and how long to wait for the whole answer.
+/// A request to send, and how long to wait for the complete answer.
 #[derive(Builder, Clone, Debug)]
 pub struct ClientRequest {
-    /// Where to.
+    /// The address of the instance.
     pub address: SocketAddr,
     /// The body.
     #[builder(default)]
@@ -17,12 +17,12 @@
     /// The headers.
     #[builder(default)]
     pub headers: Vec<(HeaderName, Arc<str>)>,
-    /// How long the whole answer may take.
+    /// The timeout, up to the last byte of the answer.
     pub limit: Duration,
     /// The method.
     #[builder(default = Method::GET)]
     pub method: Method,
-    /// The path.
+    /// The path, with the query if there is one.
     #[builder(into)]
     pub path: Arc<str>,
 }
--- a/crates/trestlewalk/src/client/http_client.rs
+++ b/crates/trestlewalk/src/client/http_client.rs
@@ -1,4 +1,4 @@
-//! Sends calls, one connection each.
+//! Sends HTTP calls, each on a connection of its own.
 
 use {
     crate::client::{
@@ -19,14 +19,14 @@
     std::error::Error,
 };
 
-/// Sends calls and reads whole answers.
+/// Sends calls and reads complete answers.
 #[derive(Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that keeps no connections.
+    /// Creates a client that keeps no idle connections.
     pub fn new() -> Self {
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
@@ -34,11 +34,11 @@
         Self { client }
     }
 
-    /// Sends one call and reads the whole answer.
+    /// Sends one call and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// No whole answer came in time.
+    /// No complete answer came before the timeout of the call.
     pub async fn send(&self, call: ClientRequest) -> Result<ClientReply, ClientError> {
         let (address, limit) = (call.address, call.limit);
         tokio::time::timeout(limit, self.exchange(call))
--- a/crates/trestlewalk/src/demo.rs
+++ b/crates/trestlewalk/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: a whole system in one process on loopback, and a small day of work for it.
+//! The demonstration: a complete system in one process on loopback, under the load of a short simulated day.
 
 pub mod day_plan;
 pub mod day_report;
--- a/crates/trestlewalk/src/demo/day_plan.rs
+++ b/crates/trestlewalk/src/demo/day_plan.rs
@@ -1,4 +1,4 @@
-//! The work of a small day: it rises with office hours and falls again.
+//! The load of a simulated day: request rates rise to a peak at noon and fall again.
 
 use {
     rand::{RngExt, SeedableRng},
@@ -6,22 +6,22 @@
     std::{f64::consts::PI, time::Duration},
 };
 
-/// One kind of work at its peak.
+/// One kind of work, with its rate at the peak.
 #[derive(Clone, Copy, Debug)]
 pub struct DayWork {
-    /// The most tokens asked for; 0 for plain services.
+    /// The `max_tokens` of the request; 0 for plain services.
     pub max_tokens: u32,
     /// The path of the request.
     pub path: &'static str,
-    /// Requests a second at the peak.
+    /// Requests per second at the peak.
     pub peak: f64,
-    /// The shortest and the longest prompt, tokens.
+    /// The shortest and the longest prompt, in tokens.
     pub prompt_tokens: (u32, u32),
-    /// The row of the table.
+    /// The kind of work, which names a row of the table.
     pub work: &'static str,
 }
 
-/// What the callers of both deployments ask for.
+/// The kinds of work that the simulated callers request.
 pub const WORKS: [DayWork; 8] = [
     plain("booking-page", "/services/booking-app/pages/home", 15.0),
     plain("chart-tile", "/services/carta/tiles/12/7/3", 25.0),
@@ -36,26 +36,26 @@
 /// One request of the day.
 #[derive(Clone, Debug)]
 pub struct DayArrival {
-    /// When it comes, from the start of the day.
+    /// The arrival time, from the start of the day.
     pub at: Duration,
-    /// Counts the arrivals.
+    /// The position in the order of arrival, from 0.
     pub number: u64,
-    /// The prompt's length, tokens.
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// What it asks for.
+    /// The kind of work.
     pub work: DayWork,
 }
 
-/// All requests of a day, in order.
+/// All requests of a day, in order of arrival.
 pub struct DayPlan {
     /// The requests.
     pub arrivals: Vec<DayArrival>,
-    /// How long the day is.
+    /// The duration of the day.
     pub length: Duration,
 }
 
 impl DayPlan {
-    /// The day that a seed gives.
+    /// Draws the requests of a day; the same seed gives the same requests.
     pub fn new(length: Duration, seed: u64) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut arrivals = Vec::new();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Draws arrivals at the peak rate and keeps the share that the time of day asks for.
+/// Draws a Poisson process at the peak rate, and thins it to the rate at the time of day.
 fn draw_arrivals(
     random: &mut Pcg64Mcg,
     length: Duration,
--- a/crates/trestlewalk/src/demo/day_report.rs
+++ b/crates/trestlewalk/src/demo/day_report.rs
@@ -1,4 +1,4 @@
-//! What became of the day's requests, by row.
+//! The outcomes of the day's requests, by row of the table.
 
 use {
     hdrhistogram::Histogram,
@@ -11,18 +11,18 @@
 
 const MICROS_IN_MILLI: f64 = 1_000.0;
 
-/// When the tokens of one answer came.
+/// The latencies of one answer.
 #[derive(Clone, Debug, Default)]
 pub struct CallTimes {
-    /// From one token to the next.
+    /// The time from each token to the next.
     pub between: Vec<Duration>,
-    /// From the request to the first token, or to the whole answer of a plain service.
+    /// The time from the request to the first token, or to the complete answer of a plain service.
     pub first: Duration,
 }
 
 impl CallTimes {
-    /// Notes a token that came now.
-    pub fn note(&mut self, started: Instant, last: &mut Option<Instant>) {
+    /// Records a token that arrived now.
+    pub fn record_token(&mut self, started: Instant, last: &mut Option<Instant>) {
         let now = Instant::now();
         match last.replace(now) {
             Some(before) => self.between.push(now - before),
@@ -31,18 +31,18 @@
     }
 }
 
-/// What became of one request.
+/// The outcome of one request.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
-    /// The whole answer came, and is the request's own.
+    /// The complete answer came, and is the expected one.
     Answered(CallTimes),
-    /// Anything else.
+    /// The request failed for the given reason.
     Failed(String),
-    /// Refused as not run.
+    /// The request was refused and did not run.
     Refused,
 }
 
-/// The requests of one row.
+/// The statistics of one row of the table.
 #[derive(Debug, Default)]
 struct RowStats {
     answered: u64,
@@ -53,16 +53,16 @@
     wasted_tokens: u64,
 }
 
-/// The whole day.
+/// The outcomes of all requests of the day.
 #[derive(Debug, Default)]
 pub struct DayReport {
-    /// Why requests failed, with counts.
+    /// The reasons of failed requests, with their counts.
     pub failures: BTreeMap<String, u64>,
     rows: BTreeMap<String, RowStats>,
 }
 
 impl DayReport {
-    /// Answered, refused and failed requests of all rows.
+    /// The number of answered, refused and failed requests over all rows.
     pub fn totals(&self) -> (u64, u64, u64) {
         let rows = self.rows.values();
         rows.fold((0, 0, 0), |sum, row| {
@@ -74,11 +74,11 @@
         })
     }
 
-    /// Takes one request in.
-    pub fn note(&mut self, work: &str, outcome: CallOutcome) {
+    /// Records the outcome of one request.
+    pub fn record(&mut self, work: &str, outcome: CallOutcome) {
         let row = self.rows.entry(work.to_owned()).or_default();
         match outcome {
-            CallOutcome::Answered(times) => row.note_times(&times),
+            CallOutcome::Answered(times) => row.record_times(&times),
             CallOutcome::Failed(reason) => {
                 row.failed += 1;
                 *self.failures.entry(reason).or_default() += 1;
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Adds prompt tokens that were read for a row and led to no answer.
-    pub fn note_wasted(&mut self, work: &str, tokens: u64) {
+    /// Adds prompt tokens that were prefilled for a row and wasted.
+    pub fn record_wasted(&mut self, work: &str, tokens: u64) {
         self.rows.entry(work.to_owned()).or_default().wasted_tokens += tokens;
     }
 }
 
 impl RowStats {
-    fn note_times(&mut self, times: &CallTimes) {
+    fn record_times(&mut self, times: &CallTimes) {
         self.answered += 1;
         record(&mut self.first, times.first);
         for between in &times.between {
@@ -151,6 +151,6 @@
     let Some(histogram) = histogram else {
         return;
     };
-    // The histogram grows as needed, so that every value fits.
+    // The histogram resizes itself, so that no value is out of range.
     let _ = histogram.record(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX));
 }
--- a/crates/trestlewalk/src/demo/day_run.rs
+++ b/crates/trestlewalk/src/demo/day_run.rs
@@ -1,4 +1,4 @@
-//! Runs the day: sends the requests, edits the table at noon, ends an engine in the afternoon.
+//! Runs the simulated day: sends the requests, edits the table at noon, and kills an engine in the afternoon.
 
 use {
     crate::{
@@ -16,23 +16,23 @@
     tokio::{sync::mpsc, time},
 };
 
-/// The engine that ends in the afternoon.
+/// The engine that is killed in the afternoon.
 const KILLED_ENGINE: &str = "santander-glaze-llm-decode-2";
-/// How often progress is shown.
+/// How often progress is printed.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What happens beside the requests.
+/// What happens during the day apart from requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum DayEvent {
     Afternoon,
     Noon,
 }
 
-/// Runs a day in a system.
+/// Runs the planned day against a running system, and prints its progress.
 ///
 /// # Errors
 ///
-/// The edit at noon is refused.
+/// The edit at noon fails.
 pub async fn run_day(system: &mut DemoSystem, plan: DayPlan) -> Result<DayReport, RunError> {
     let total = plan.arrivals.len();
     let length = plan.length;
@@ -59,7 +59,7 @@
                 let Some((work, outcome)) = outcome else {
                     break;
                 };
-                report.note(work, outcome);
+                report.record(work, outcome);
                 done += 1;
             }
             _ = progress.tick() => println!("{:>3} s: {done} of {total} requests done", started.elapsed().as_secs()),
@@ -71,17 +71,17 @@
         }
     }
     let _ = day.await;
-    note_wasted(system, &mut report);
+    record_wasted(system, &mut report);
     Ok(report)
 }
 
-fn note_wasted(system: &DemoSystem, report: &mut DayReport) {
+fn record_wasted(system: &DemoSystem, report: &mut DayReport) {
     for entry in &system.entries {
         let Some(metrics) = entry.map.get::<FlowMetrics>() else {
             continue;
         };
         for (work, tokens) in metrics.wasted_by_work() {
-            report.note_wasted(&work, tokens);
+            report.record_wasted(&work, tokens);
         }
     }
 }
--- a/crates/trestlewalk/src/demo/demo_call.rs
+++ b/crates/trestlewalk/src/demo/demo_call.rs
@@ -1,4 +1,4 @@
-//! A caller of the demonstration: sends one request and checks every byte of its answer.
+//! The caller of the demonstration: sends requests and checks every byte of their answers.
 
 use {
     crate::demo::{
@@ -22,7 +22,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends requests. Clones share their connections.
+/// Sends requests to entry instances. Clones share their connections.
 #[derive(Clone)]
 pub struct DemoCaller {
     pool: HttpPool<Full<Bytes>>,
@@ -37,7 +37,7 @@
 }
 
 impl DemoCaller {
-    /// Sends a request to an entry instance and reads its answer.
+    /// Sends one request to an entry instance, reads its answer and compares it with the expected one.
     pub async fn call(&self, address: SocketAddr, arrival: &DayArrival) -> CallOutcome {
         let prompt = prompt(arrival);
         let Some(request) = build(address, arrival, &prompt) else {
@@ -85,7 +85,7 @@
         .ok()
 }
 
-/// A prompt of the arrival's length that no other arrival has.
+/// Makes a prompt of the planned length that no other request of the day has.
 fn prompt(arrival: &DayArrival) -> String {
     let length = arrival.prompt_tokens as usize * BYTES_PER_TOKEN;
     let mut prompt = format!("{} {}: ", arrival.work.work, arrival.number);
@@ -145,7 +145,7 @@
                 return CallOutcome::Failed(chunk["error"]["message"].to_string());
             };
             text.push_str(token);
-            times.note(started, &mut last);
+            times.record_token(started, &mut last);
         }
     }
     CallOutcome::Failed("the stream was cut".to_owned())
@@ -154,6 +154,6 @@
 fn check_text(text: &str, expected: &str, times: CallTimes) -> CallOutcome {
     match text == expected {
         true => CallOutcome::Answered(times),
-        false => CallOutcome::Failed("the answer is not the request's own".to_owned()),
+        false => CallOutcome::Failed("the answer is not the expected one".to_owned()),
     }
 }
--- a/crates/trestlewalk/src/demo/demo_system.rs
+++ b/crates/trestlewalk/src/demo/demo_system.rs
@@ -1,4 +1,5 @@
-//! The processes of the demonstration, all in this one.
+//! The system of the demonstration: the platform, the engines, the services and the entry instances, all in this
+//! process.
 
 use {
     crate::{
@@ -28,26 +29,26 @@
     tokio::time,
 };
 
-/// How often a condition is looked at.
+/// How often a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the system may take to get ready, or an edit to come into force.
+/// How long to wait until the system is ready, or until an edit is in force.
 const WAIT_LIMIT: Duration = Duration::from_secs(15);
 
 /// One entry instance of the demonstration.
 pub struct DemoEntry {
-    /// Its addresses.
+    /// The addresses that it listens at.
     pub line: ReadyLine,
-    /// Its state, as its plug-ins see it.
+    /// The state that its plug-ins read.
     pub map: StateMap,
     process: EntryProcess,
-    /// Its availability zone.
+    /// The availability zone that it runs in.
     pub zone: &'static str,
 }
 
 /// The running system.
 pub struct DemoSystem {
     engines: BTreeMap<String, StandInEngine>,
-    /// The entry instances, one an availability zone.
+    /// The entry instances, one per availability zone.
     pub entries: Vec<DemoEntry>,
     platform: StandInPlatform,
     repository: TableRepository<HttpPlatform>,
@@ -55,7 +56,7 @@
 }
 
 impl DemoSystem {
-    /// Closes the entry instances gracefully, then the stand-ins.
+    /// Closes the entry instances gracefully, then the stand-ins. Returns how many requests the closes cut off.
     pub async fn close(self) -> u64 {
         let mut cut = 0;
         for entry in self.entries {
@@ -71,7 +72,7 @@
         cut
     }
 
-    /// Applies a table, and says for each availability zone how long it took to come into force.
+    /// Applies a table, and returns for each availability zone how long it took to come into force.
     ///
     /// # Errors
     ///
@@ -87,7 +88,7 @@
         Ok(times)
     }
 
-    /// Ends an engine in the middle of its work, as a crash would. The platform's list learns of it later.
+    /// Stops an engine while it serves requests, as a crash would. The platform's list drops it only afterwards.
     pub async fn kill_engine(&mut self, name: &str) {
         let Some(engine) = self.engines.remove(name) else {
             return;
@@ -128,7 +129,7 @@
         Ok(system)
     }
 
-    /// Prompt tokens read by all engines, and of them those that led to no answer, as the engines count them.
+    /// The prompt tokens that all engines prefilled, and how many of them were wasted, as the engines count them.
     pub fn wasted_tokens(&self) -> (u64, u64) {
         let counters = self.engines.values().map(StandInEngine::counters);
         let counts =
--- a/crates/trestlewalk/src/demo/system_plan.rs
+++ b/crates/trestlewalk/src/demo/system_plan.rs
@@ -1,4 +1,4 @@
-//! What the demonstration is made of.
+//! The configuration of the system of the demonstration.
 
 use {
     engine::wire::route_role::EngineRole,
@@ -9,13 +9,13 @@
 
 /// The availability zones.
 pub const ZONES: [&str; 3] = ["gijon", "santander", "ferrol"];
-/// The models with their services.
+/// The services with model engines, each with its model.
 pub const MODELS: [(&str, &str); 2] = [("redactor", "redactor-13b"), ("glaze-llm", "glaze-7b")];
 /// The plain services.
 pub const SERVICES: [&str; 2] = ["booking-app", "carta"];
-/// Decode engines of each model in each availability zone.
+/// The number of decode engines of each model in each availability zone.
 pub const DECODE_ENGINES: usize = 2;
-/// How the lengths of answers spread.
+/// The distribution of the lengths of answers.
 pub const LENGTH_SPREAD: LengthSpread = LengthSpread { least_share: 0.4 };
 
 /// The table at the start of the day.
@@ -31,8 +31,8 @@
 wreck-contact,redactor,redactor-13b,2,4,60,,,,40s,yes,3,0.05
 ";
 
-/// What the operator changes at noon: kiln logs wait behind everything, and twelve of them run at once, four in each
-/// availability zone.
+/// The operator's edit at noon, as the old and the new start of a row. `kiln-log` gets the lowest priority, and at most
+/// twelve of its requests run at once, four in each availability zone.
 pub const NOON_EDIT: (&str, &str) = (
     "kiln-log,glaze-llm,glaze-7b,5,1,60,",
     "kiln-log,glaze-llm,glaze-7b,9,1,12,",
@@ -59,7 +59,7 @@
     }
 }
 
-/// A line of the platform's list.
+/// An entry of the platform's list of instances; the list names a live instance.
 pub fn list_record(
     name: &str,
     zone: &str,
--- a/crates/trestlewalk/src/entry.rs
+++ b/crates/trestlewalk/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry instance: what `serve` runs, from the first socket to the last step of closing.
+//! The processes that `serve` and `relay` run, from opening the sockets to the last step of the close.
 
 pub mod allocator_factory;
 pub mod bounded_log;
--- a/crates/trestlewalk/src/entry/allocator_factory.rs
+++ b/crates/trestlewalk/src/entry/allocator_factory.rs
@@ -1,4 +1,4 @@
-//! Makes the allocators of cells, and tells each its share of the rows' limits.
+//! Creates the allocators of cells, and computes the share of the rows' limits that each enforces.
 
 use {
     admit::CellAllocator,
@@ -9,7 +9,7 @@
     table::WorkTable,
 };
 
-/// Makes allocators that draw from a seed.
+/// Creates allocators whose random choices come from a seed.
 pub struct AllocatorFactory {
     board: Arc<UpstreamBoard>,
     seed: u64,
@@ -17,7 +17,7 @@
 }
 
 impl AllocatorFactory {
-    /// A maker whose allocators draw from `seed`.
+    /// Creates a factory for the allocators of `zone`.
     pub fn new(board: Arc<UpstreamBoard>, seed: u64, zone: ZoneId) -> Self {
         Self { board, seed, zone }
     }
@@ -30,8 +30,8 @@
         CellAllocator::builder().seed(self.seed).build()
     }
 
-    /// The zones are those in which the list names engines of the model, live or not, so that a zone that is cut off
-    /// keeps to its part and no other takes it.
+    /// Limits are divided among the availability zones in which the list names engines of the model, live or not. An
+    /// availability zone that is cut off thus keeps to its share, and no other one takes it over.
     fn cell_part(&self, model: &ModelId, table: &WorkTable) -> WorkTable {
         let map = self.board.snapshot();
         let engines = map.values().filter(|entry| {
--- a/crates/trestlewalk/src/entry/bounded_log.rs
+++ b/crates/trestlewalk/src/entry/bounded_log.rs
@@ -1,7 +1,7 @@
-//! Log lines on standard output that never hold a request up.
+//! A log on standard output that never blocks a request.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the reader of the output stops, the queue fills and
-//! further lines are lost, counted, and the count is logged once there is room again.
+//! Lines go through a bounded queue to a thread that writes them. When the reader of the output stalls, the queue fills
+//! and further lines are dropped and counted. The count is logged once there is room again.
 
 use {
     crate::{entry::log_setup::level_filter, settings::LogSettings},
@@ -10,12 +10,12 @@
     tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard},
 };
 
-/// How many lines wait at most: some seconds of a burst in which every request fails, about 2 MB.
+/// The capacity of the queue: a few seconds of a burst in which every request fails, about 2 MB.
 const QUEUED_LINES_LIMIT: usize = 4_096;
-/// From one look at the count of lost lines to the next.
+/// How often the count of dropped lines is checked.
 const LOST_CHECK_PERIOD: Duration = Duration::from_secs(5);
 
-/// The log of a process. Lines that wait are written when it is closed.
+/// The log of a process. Closing it writes the queued lines.
 #[derive(Debug)]
 pub struct BoundedLog {
     guard: WorkerGuard,
@@ -23,7 +23,7 @@
 }
 
 impl BoundedLog {
-    /// Writes the lines that wait.
+    /// Writes the queued lines and stops the writer.
     pub fn close(self) {
         drop(self.guard);
     }
@@ -42,12 +42,12 @@
             .with_writer(writer)
             .try_init();
         if let Err(error) = outcome {
-            tracing::debug!(%error, "the log was started before");
+            tracing::debug!(%error, "the log is already started");
         }
         Self { guard, lost }
     }
 
-    /// Logs how many lines were lost, whenever that number has grown.
+    /// Logs how many lines were dropped, whenever that number has grown. Never returns.
     pub fn watch(&self) -> impl Future<Output = ()> + Send + 'static {
         let lost = self.lost.clone();
         async move {
--- a/crates/trestlewalk/src/entry/close_report.rs
+++ b/crates/trestlewalk/src/entry/close_report.rs
@@ -1,6 +1,6 @@
-//! How a close went.
+//! The outcome of a close.
 
-/// What the close of an instance left undone.
+/// What the close of an instance did not finish.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CloseReport {
     /// How many requests the close limit cut off.
--- a/crates/trestlewalk/src/entry/close_steps.rs
+++ b/crates/trestlewalk/src/entry/close_steps.rs
@@ -1,30 +1,30 @@
-//! The order of closing, a step a part.
+//! Runs the steps of a close.
 
 use std::{
     future::Future,
     time::{Duration, Instant},
 };
 
-/// Runs the steps of a close one after the other, all within one limit.
+/// Runs the steps of a close one after the other and keeps the deadline that they share.
 #[derive(Debug)]
 pub struct CloseSteps {
-    end: Instant,
+    deadline: Instant,
 }
 
 impl CloseSteps {
-    /// What is left of the limit.
-    pub fn left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now())
+    /// The time until the deadline; zero once it has passed.
+    pub fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Starts a close that may take `limit`.
+    /// Starts a close with a deadline in `limit` from now.
     pub fn new(limit: Duration) -> Self {
         Self {
-            end: Instant::now() + limit,
+            deadline: Instant::now() + limit,
         }
     }
 
-    /// Runs one step, and logs that it is done.
+    /// Runs one step, and logs how long it took.
     pub async fn run<T>(&self, step: &'static str, work: impl Future<Output = T>) -> T {
         let started = Instant::now();
         let outcome = work.await;
--- a/crates/trestlewalk/src/entry/control_tasks.rs
+++ b/crates/trestlewalk/src/entry/control_tasks.rs
@@ -1,4 +1,4 @@
-//! The control work around the request path: membership, table, list of instances, allocators.
+//! The background tasks beside the request path: membership, table, list of instances and allocators.
 
 use {
     crate::{
@@ -23,25 +23,25 @@
     tokio::{sync::watch, time},
 };
 
-/// How often an allocator asks its engines for their load.
+/// How often an allocator polls the load of its engines.
 const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 /// How often an allocator compares the engines' streams with the members.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the polling plan hears of the members.
+/// How often the polling plan is given the current members.
 const MEMBERS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The cells whose allocator this instance is.
+/// The cells whose allocator runs at this instance.
 type LocalCells = Arc<CellTable<AllocatorFactory, GrantRouter>>;
-/// The driver of the table.
+/// The driver of the table, shared by its tasks.
 type LocalDriver = Arc<TableDriver<EntryPlatform>>;
 
-/// The running control work.
+/// The running background tasks.
 pub struct ControlTasks {
     driver: Arc<PeerDriver>,
 }
 
 impl ControlTasks {
-    /// Tells the other instances that this life is over.
+    /// Tells the other instances that this incarnation ends.
     pub async fn close(self) {
         PeerDriver::clone(&self.driver).close().await;
     }
@@ -51,11 +51,11 @@
         self.driver.clone()
     }
 
-    /// Starts all of it in the pool.
+    /// Starts all tasks in the worker pool.
     ///
     /// # Errors
     ///
-    /// The socket for peers is gone.
+    /// The socket for peers is closed.
     pub fn start(components: &PathComponents, parts: &EntryParts) -> Result<Self, RunError> {
         let table = make_table(components, parts);
         let driver = Arc::new(start_members(components, parts, &table)?);
@@ -196,7 +196,7 @@
         .context(PeersSnafu)
 }
 
-/// Starts what brings the table here.
+/// Starts the tasks that keep the table up to date.
 fn start_table(
     components: &PathComponents,
     parts: &EntryParts,
@@ -218,7 +218,7 @@
     ));
 }
 
-/// Starts what the membership and the list of instances tell the rest.
+/// Starts the tasks that pass the membership and the list of instances on to the other parts.
 fn start_watch(
     components: &PathComponents,
     parts: &EntryParts,
@@ -254,14 +254,14 @@
         .spawn(watch.clone().run_state(parts.readiness.clone()));
 }
 
-/// Tells the polling plan which instances of the own availability zone live.
+/// Gives the polling plan the live instances of the own availability zone. Never returns.
 async fn watch_members(driver: Arc<PeerDriver>, table: LocalDriver, zone: String) {
     let mut ticks = time::interval(MEMBERS_INTERVAL);
     loop {
         ticks.tick().await;
         let view = driver.view();
-        let near = view.heard.iter().filter(|record| *record.zone == *zone);
-        let members: Vec<InstanceId> = near.map(|record| record.instance.clone()).collect();
+        let local = view.heard.iter().filter(|record| *record.zone == *zone);
+        let members: Vec<InstanceId> = local.map(|record| record.instance.clone()).collect();
         table.on_members(members);
     }
 }
--- a/crates/trestlewalk/src/entry/entry_identity.rs
+++ b/crates/trestlewalk/src/entry/entry_identity.rs
@@ -1,4 +1,4 @@
-//! Which life of which instance this process is.
+//! The identity of a process: which instance it runs, and in which incarnation.
 
 use {
     crate::settings::EntrySettings,
@@ -7,23 +7,23 @@
     std::{sync::Arc, time::SystemTime},
 };
 
-/// The name, the place and the life of an instance.
+/// The name, the location and the incarnation of an instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct EntryIdentity {
-    /// Tells the lives of the instance apart.
+    /// Tells this run of the instance from earlier ones; the start time in microseconds since the Unix epoch.
     pub incarnation: Incarnation,
-    /// The name.
+    /// The name of the instance.
     pub instance: InstanceId,
-    /// The region, when the settings give one.
+    /// The region; `None` when the settings give none.
     pub region: Option<Arc<str>>,
-    /// The version of the program.
+    /// The version of the binary.
     pub version: &'static str,
     /// The availability zone.
     pub zone: ZoneId,
 }
 
 impl EntryIdentity {
-    /// The identity of a life that starts at `now`.
+    /// Creates the identity of a process that starts at `now`.
     pub fn new(settings: &EntrySettings, now: SystemTime) -> Self {
         Self {
             incarnation: unix_time::micros(now),
--- a/crates/trestlewalk/src/entry/entry_parts.rs
+++ b/crates/trestlewalk/src/entry/entry_parts.rs
@@ -1,4 +1,4 @@
-//! What every part of an entry instance shares.
+//! The state that all parts of an entry instance share.
 
 use {
     crate::{admin::ReadinessState, entry::EntryIdentity, settings::EntrySettings},
@@ -7,25 +7,26 @@
     std::{sync::Arc, time::SystemTime},
 };
 
-/// The shared parts. Clones share them.
+/// The shared state. Clones refer to the same parts.
 #[derive(Clone)]
 pub struct EntryParts {
-    /// Whether the instance is ready.
+    /// The conditions that decide whether the instance is ready.
     pub readiness: Arc<ReadinessState>,
-    /// Which life of which instance this is.
+    /// The instance and its incarnation.
     pub identity: Arc<EntryIdentity>,
     /// The state that plug-ins dump.
     pub map: StateMap,
-    /// The background work.
+    /// The pool in which background tasks run.
     pub pool: WorkerPool,
-    /// The metrics.
+    /// The registry of metrics.
     pub registry: Registry,
-    /// The settings.
+    /// The settings in force.
     pub settings: Arc<EntrySettings>,
 }
 
 impl EntryParts {
-    /// The parts of a life that starts at `now`; the state map has the readiness, the identity and the settings.
+    /// Creates the state of a process that starts at `now`. The state map holds the readiness, the identity and the
+    /// settings.
     pub fn new(settings: EntrySettings, now: SystemTime) -> Self {
         let readiness = Arc::new(ReadinessState::new());
         let identity = Arc::new(EntryIdentity::new(&settings, now));
--- a/crates/trestlewalk/src/entry/entry_process.rs
+++ b/crates/trestlewalk/src/entry/entry_process.rs
@@ -1,12 +1,12 @@
 //! One entry instance from start to close.
 //!
-//! The order of closing:
+//! The steps of a close:
 //!
 //! 1. `/ready` answers 503, so that the balancer sends no new requests.
-//! 2. The request path takes no new requests, and its tickets go to a successor.
-//! 3. Queued and running requests end, for at most the close limit.
-//! 4. Background work ends.
-//! 5. The admin server ends, last.
+//! 2. The request path refuses new requests and hands its tickets over to a successor.
+//! 3. Queued and running requests get at most the close limit to end.
+//! 4. Background tasks end.
+//! 5. The admin server ends last.
 
 use {
     crate::{
@@ -39,14 +39,14 @@
 }
 
 impl EntryProcess {
-    /// Closes the parts in the order that the module states.
+    /// Closes the parts in the order given at the head of this module.
     pub async fn close(self) -> CloseReport {
         let steps = CloseSteps::new(self.parts.settings.limits.close);
         self.parts
             .readiness
             .block(CLOSING_CONDITION, "this instance is closing");
         let report = steps
-            .run("request path", self.path.close(steps.left()))
+            .run("request path", self.path.close(steps.remaining()))
             .await;
         let ended = steps
             .run("background work", self.parts.pool.close(POOL_CLOSE_LIMIT))
@@ -60,7 +60,7 @@
         report
     }
 
-    /// Runs an instance until a signal tells it to close.
+    /// Runs an instance until a signal closes it.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Opens the sockets and starts the parts. The addresses, and the state that plug-ins see, come with the process.
+    /// Opens the sockets and starts the parts. Returns the process, its addresses and the state that plug-ins read.
     ///
     /// # Errors
     ///
@@ -120,11 +120,11 @@
     }
 }
 
-/// The runtime of an entry instance, with so many threads.
+/// Builds the runtime of an entry instance with `workers` threads, at least one.
 ///
 /// # Errors
 ///
-/// The system gives no threads.
+/// The operating system refuses the threads.
 pub fn entry_runtime(workers: u32) -> io::Result<Runtime> {
     let workers = usize::try_from(workers).unwrap_or(1).max(1);
     Builder::new_multi_thread()
--- a/crates/trestlewalk/src/entry/entry_sockets.rs
+++ b/crates/trestlewalk/src/entry/entry_sockets.rs
@@ -10,9 +10,9 @@
 /// The open sockets.
 #[derive(Debug)]
 pub struct EntrySockets {
-    /// For operators.
+    /// Serves the admin server.
     pub admin: TcpListener,
-    /// For callers.
+    /// Accepts callers' requests.
     pub callers: TcpListener,
 }
 
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// An address is taken or not of this host; the error names the field of the settings.
+    /// An address is in use or does not belong to this host; the error names the field of the settings.
     pub async fn bind(listen: &ListenSettings) -> Result<Self, RunError> {
         let admin = bind_tcp("listen.admin", listen.admin).await?;
         let callers = bind_tcp("listen.callers", listen.callers).await?;
@@ -29,11 +29,11 @@
     }
 }
 
-/// Opens one socket.
+/// Opens one socket; `field` is the field of the settings that errors name.
 ///
 /// # Errors
 ///
-/// The address is taken or not of this host.
+/// The address is in use or does not belong to this host.
 pub async fn bind_tcp(field: &'static str, address: SocketAddr) -> Result<TcpListener, RunError> {
     TcpListener::bind(address)
         .await
--- a/crates/trestlewalk/src/entry/entry_tickets.rs
+++ b/crates/trestlewalk/src/entry/entry_tickets.rs
@@ -1,4 +1,5 @@
-//! The tickets of the entry instance: their table, the door before the handlers, and the sweep of old claims.
+//! The tickets of an entry instance: their table, the layer in front of the handlers that checks them, and the sweep of
+//! old claims.
 
 use {
     crate::{
@@ -18,17 +19,17 @@
     tokio::time,
 };
 
-/// How often claims that have ended are looked for.
+/// How often ended claims are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The door before the handlers of this process.
+/// The ticket layer in front of the handlers of this process.
 pub type EntryTickets = TicketDoor<EntryPlatform>;
 
-/// Makes the door of the handlers in `handlers`, and starts what serves other instances.
+/// Creates the ticket layer in front of `handlers`, and starts the tasks that answer other instances and sweep claims.
 ///
 /// # Errors
 ///
-/// A ticket can't carry the names of this instance.
+/// The names of this instance are not valid in a ticket.
 pub fn start_tickets(
     components: &PathComponents,
     parts: &EntryParts,
@@ -70,7 +71,8 @@
     TicketDesk::new(life, metrics, settings, identity.zone.clone()).context(TicketsSnafu)
 }
 
-/// The secret of this life: that of the settings, or one that is made up from the moment of its start.
+/// The secret that this process signs its tickets with: that of the settings, or one derived from the incarnation and
+/// the time.
 fn own_secret(parts: &EntryParts) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let now = now.unwrap_or_default().as_nanos();
@@ -80,13 +82,13 @@
     }
 }
 
-/// What the rows of claims are hashed with, the same at all instances.
+/// The secret that the rows of claims are hashed with; the same at all instances.
 fn shared_secret(parts: &EntryParts) -> u64 {
     let secret = parts.settings.secret.as_deref().unwrap_or_default();
     seeded_rng::mix(0, secret.as_bytes())
 }
 
-/// Removes claims that have ended, at the one instance whose turn it is.
+/// Removes ended claims periodically, at the one instance that is the sweeper among the live ones. Never returns.
 async fn sweep_claims(keeper: ClaimKeeper<EntryPlatform>, members: Arc<PeerDriver>) {
     let mut ticks = time::interval(SWEEP_INTERVAL);
     loop {
@@ -98,7 +100,7 @@
             continue;
         }
         if let Err(error) = keeper.sweep().await {
-            tracing::debug!(%error, "claims were not swept");
+            tracing::debug!(%error, "the sweep of ended claims failed");
         }
     }
 }
--- a/crates/trestlewalk/src/entry/key_files.rs
+++ b/crates/trestlewalk/src/entry/key_files.rs
@@ -1,4 +1,4 @@
-//! Reads the keys that the settings name.
+//! Loads the keys that the settings give.
 
 use {
     crate::{RunError, run_error::ReadFileSnafu, settings::KeySettings},
@@ -7,11 +7,11 @@
     std::{fs, path::PathBuf, sync::Arc},
 };
 
-/// Reads the keys from their files, or takes those inside the settings.
+/// Reads the keys from their files, or takes the inline ones of the settings when there are any.
 ///
 /// # Errors
 ///
-/// A file can't be read as text.
+/// A file can't be read, or is not UTF-8.
 pub fn load_keys(keys: &KeySettings) -> Result<PeerKeys, RunError> {
     if let Some(test) = &keys.test {
         return Ok(PeerKeys {
--- a/crates/trestlewalk/src/entry/list_poller.rs
+++ b/crates/trestlewalk/src/entry/list_poller.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of instances.
+//! Polls the platform's list of instances.
 
 use {
     flow::UpstreamBoard,
@@ -10,7 +10,7 @@
     },
 };
 
-/// Reads the list and shows it to the other parts. While the platform is down the last list stays.
+/// Polls the list and passes changes on to the other parts. While the platform is down the last list stays in use.
 pub struct ListPoller<P> {
     board: Arc<UpstreamBoard>,
     interval: Duration,
@@ -19,7 +19,8 @@
 }
 
 impl<P: InstanceList> ListPoller<P> {
-    /// A poller that shows upstreams on the board, and the whole list to `list`'s receivers.
+    /// Creates a poller that puts the listed upstreams on the board, and sends the whole list to the receivers of
+    /// `list`.
     pub fn new(
         board: Arc<UpstreamBoard>,
         interval: Duration,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Polls for as long as it is driven.
+    /// Polls every `interval`. Never returns.
     pub async fn run(self) {
         let mut ticks = time::interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/trestlewalk/src/entry/log_setup.rs
+++ b/crates/trestlewalk/src/entry/log_setup.rs
@@ -1,4 +1,4 @@
-//! Where log lines go: standard error, as text or as JSON.
+//! Logging to standard error, as text or as JSON.
 
 use {
     crate::settings::{LogFormat, LogLevel, LogSettings},
@@ -16,11 +16,11 @@
         LogFormat::Text => builder.with_ansi(false).try_init(),
     };
     if let Err(error) = outcome {
-        tracing::debug!(%error, "the log was started before");
+        tracing::debug!(%error, "the log is already started");
     }
 }
 
-/// The filter of a level.
+/// The filter that passes lines of a level and of more severe ones.
 pub fn level_filter(level: LogLevel) -> LevelFilter {
     match level {
         LogLevel::Debug => LevelFilter::DEBUG,
--- a/crates/trestlewalk/src/entry/member_watch.rs
+++ b/crates/trestlewalk/src/entry/member_watch.rs
@@ -1,4 +1,4 @@
-//! What the request path learns from the membership.
+//! Connects the request path with the membership.
 
 use {
     crate::{admin::ReadinessState, entry::AllocatorFactory},
@@ -18,17 +18,19 @@
     },
 };
 
-/// A life that no record tells of counts as gone after so long: its record may still be on its way.
+/// After this time an incarnation without a record counts as gone; until then its record may still arrive.
 const UNKNOWN_INCARNATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often marks are carried between the board and the membership.
+/// How often marks are exchanged between the board and the membership.
 const MARK_INTERVAL: Duration = Duration::from_millis(200);
-/// How often a mark that holds is raised anew; well below the lifetime of a mark.
+/// How often a mark that still applies is renewed; well below the lifetime of a mark.
 const MARK_REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
-/// The lives that are not known to run.
+/// The incarnations that are not known to run.
 #[derive(Default)]
 struct LostIncarnations {
+    /// By instance: all incarnations before this one are gone.
     gone: BTreeMap<InstanceId, Incarnation>,
+    /// Incarnations without a record, with the time when one was first looked up.
     unknown: BTreeMap<(InstanceId, Incarnation), Instant>,
 }
 
@@ -41,7 +43,7 @@
 }
 
 impl MemberWatch {
-    /// A watch over a running membership.
+    /// Creates a watch over a running membership, for an instance in `zone`.
     pub fn new(board: Arc<UpstreamBoard>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
         let lost = RankedLock::new(LockRank::Members, LostIncarnations::default());
         Self {
@@ -57,7 +59,7 @@
         self.driver.clone()
     }
 
-    /// Passes the platform's list on to the membership, for as long as it is driven.
+    /// Passes each new list of the platform on to the membership. Returns when the list's sender is gone.
     pub async fn run_list(self: Arc<Self>, mut list: watch::Receiver<Vec<InstanceRecord>>) {
         while list.changed().await.is_ok() {
             let members = listed_members(&list.borrow_and_update());
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Carries marks both ways for as long as it is driven.
+    /// Exchanges marks between the board and the membership in both directions. Never returns.
     pub async fn run_marks(self: Arc<Self>) {
         let mut published: BTreeMap<UpstreamId, (LeavingCause, Instant)> = BTreeMap::new();
         let mut ticks = time::interval(MARK_INTERVAL);
@@ -76,23 +78,23 @@
         }
     }
 
-    /// Acts on the news of the membership for as long as it is driven.
+    /// Handles the updates of the membership. Returns when the membership is closed.
     pub async fn run_updates(
         self: Arc<Self>,
         cells: Arc<CellTable<AllocatorFactory, GrantRouter>>,
         hub: Arc<CellHub>,
     ) {
-        let mut news = self.driver.news();
+        let mut updates = self.driver.news();
         loop {
-            match news.recv().await {
-                Ok(news) => self.on_update(news, &cells, &hub),
+            match updates.recv().await {
+                Ok(update) => self.on_update(update, &cells, &hub),
                 Err(RecvError::Lagged(_)) => {}
                 Err(RecvError::Closed) => return,
             }
         }
     }
 
-    /// Tells the members whether this instance takes requests, for as long as it is driven.
+    /// Publishes to the members whether this instance accepts requests. Never returns.
     pub async fn run_state(self: Arc<Self>, readiness: Arc<ReadinessState>) {
         let mut ticks = time::interval(MARK_INTERVAL);
         let mut published = None;
@@ -111,11 +113,11 @@
 
     fn on_update(
         &self,
-        news: MemberNews,
+        update: MemberNews,
         cells: &CellTable<AllocatorFactory, GrantRouter>,
         hub: &CellHub,
     ) {
-        match news {
+        match update {
             MemberNews::MemberGone { before, instance } => {
                 tracing::info!(%instance, before, "an instance is gone");
                 self.lost.lock().gone.insert(instance.clone(), before);
@@ -124,18 +126,18 @@
             MemberNews::Renewed { incarnation } => {
                 tracing::warn!(
                     incarnation,
-                    "this instance was held for gone, and has a new life"
+                    "the other instances took this instance for gone; it goes on with a new incarnation"
                 );
                 hub.renew(incarnation);
             }
             MemberNews::Superseded { by } => {
                 tracing::error!(
                     by,
-                    "another process has this instance's name and a later life"
+                    "another process runs under this instance's name with a later incarnation"
                 );
             }
             MemberNews::ZoneBack { zone } => {
-                tracing::info!(%zone, "the availability zone is heard again")
+                tracing::info!(%zone, "the availability zone is reachable again")
             }
             MemberNews::ZoneCut { zone } => {
                 tracing::warn!(%zone, "the availability zone is cut off")
@@ -144,7 +146,8 @@
         }
     }
 
-    /// The other instances' marks. Failed calls are an instance's own matter: they may be of its own network.
+    /// The marks of other instances. Marks for failed calls are left out, since the fault may lie in the network of the
+    /// instance that set them.
     fn peer_marks(&self) -> BTreeMap<UpstreamId, LeavingCause> {
         let view = self.driver.view();
         let mut marks = BTreeMap::new();
@@ -226,8 +229,8 @@
     fn zone_members(&self) -> Vec<InstanceId> {
         let view = self.driver.view();
         let serving = view.serving_in(&self.zone);
-        let fit = serving.filter(|record| !view.is_stale || record.instance != view.instance);
-        fit.map(|record| record.instance.clone()).collect()
+        let eligible = serving.filter(|record| !view.is_stale || record.instance != view.instance);
+        eligible.map(|record| record.instance.clone()).collect()
     }
 }
 
--- a/crates/trestlewalk/src/entry/path_components.rs
+++ b/crates/trestlewalk/src/entry/path_components.rs
@@ -1,4 +1,4 @@
-//! The parts of the request path that several others are made from.
+//! The components from which the request path and the background tasks are built.
 
 use {
     crate::{
@@ -21,55 +21,55 @@
     std::{collections::BTreeSet, sync::Arc, time::Duration},
 };
 
-/// How long a connection to an upstream may take to open.
+/// The timeout for opening a connection to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a short call to an engine may take.
+/// The timeout of control calls to an engine, such as a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How many reads an instance makes: a tenth of what the platform takes.
+/// The rate of reads of one instance: a tenth of what the platform accepts.
 const READ_RATE: CallRate = CallRate {
     burst: 200.0,
     per_second: 200.0,
 };
-/// How many writes an instance makes: with nine instances no more than the platform takes.
+/// The rate of writes of one instance: nine instances together stay within what the platform accepts.
 const WRITE_RATE: CallRate = CallRate {
     burst: 100.0,
     per_second: 50.0,
 };
 
-/// The platform's client of an entry instance.
+/// The client by which an entry instance calls the platform, within a budget of calls.
 pub type EntryPlatform = BudgetPlatform<HttpPlatform>;
 
-/// Parts that are shared by the request path and the control work around it.
+/// The components that the request path and the background tasks share.
 pub struct PathComponents {
-    /// The known upstreams.
+    /// The known upstreams and their states.
     pub board: Arc<UpstreamBoard>,
     /// The links to other instances.
     pub endpoint: PeerEndpoint,
-    /// The engines' client.
+    /// The client that calls engines.
     pub engine: CompletionEngine,
-    /// Whether the platform is heard.
+    /// Whether the platform answers.
     pub health: Arc<PlatformHealth>,
-    /// The way to the allocators.
+    /// The sessions with the allocators.
     pub hub: Arc<CellHub>,
-    /// Holds plain rows to their limits.
+    /// Enforces the limits of plain rows.
     pub limiter: Arc<PlainLimiter>,
-    /// The counters.
+    /// The metrics of requests.
     pub metrics: Arc<FlowMetrics>,
-    /// The platform's client.
+    /// The client that calls the platform.
     pub platform: EntryPlatform,
-    /// The background work.
+    /// The pool in which background tasks run.
     pub pool: WorkerPool,
     /// The table in force.
     pub tables: Arc<TableBoard>,
 }
 
 impl PathComponents {
-    /// Makes the parts, and puts those that plug-ins dump into the state map.
+    /// Creates the components, and puts those that plug-ins dump into the state map.
     ///
     /// # Errors
     ///
-    /// The address for peers can't be bound, the keys can't be used, or the platform's address is none.
+    /// The address for peers can't be bound, the keys can't be used, or the platform's address is invalid.
     pub fn new(parts: &EntryParts) -> Result<Self, RunError> {
         let settings = &parts.settings;
         let identity = &parts.identity;
@@ -104,7 +104,7 @@
         Ok(components)
     }
 
-    /// Cancels streams in the background.
+    /// Creates what cancels streams in the background.
     pub fn canceller(&self) -> StreamCanceller<CompletionEngine> {
         StreamCanceller::new(
             self.board.clone(),
@@ -114,7 +114,7 @@
         )
     }
 
-    /// What the handlers of callers' requests share.
+    /// The state that the handlers of callers' requests share.
     pub fn door_shared(
         &self,
         parts: &EntryParts,
@@ -166,7 +166,7 @@
         .map_err(bind_error)
 }
 
-/// Names the field of the settings when the address is at fault.
+/// Converts the error, and names the field of the settings when the address can't be bound.
 fn bind_error(error: PeerError) -> RunError {
     match error {
         PeerError::Bind { address, source } => RunError::Bind {
--- a/crates/trestlewalk/src/entry/peer_socket.rs
+++ b/crates/trestlewalk/src/entry/peer_socket.rs
@@ -1,4 +1,5 @@
-//! Where an instance talks to the others of its availability zone: a socket, and keys made at the start of the process.
+//! The socket on which an instance exchanges messages with the others of its availability zone, with keys made at the
+//! start of the process.
 
 use {
     crate::{RunError, run_error::PeersSnafu, settings::RelayFile},
@@ -9,33 +10,33 @@
     std::time::{Duration, SystemTime},
 };
 
-/// How much longer than the period of readings an instance waits for the next one before it reads the store itself.
-const LATE_READING: Duration = Duration::from_millis(350);
-/// How long a connection may take: a few round trips, and the work of both ends on small machines.
+/// How far past the period of reads an instance waits for the next one before it reads the store itself.
+const LATE_READ_MARGIN: Duration = Duration::from_millis(350);
+/// The timeout for opening a connection: a few round trips, and the handshake at both ends on slow hosts.
 const CONNECT_LIMIT: Duration = Duration::from_millis(600);
 
-/// The open socket with its keys.
+/// The open socket, with its keys and the member row that announces it.
 pub struct PeerSocket {
-    /// The socket.
+    /// The endpoint that sends and receives on the socket.
     pub endpoint: PeerEndpoint,
-    /// The keys of this life of the process.
+    /// The keys of this process, made at its start.
     pub keys: PeerKeys,
-    /// How the others know this instance.
+    /// The row by which other instances know this one.
     pub row: MemberRow,
 }
 
 impl PeerSocket {
-    /// Opens the socket that the settings name; none when they name none.
+    /// Opens the socket that the settings name; `None` when they name none.
     ///
     /// # Errors
     ///
-    /// The socket can't be opened, or the instance's name can't stand in a certificate.
+    /// The socket can't be opened, or the instance's name is not valid in a certificate.
     pub fn open(settings: &RelayFile) -> Result<Option<Self>, RunError> {
         let Some(address) = settings.listen.peers else {
             return Ok(None);
         };
         let keys = PeerKeys::self_signed(&settings.instance).context(PeersSnafu)?;
-        let call_limit = settings.platform.list_poll + LATE_READING;
+        let call_limit = settings.platform.list_poll + LATE_READ_MARGIN;
         let links = PeerSettings::builder()
             .call_timeout(call_limit)
             .connect_timeout(CONNECT_LIMIT)
--- a/crates/trestlewalk/src/entry/platform_health.rs
+++ b/crates/trestlewalk/src/entry/platform_health.rs
@@ -1,4 +1,4 @@
-//! Whether the platform is heard, by this instance or its peers: for the dump, the metrics, `/table` and the log.
+//! Whether the platform answers this instance or its peers: for the dump, the metrics, `/table` and the log.
 
 use {
     kernel::{LockRank, PluginEntry, RankedLock, StateMap, unix_time},
@@ -19,14 +19,14 @@
     }
 }
 
-/// How the platform looks at one moment.
+/// The reachability of the platform at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformSample {
-    /// Whether the silence counts as being cut off.
+    /// Whether the platform has been silent for so long that the instance counts as cut off from it.
     pub is_cut_off: bool,
     /// Whether this instance polls the platform.
     pub is_poller: bool,
-    /// How long the platform has not been heard, by this instance or by a peer that told of it.
+    /// The time since the platform last answered this instance or a peer that reported it.
     pub silence: Duration,
 }
 
@@ -36,7 +36,7 @@
     sample: PlatformSample,
 }
 
-/// The newest sample, and since when the platform has been silent for too long.
+/// The latest sample, and since when the instance has been cut off from the platform.
 #[derive(Debug)]
 pub struct PlatformHealth {
     counts: Arc<DeferCounts>,
@@ -48,16 +48,17 @@
 }
 
 impl PlatformHealth {
-    /// Since when the instance and its peers have not heard from the platform, when that is long ago.
+    /// Since when neither the instance nor its peers get answers from the platform; `None` while the instance does not
+    /// count as cut off.
     pub fn cut_off_since(&self) -> Option<SystemTime> {
         self.state.lock().cut_off_since
     }
 
-    /// A platform that was just heard; `counts` are of the calls to it.
+    /// Creates the health of a platform that counts as reachable; `counts` counts the calls to it that were deferred.
     ///
     /// # Errors
     ///
-    /// Those of the metrics library, for names that it doesn't take.
+    /// The metrics library rejects a name.
     pub fn new(counts: Arc<DeferCounts>) -> Result<Self, prometheus::Error> {
         Ok(Self {
             counts,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Takes a sample, and logs when the silence begins and ends to count.
+    /// Records a sample, and logs when the instance becomes cut off and when that ends.
     pub fn record(&self, now: SystemTime, sample: PlatformSample) {
         self.cut_off.set(i64::from(sample.is_cut_off));
         let seconds = i64::try_from(sample.silence.as_secs());
--- a/crates/trestlewalk/src/entry/process_plugin.rs
+++ b/crates/trestlewalk/src/entry/process_plugin.rs
@@ -1,4 +1,4 @@
-//! The plug-in of the process itself: its identity, its readiness, its settings.
+//! The plug-in that dumps the identity, the readiness and the settings of the process.
 
 use {
     crate::{admin::ReadinessState, entry::EntryIdentity, settings::EntrySettings},
@@ -7,7 +7,7 @@
     serde_json::{Value, json},
 };
 
-/// Fields that a dump does not show.
+/// Fields of the settings that a dump leaves out, because they hold secrets.
 const HIDDEN_FIELDS: [&str; 2] = ["keys", "secret"];
 
 kernel::inventory::submit! {
@@ -30,7 +30,7 @@
     }))
 }
 
-/// The settings in force, without what is not to be shown.
+/// The settings in force, without the hidden fields.
 fn visible_settings(settings: &EntrySettings) -> Value {
     let mut value = json!(settings);
     if let Some(fields) = value.as_object_mut() {
@@ -52,6 +52,6 @@
     };
     gauge.set(1);
     if let Err(error) = registry.register(Box::new(gauge)) {
-        tracing::debug!(%error, "the metric was registered before");
+        tracing::debug!(%error, "the metric is already registered");
     }
 }
--- a/crates/trestlewalk/src/entry/process_signals.rs
+++ b/crates/trestlewalk/src/entry/process_signals.rs
@@ -1,4 +1,4 @@
-//! The signals that tell a process to close or to read its settings again.
+//! The signals that make a process close or reload its settings.
 
 use {
     crate::{RunError, run_error::RuntimeSnafu},
@@ -6,16 +6,16 @@
     tokio::signal::unix::{Signal, SignalKind, signal},
 };
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProcessSignal {
-    /// Close.
+    /// Close gracefully.
     Close,
-    /// Read the settings again.
+    /// Reload the settings.
     Reload,
 }
 
-/// Hears SIGTERM, SIGINT and SIGHUP.
+/// Receives SIGTERM, SIGINT and SIGHUP.
 #[derive(Debug)]
 pub struct ProcessSignals {
     hangup: Signal,
@@ -24,11 +24,11 @@
 }
 
 impl ProcessSignals {
-    /// Starts to listen.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// The system refuses the handlers.
+    /// The operating system refuses the handlers.
     pub fn new() -> Result<Self, RunError> {
         Ok(Self {
             hangup: signal(SignalKind::hangup()).context(RuntimeSnafu)?,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Waits for the next signal of any kind.
+    /// Waits for the next signal: SIGHUP requests a reload, the others a close.
     pub async fn wait_any(&mut self) -> ProcessSignal {
         tokio::select! {
             _ = self.hangup.recv() => ProcessSignal::Reload,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Waits for the next signal to close.
+    /// Waits for the next SIGTERM or SIGINT.
     pub async fn wait_close(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
--- a/crates/trestlewalk/src/entry/ready_line.rs
+++ b/crates/trestlewalk/src/entry/ready_line.rs
@@ -1,4 +1,4 @@
-//! What an entry instance says when it listens.
+//! The line that an instance prints once it listens.
 
 use {
     crate::{RunError, text_output::print_line},
@@ -7,16 +7,16 @@
     std::net::SocketAddr,
 };
 
-/// The one line of JSON on standard output, with the real addresses.
+/// A line of JSON on standard output, with the addresses that the sockets are bound to.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReadyLine {
-    /// Where operators ask for metrics, state and health.
+    /// The address of the admin server.
     pub admin: SocketAddr,
-    /// Where callers send requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
     /// The name of the instance.
     pub instance: InstanceId,
-    /// Where other instances send messages; none for an instance that sends none.
+    /// The address for messages of other instances; `None` when the instance exchanges none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<SocketAddr>,
 }
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// The standard output can't be written; a reader that went away is no fault.
+    /// The standard output can't be written. A closed pipe is not an error.
     pub fn print(&self) -> Result<(), RunError> {
         print_line(&serde_json::json!(self).to_string())
     }
--- a/crates/trestlewalk/src/entry/relay_process.rs
+++ b/crates/trestlewalk/src/entry/relay_process.rs
@@ -1,4 +1,4 @@
-//! One instance that serves the operators' routes by its own view, from start to close.
+//! An instance that serves the operators' routes without an allocator, from start to close.
 
 use {
     crate::{
@@ -30,20 +30,21 @@
 
 const ADMIN_CLOSE_LIMIT: Duration = Duration::from_millis(200);
 const POOL_CLOSE_LIMIT: Duration = Duration::from_millis(200);
-/// While it is not known whether the keys are still those in force the instance is not ready.
+/// The condition that the instance knows the customers' keys that are in force.
 const KEYS_CONDITION: &str = "keys";
-/// How often that is looked at: the balancer asks once a second.
+/// How often that condition is checked. The balancer probes once a second.
 const KEYS_CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// Until the first reading the instance is not ready.
+/// The condition that the first read of the routes and the upstreams has succeeded.
 const START_CONDITION: &str = "routes";
-/// How long a reading by way of other instances may take. It bounds its own steps; this is for faults in it.
+/// The timeout of a read through other instances. Each of its steps has a timeout of its own; this one covers faults
+/// in them.
 const SHARED_READ_LIMIT: Duration = Duration::from_secs(10);
-/// An entry of the list lapses after three heartbeats without a report, the last of which came within one heartbeat before an
-/// outage.
+/// The heartbeats after which an entry of the list lapses in an outage. Entries lapse after three heartbeats without a
+/// report, and the last report may have come up to one heartbeat before the outage.
 const LAPSE_HEARTBEATS: u32 = 2;
-/// The pause after a reading by way of other instances that failed: it paces its own calls.
+/// The pause after a failed read through other instances; short, because such a read paces its own calls.
 const SHARED_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// The pause after a reading of the store that failed.
+/// The pause after a failed read of the store.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// The request path on this platform.
@@ -59,7 +60,7 @@
     settings: RelayFile,
 }
 
-/// Tells which routes are in force.
+/// Reports the version of the routes in force.
 struct RouteStatus {
     core: Arc<PlatformCore>,
     settings: RelayFile,
@@ -80,7 +81,8 @@
 }
 
 impl RelayProcess {
-    /// Closes the parts: not ready first, then the callers' connections, then the rest. Gives how many requests were cut.
+    /// Closes the instance: it stops being ready, then the callers' connections close, then the rest. Returns how many
+    /// requests were cut off.
     pub async fn close(self) -> usize {
         self.readiness
             .block(CLOSING_CONDITION, "this instance is closing");
@@ -93,7 +95,7 @@
         cut
     }
 
-    /// Reads the settings again. Those of sockets, the store and the log stay until the next start.
+    /// Reloads the settings. Changes to sockets, the store and the log take effect at the next start only.
     fn reload(&mut self, reader: &SettingsReader) {
         match reader.read() {
             Ok(settings) => {
@@ -103,11 +105,13 @@
                 tracing::info!("settings read again");
                 self.settings = settings;
             }
-            Err(error) => tracing::error!(%error, "the settings stay as they were"),
+            Err(error) => {
+                tracing::error!(%error, "the settings can't be reloaded and stay as they were")
+            }
         }
     }
 
-    /// Runs an instance until a signal tells it to close.
+    /// Runs an instance until a signal closes it; SIGHUP reloads the settings.
     ///
     /// # Errors
     ///
@@ -130,7 +134,7 @@
         Ok(())
     }
 
-    /// Opens the sockets, prints the line with their addresses before any log line, and starts the parts.
+    /// Opens the sockets, prints the line with their addresses ahead of all log lines, and starts the parts.
     ///
     /// # Errors
     ///
@@ -193,7 +197,7 @@
     }
 }
 
-/// Keeps the instance from being sent requests while it can't tell which keys hold.
+/// Keeps the instance not ready while it does not know which keys are in force. Never returns.
 async fn watch_keys(core: &PlatformCore, readiness: &ReadinessState) {
     loop {
         match core.knows_keys() {
@@ -239,7 +243,7 @@
         .prefill_share(orders.prefill_share)
         .spare_floor(usize::try_from(orders.spare_floor).unwrap_or(usize::MAX))
         .build();
-    // A restarted process is another holder: it can't know what the one before it ordered.
+    // A restarted process is a new holder of the lease, since it does not know the orders of the process before it.
     let life = unix_time::micros(SystemTime::now());
     StageSettings::builder()
         .checks_fence(orders.checks_fence)
@@ -249,7 +253,7 @@
         .build()
 }
 
-/// Starts to read the store, by itself or together with the other instances of the zone.
+/// Starts reading the store, alone or together with the other instances of the availability zone.
 fn start_watch(
     settings: &RelayFile,
     core: &Arc<PlatformCore>,
@@ -325,7 +329,8 @@
 
 fn watch_times(settings: &RelayFile, read_limit: Duration, list_retry: Duration) -> WatchTimes {
     let platform = &settings.platform;
-    // Each answer to a watch tells anew that the keys are those in force.
+    // Each answer to a watch confirms that the known keys are in force, so a wait lasts at most a fifth of
+    // `revoked_within`.
     let within = settings.customers.revoked_within;
     let watch_wait = within.map_or(platform.poll, |within| platform.poll.min(within / 5));
     WatchTimes::builder()
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -1,4 +1,4 @@
-//! The request path, from the callers' socket to the upstreams, with the control work around it.
+//! The request path, from the callers' socket to the upstreams, with the background tasks beside it.
 
 use {
     crate::{
@@ -23,7 +23,8 @@
     tokio::{net::TcpListener, task::JoinHandle, time},
 };
 
-/// The least time after the last answer, and the time after a cut, in which what is written still goes out.
+/// The time for sending out what is written: at least this much after the last answer, and this much after requests
+/// were cut off.
 const FLUSH_LIMIT: Duration = Duration::from_millis(500);
 
 /// Everything between the callers' socket and the upstreams.
@@ -38,8 +39,8 @@
 }
 
 impl RequestPath {
-    /// Takes no new request, hands the tickets over, lets queued and running ones end for at most `limit`, and counts
-    /// those that it cuts off. Then the members are told, and the links close.
+    /// Refuses new requests, hands the tickets over, waits at most `limit` for queued and running requests to end, and
+    /// counts those that it cuts off. Then it tells the members and closes the links to peers.
     pub async fn close(self, limit: Duration) -> CloseReport {
         let started = Instant::now();
         self.gate.shut();
@@ -62,21 +63,21 @@
         }
     }
 
-    /// Counts the open requests.
+    /// The gate that counts the open requests.
     pub fn gate(&self) -> Arc<AdmissionGate> {
         self.gate.clone()
     }
 
-    /// Where other instances send messages.
+    /// The address for messages of other instances.
     ///
     /// # Errors
     ///
-    /// The system does not know the socket's address.
+    /// The operating system does not give the socket's address.
     pub fn peers_address(&self) -> Result<SocketAddr, RunError> {
         self.endpoint.local_address().context(PeersSnafu)
     }
 
-    /// Which table is in force.
+    /// The source of the status that `/table` reports.
     pub fn source(parts: &EntryParts) -> Arc<impl StatusSource + use<>> {
         let board = parts.map.get::<TableBoard>().unwrap_or_default();
         let identity = &parts.identity;
@@ -88,11 +89,11 @@
         })
     }
 
-    /// Starts to answer callers and peers.
+    /// Starts serving callers and peers.
     ///
     /// # Errors
     ///
-    /// The address for peers can't be bound, the keys can't be used, or the platform's address is none.
+    /// The address for peers can't be bound, the keys can't be used, or the platform's address is invalid.
     pub fn start(callers: TcpListener, parts: &EntryParts) -> Result<Self, RunError> {
         let components = PathComponents::new(parts)?;
         let control = ControlTasks::start(&components, parts)?;
--- a/crates/trestlewalk/src/entry/share_updater.rs
+++ b/crates/trestlewalk/src/entry/share_updater.rs
@@ -1,4 +1,4 @@
-//! Keeps the limits of plain rows split over the instances that live.
+//! Keeps the limits of plain rows divided among the live instances.
 
 use {
     flow::{PlainLimiter, ShareView, TableBoard},
@@ -9,14 +9,14 @@
     tokio::{sync::watch, time},
 };
 
-/// How often the split is compared with the members and the table.
+/// How often shares are recomputed from the members and the table.
 const SHARE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the split of limits follows.
+/// Recomputes this instance's shares of the limits of plain rows as the members and the table change.
 pub struct ShareUpdater {
-    /// The members.
+    /// The membership.
     pub driver: Arc<PeerDriver>,
-    /// The limiter to tell.
+    /// The limiter that enforces the shares.
     pub limiter: Arc<PlainLimiter>,
     /// The platform's list, which names the availability zones that have instances.
     pub list: watch::Receiver<Vec<InstanceRecord>>,
@@ -27,7 +27,7 @@
 }
 
 impl ShareUpdater {
-    /// Follows them for as long as it is driven.
+    /// Updates the limiter periodically. Never returns.
     pub async fn run(self) {
         let mut ticks = time::interval(SHARE_INTERVAL);
         loop {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// A member that is silent keeps its part until it is known to be gone: it may go on with its callers.
+    /// A silent member keeps its share until it is known to be gone, since it may still serve its callers.
     fn shares(&self) -> ShareView {
         let view = self.driver.view();
         let known = view.heard.iter().chain(&view.unheard);
-        let near = known.filter(|record| record.zone == self.zone);
-        let mut members: BTreeSet<_> = near.map(|record| record.instance.clone()).collect();
+        let local = known.filter(|record| record.zone == self.zone);
+        let mut members: BTreeSet<_> = local.map(|record| record.instance.clone()).collect();
         members.insert(view.instance.clone());
         ShareView {
             instance: view.instance.clone(),
--- a/crates/trestlewalk/src/entry/table_driver.rs
+++ b/crates/trestlewalk/src/entry/table_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the keeper of the table: polls the platform, pulls from peers, puts tables in force.
+//! Drives the keeper of the table: polls the platform, pulls from peers, and puts tables in force.
 
 use {
     crate::{
@@ -23,20 +23,21 @@
     },
 };
 
-/// The condition that keeps an instance without a table from being ready.
+/// The condition that the instance has a table.
 pub const TABLE_CONDITION: &str = "table";
 
-/// How often the keeper and the plan hear that time passes.
+/// How often the keeper and the polling plan get a tick.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the keeper and the plan decide from.
+/// The state machines behind the driver.
 struct DriverState {
     keeper: TableKeeper,
     plan: PollPlan,
+    /// The head that the platform answered last; `None` before its first answer.
     platform_head: Option<TableHead>,
 }
 
-/// Keeps the table in force.
+/// Keeps the table in force up to date.
 pub struct TableDriver<S> {
     board: Arc<TableBoard>,
     head_changed: Notify,
@@ -51,7 +52,7 @@
 
 #[bon::bon]
 impl<S: RowStore + 'static> TableDriver<S> {
-    /// A driver without a table, which blocks `readiness` until it has one.
+    /// Creates a driver without a table, which keeps the instance not ready until it has one.
     #[builder]
     pub fn new(
         board: Arc<TableBoard>,
@@ -83,7 +84,7 @@
 }
 
 impl<S: RowStore + 'static> TableDriver<S> {
-    /// The head, as the membership announces it.
+    /// The version and the digest of the table, as the membership announces them.
     pub fn mark(&self) -> TableMark {
         let head = self.head();
         TableMark {
@@ -92,12 +93,12 @@
         }
     }
 
-    /// The head to announce.
+    /// The version and the digest of the table that the keeper holds.
     pub fn head(&self) -> TableHead {
         self.state.lock().keeper.head()
     }
 
-    /// Gives one event to the keeper.
+    /// Passes one event to the keeper and performs the actions that it returns.
     pub fn on_event(self: &Arc<Self>, event: KeeperEvent) {
         let mut actions = Vec::new();
         self.state
@@ -109,18 +110,18 @@
         }
     }
 
-    /// Names the membership that peers are pulled from through.
+    /// Sets the membership through which tables are pulled from peers.
     pub fn set_membership(&self, driver: Arc<PeerDriver>) {
-        // There is one membership a process.
+        // A process has one membership, so that it is set once.
         let _ = self.peers.set(driver);
     }
 
-    /// Tells the plan which instances of the own availability zone live.
+    /// Gives the polling plan the live instances of the own availability zone.
     pub fn on_members(self: &Arc<Self>, members: Vec<InstanceId>) {
         self.step_plan(PollEvent::Members(members));
     }
 
-    /// Tells the membership of each table that comes into force, for as long as it is driven.
+    /// Announces each table that comes into force to the membership. Never returns.
     pub async fn run_heads(self: Arc<Self>, driver: Arc<PeerDriver>) {
         loop {
             self.head_changed.notified().await;
@@ -128,19 +129,19 @@
         }
     }
 
-    /// Gives the keeper what the membership hears of the peers' tables, for as long as it is driven.
+    /// Passes what the membership learns of peers' tables to the keeper. Returns when the membership is closed.
     pub async fn run_updates(self: Arc<Self>, driver: Arc<PeerDriver>) {
-        let mut news = driver.news();
+        let mut updates = driver.news();
         loop {
-            match news.recv().await {
-                Ok(news) => self.on_update(news),
+            match updates.recv().await {
+                Ok(update) => self.on_update(update),
                 Err(RecvError::Lagged(_)) => {}
                 Err(RecvError::Closed) => return,
             }
         }
     }
 
-    /// Drives time for as long as it is driven.
+    /// Ticks the keeper and the polling plan, and samples the reachability of the platform. Never returns.
     pub async fn run_ticks(self: Arc<Self>) {
         let mut ticks = time::interval(TICK_INTERVAL);
         loop {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Takes what the peers' heartbeats told of the platform.
+    /// Tells the keeper when a peer last reported an answer of the platform.
     fn note_peer_reports(self: &Arc<Self>) {
         let heard = self
             .peers
@@ -225,8 +226,8 @@
         self.repository.patch_since(since).await.ok()
     }
 
-    fn on_update(self: &Arc<Self>, news: MemberNews) {
-        let (head, source) = match news {
+    fn on_update(self: &Arc<Self>, update: MemberNews) {
+        let (head, source) = match update {
             MemberNews::DigestDiffers {
                 digest,
                 instance,
@@ -273,7 +274,7 @@
             Ok(version) => {
                 tracing::warn!(
                     version,
-                    "accepted edits that the platform lacked are written back"
+                    "accepted edits that the platform had lost are written back"
                 );
                 self.on_event(KeeperEvent::Restored { version });
             }
@@ -307,9 +308,9 @@
     }
 }
 
-/// What the membership asks when it spreads the table.
+/// Exchanges the table with peers through the membership.
 pub struct TableExchange<S> {
-    /// The driver.
+    /// The driver that holds the table.
     pub driver: Arc<TableDriver<S>>,
 }
 
@@ -344,15 +345,15 @@
     }
 }
 
-/// Answers the admin server.
+/// Reports the table in force of an entry instance to the admin server.
 pub struct EntryStatus {
     /// The table in force.
     pub board: Arc<TableBoard>,
-    /// Whether the platform is heard.
+    /// Whether the platform answers; `None` leaves that out of the status.
     pub health: Option<Arc<PlatformHealth>>,
-    /// This instance.
+    /// The name of this instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneId,
 }
 
--- a/crates/trestlewalk/src/exit_code.rs
+++ b/crates/trestlewalk/src/exit_code.rs
@@ -1,10 +1,10 @@
-//! Exit codes: a process ends with one byte, so each family of result codes has its own range.
+//! Exit codes. They have one byte, so each family of result codes has a range of its own.
 
 use kernel::ResultCode;
 
-/// The exit code of a fault that has no result code, such as a full disk or a closed pipe.
+/// The exit code of an error that has no result code, such as a full disk.
 pub const OTHER_FAULT: u8 = 1;
-/// The exit code of a command line that can't be read; `clap` ends the process with it.
+/// The exit code of an invalid command line; `clap` ends the process with it.
 pub const USAGE_FAULT: u8 = 2;
 
 /// The exit code of a result code: 0 for an answer, 20 for "not run", 30 for "outcome unknown", and for tickets,
--- a/crates/trestlewalk/src/explain.rs
+++ b/crates/trestlewalk/src/explain.rs
@@ -1,4 +1,4 @@
-//! Telling what became of a request from the log lines of many instances.
+//! Traces one request through the log lines of many instances.
 
 pub mod log_line;
 pub mod request_trace;
--- a/crates/trestlewalk/src/explain/request_trace.rs
+++ b/crates/trestlewalk/src/explain/request_trace.rs
@@ -1,33 +1,35 @@
-//! The lines that are about one request, and about the state of the instances that served it.
+//! The log lines about one request, and about the state of the instances that served it.
 
 use {crate::explain::LogLine, kernel::ResultCode, std::collections::BTreeMap};
 
 /// The message of the line that ends a request.
 const ENDED: &str = "request ended";
-/// The message of the line for a request that has no row or did not arrive whole.
+/// The message of the line for a request that has no row in the table or did not arrive completely.
 const REFUSED: &str = "request refused";
 
-/// Collects lines; holds only those of the request, and the last change of state of each log before them.
+/// Collects the lines of one request. Of all other lines it keeps only the last change of state of each kind per log.
 #[derive(Debug)]
 pub struct RequestTrace {
+    /// Lines read that are no log lines.
     unreadable_lines: u64,
     id: String,
     lines_read: u64,
-    /// By log: the last change of each kind, until the request's line comes.
+    /// By log and message: the last change of state so far.
     state: BTreeMap<String, BTreeMap<String, LogLine>>,
     entries: Vec<TraceEntry>,
 }
 
-/// The line of the request in one log.
+/// The line of the request in one log, with the state of the instance before it.
 #[derive(Debug)]
 struct TraceEntry {
+    /// The last change of state of each kind, by time.
     before: Vec<LogLine>,
     line: LogLine,
     source: String,
 }
 
 impl RequestTrace {
-    /// The story, a line each; the last one says why the request ended so.
+    /// The text of the trace, one item per line. The last line tells why the request ended as it did.
     pub fn into_lines(mut self) -> Vec<String> {
         self.entries
             .sort_by(|one, other| one.line.timestamp.cmp(&other.line.timestamp));
@@ -49,7 +51,7 @@
         lines
     }
 
-    /// A book for one request.
+    /// Creates an empty trace of the request with this id.
     pub fn new(id: &str) -> Self {
         Self {
             unreadable_lines: 0,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Takes a line of a log in.
+    /// Adds a line of the log `source`.
     pub fn add(&mut self, source: &str, line: LogLine) {
         self.lines_read += 1;
         if line.message != ENDED && line.message != REFUSED {
@@ -84,7 +86,7 @@
         });
     }
 
-    /// A line could not be read.
+    /// Counts a line that is not a log line.
     pub fn add_unreadable(&mut self) {
         self.lines_read += 1;
         self.unreadable_lines += 1;
@@ -92,7 +94,7 @@
 }
 
 impl TraceEntry {
-    /// Why the request ended so, in one line.
+    /// One line on why the request ended as it did.
     fn reason(&self) -> String {
         let code = self.line.code().unwrap_or(0);
         let known = ResultCode::ALL
@@ -115,7 +117,7 @@
         }
     }
 
-    /// What made a request late, if it was.
+    /// The missed latency targets, as the end of a sentence; empty when the request met them.
     fn lateness_text(&self) -> &'static str {
         let is_over = |value: &str, target: &str| {
             let number = |name: &str| self.line.field(name).parse::<u64>().ok();
--- a/crates/trestlewalk/src/lib.rs
+++ b/crates/trestlewalk/src/lib.rs
@@ -1,6 +1,6 @@
-//! The one binary: its command line, its settings, its admin server, and the entry instance that `serve` runs.
+//! The `trestlewalk` binary: its command line, its settings, its admin server, and the processes that it runs.
 //!
-//! [`entry::EntryProcess`] starts the parts of an instance and closes them in order.
+//! [`entry::EntryProcess`] starts the parts of an entry instance and closes them in order.
 
 pub mod admin;
 pub mod arguments;
--- a/crates/trestlewalk/src/run.rs
+++ b/crates/trestlewalk/src/run.rs
@@ -7,7 +7,7 @@
     std::process::ExitCode,
 };
 
-/// Runs the command line and gives the exit code that `docs/CODES.md` lists.
+/// Runs the command line and returns an exit code that `docs/CODES.md` lists. Errors go to standard error.
 pub fn run() -> ExitCode {
     let arguments = CliArguments::parse();
     match arguments.subcommand.run() {
--- a/crates/trestlewalk/src/run_error.rs
+++ b/crates/trestlewalk/src/run_error.rs
@@ -9,92 +9,92 @@
     std::{io, net::SocketAddr, path::PathBuf},
 };
 
-/// The error of the binary.
+/// An error that ends the binary.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum RunError {
     /// A socket can't be opened.
     #[snafu(display("{field}: can't listen at {address}: {source}"))]
     Bind {
-        /// The address.
+        /// The address that can't be bound.
         address: SocketAddr,
-        /// The field of the settings.
+        /// The field of the settings that gives the address.
         field: &'static str,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A close ended requests before their answers were whole.
+    /// A close cut requests off before their answers were complete.
     #[snafu(display("{cause} cut {count} requests off"))]
     CutByClose {
-        /// What ended them.
+        /// What cut them off.
         cause: &'static str,
-        /// How many.
+        /// The number of requests that were cut off.
         count: u64,
     },
-    /// Requests of the demonstration failed, or were cut off by its close.
-    #[snafu(display("{count} requests of the demonstration have no whole answer"))]
+    /// Requests of the demonstration failed, or its close cut them off.
+    #[snafu(display("{count} requests of the demonstration have no complete answer"))]
     DemoFailed {
-        /// How many.
+        /// The number of requests without a complete answer.
         count: u64,
     },
     /// An instance gave no dump.
     #[snafu(display("{address} gave no dump: {detail}"))]
     DumpFailed {
-        /// The address.
+        /// The admin address of the instance.
         address: SocketAddr,
-        /// Why.
+        /// What went wrong.
         detail: String,
     },
     /// A stand-in can't run.
     #[snafu(display("the stand-in can't run: {source}"))]
     Fake {
-        /// Why.
+        /// The underlying error.
         source: fake::FakeError,
     },
     /// Keys can't be made.
     #[snafu(display("keys can't be made: {source}"))]
     Keys {
-        /// Why.
+        /// The underlying error.
         source: PeerError,
     },
     /// The metrics can't be made.
     #[snafu(display("the metrics can't be made: {source}"))]
     Metrics {
-        /// Why.
+        /// The underlying error.
         source: prometheus::Error,
     },
-    /// The links to other instances can't be opened.
+    /// The endpoint for other instances can't be opened.
     #[snafu(display("the links to peers can't be opened: {source}"))]
     Peers {
-        /// Why.
+        /// The underlying error.
         source: PeerError,
     },
-    /// The platform's address can't be used.
+    /// The platform's address is invalid.
     #[snafu(display("platform.address: {source}"))]
     Platform {
-        /// Why.
+        /// The underlying error.
         source: plat::PlatError,
     },
     /// A file can't be read.
     #[snafu(display("{}: can't read the file: {source}", path.display()))]
     ReadFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A request was answered with another code than 1000.
+    /// A request ended with another result code than 1000.
     #[snafu(display("{detail}"))]
     RequestFailed {
         /// The result code.
         code: ResultCode,
-        /// What came back.
+        /// The answer, or why none came.
         detail: String,
     },
-    /// The process can't run its tasks or hear its signals.
+    /// The runtime or the signal handlers can't be set up.
     #[snafu(display("the process can't start: {source}"))]
     Runtime {
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
     /// The settings have faults.
@@ -103,10 +103,10 @@
         /// The faults, by line.
         faults: Vec<SettingsFault>,
     },
-    /// A verb of `table` failed.
+    /// A subcommand of `table` failed.
     #[snafu(display("{source}"))]
     Table {
-        /// Why.
+        /// The underlying error.
         source: TableCliError,
     },
     /// A table has faults.
@@ -115,24 +115,24 @@
         /// The faults.
         source: table::TableError,
     },
-    /// The instance can't be the origin of tickets.
+    /// The instance can't issue tickets.
     #[snafu(display("tickets: {source}"))]
     Tickets {
-        /// Why.
+        /// The underlying error.
         source: ClaimError,
     },
     /// A file can't be written.
     #[snafu(display("{}: can't write the file: {source}", path.display()))]
     WriteFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
 }
 
 impl RunError {
-    /// The result code, where there is one.
+    /// The result code; `None` for errors that have none.
     pub fn code(&self) -> Option<ResultCode> {
         match self {
             Self::CutByClose { .. } | Self::DemoFailed { .. } => Some(ResultCode::CutByClose),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The exit code that goes with the error.
+    /// The exit code with which the process ends.
     pub fn exit_code(&self) -> u8 {
         self.code().map_or(exit_code::OTHER_FAULT, exit_code::of)
     }
--- a/crates/trestlewalk/src/settings/control_settings.rs
+++ b/crates/trestlewalk/src/settings/control_settings.rs
@@ -1,4 +1,4 @@
-//! What the instance may order engines to do.
+//! The settings of the orders that the instance gives to engines.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,10 +6,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RoleMoves {
-    /// Engines keep the role that they have.
+    /// Engines keep their roles.
     #[default]
     Off,
-    /// Engines move between the prefill and the decode pool as load asks for.
+    /// Engines move between the prefill and the decode pool as the load requires.
     On,
 }
 
--- a/crates/trestlewalk/src/settings/fault_list.rs
+++ b/crates/trestlewalk/src/settings/fault_list.rs
@@ -1,4 +1,4 @@
-//! The faults found so far.
+//! Collects the faults of the settings.
 
 use {
     crate::settings::{
@@ -9,7 +9,7 @@
     std::sync::Arc,
 };
 
-/// Collects faults; a field with one gets no second.
+/// The faults found so far. By default a field gets at most one.
 #[derive(Debug)]
 pub struct FaultList {
     faults: Vec<SettingsFault>,
@@ -24,13 +24,13 @@
         self.paths.iter().any(|faulty| faulty.contains(path))
     }
 
-    /// The faults by line.
+    /// The faults, sorted by line.
     pub fn into_faults(mut self) -> Vec<SettingsFault> {
         self.faults.sort_by_key(|fault| fault.place.clone());
         self.faults
     }
 
-    /// An empty list for a file, whose lines `tree` knows.
+    /// Creates an empty list for a file; `tree` gives the lines of its fields.
     pub fn new(file: &str, tree: SettingsNode) -> Self {
         Self {
             faults: Vec::new(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes a fault of a field, unless it has one already.
+    /// Adds a fault of a field, unless the field or a section above it has one already.
     pub fn push(&mut self, path: &FieldPath, text: impl Into<Arc<str>>) {
         if self.covers(path) {
             return;
@@ -48,13 +48,13 @@
         self.push_always(path, text);
     }
 
-    /// Notes a fault of a field, also when it has one already.
+    /// Adds a fault of a field, even if it has one already.
     pub fn push_always(&mut self, path: &FieldPath, text: impl Into<Arc<str>>) {
         let line = self.tree.line_of(path);
         self.push_at(line, path, text);
     }
 
-    /// Notes a fault of a field at a line, also when it has one already.
+    /// Adds a fault of a field at a given line, even if the field has one already.
     pub fn push_at(&mut self, line: u64, path: &FieldPath, text: impl Into<Arc<str>>) {
         self.paths.push(path.clone());
         self.faults.push(SettingsFault {
--- a/crates/trestlewalk/src/settings/field_path.rs
+++ b/crates/trestlewalk/src/settings/field_path.rs
@@ -5,7 +5,7 @@
 /// One step of a path.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PathStep {
-    /// An item of a list, counted from 0.
+    /// An item of a list, by its index from 0.
     Index(usize),
     /// A field of a section.
     Key(Arc<str>),
@@ -19,7 +19,7 @@
 }
 
 impl FieldPath {
-    /// The path of a field given with dots, such as `limits.body`.
+    /// Parses a path with dots, such as `limits.body`.
     pub fn dotted(text: &str) -> Self {
         let mut path = Self::default();
         for key in text.split('.') {
@@ -40,7 +40,7 @@
         self.step(PathStep::Key(Arc::from(key)))
     }
 
-    /// Whether `other` is this field or lies below it.
+    /// Whether `other` is this field or a field below it.
     pub fn contains(&self, other: &Self) -> bool {
         other.steps.starts_with(&self.steps)
     }
@@ -54,10 +54,10 @@
 
 impl fmt::Display for FieldPath {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, step) in self.steps.iter().enumerate() {
+        for (depth, step) in self.steps.iter().enumerate() {
             match step {
                 PathStep::Index(index) => write!(formatter, "[{index}]")?,
-                PathStep::Key(key) if place == 0 => write!(formatter, "{key}")?,
+                PathStep::Key(key) if depth == 0 => write!(formatter, "{key}")?,
                 PathStep::Key(key) => write!(formatter, ".{key}")?,
             }
         }
--- a/crates/trestlewalk/src/settings/heartbeat_settings.rs
+++ b/crates/trestlewalk/src/settings/heartbeat_settings.rs
@@ -12,15 +12,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HeartbeatSettings {
-    /// How long after its last heartbeat a peer counts as dead.
+    /// The time after its last heartbeat when a peer counts as dead.
     #[serde_as(as = "HumanDuration")]
     pub dead_after: Duration,
-    /// How many instances an instance exchanges heartbeats with; while all fit, everyone hears everyone.
+    /// The number of instances that an instance exchanges heartbeats with. If there are no more instances than that,
+    /// each exchanges heartbeats with all others.
     pub neighbours: u32,
-    /// The time from one heartbeat to the next.
+    /// The interval between heartbeats.
     #[serde_as(as = "HumanDuration")]
     pub period: Duration,
-    /// How long after its last heartbeat a peer gets no new work.
+    /// The time after its last heartbeat when a peer becomes suspect and gets no new work.
     #[serde_as(as = "HumanDuration")]
     pub suspect_after: Duration,
 }
--- a/crates/trestlewalk/src/settings/human_size.rs
+++ b/crates/trestlewalk/src/settings/human_size.rs
@@ -1,4 +1,4 @@
-//! Sizes with units.
+//! Sizes in bytes with units.
 
 use {
     serde::{
@@ -16,7 +16,7 @@
     ("B", 1),
 ];
 
-/// Reads and writes a count of bytes with its unit: `512B`, `16KiB`, `1MiB` or `1GiB`.
+/// Reads and writes a number of bytes with its unit: `512B`, `16KiB`, `1MiB` or `1GiB`.
 #[derive(Debug)]
 pub struct HumanSize;
 
--- a/crates/trestlewalk/src/settings/key_settings.rs
+++ b/crates/trestlewalk/src/settings/key_settings.rs
@@ -1,25 +1,25 @@
-//! The keys that instances trust each other by.
+//! The keys by which instances authenticate each other.
 
 use {
     serde::{Deserialize, Serialize},
     std::{fmt, path::PathBuf, sync::Arc},
 };
 
-/// The section `keys`: three PEM files, or the same as text under `test`.
+/// The section `keys`: three PEM files, or their content inline under `test`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeySettings {
-    /// The file with the certificates of the authorities that peers are checked against.
+    /// The file with the certificates of the authorities that peers are verified against.
     pub authority: Option<PathBuf>,
-    /// The file with the certificate of this instance; it names the instance as a DNS name.
+    /// The file with the certificate of this instance, which has the instance's name as a DNS name.
     pub certificate: Option<PathBuf>,
     /// The file with the private key of this instance.
     pub key: Option<PathBuf>,
-    /// Keys inside the settings, for trials; `trestlewalk keys` makes them.
+    /// Keys inline in the settings, for tests; `trestlewalk keys` makes such keys.
     pub test: Option<TestKeys>,
 }
 
-/// Keys inside the settings, as PEM text.
+/// Keys inline in the settings, as PEM text.
 #[derive(Clone, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TestKeys {
--- a/crates/trestlewalk/src/settings/limit_settings.rs
+++ b/crates/trestlewalk/src/settings/limit_settings.rs
@@ -1,4 +1,4 @@
-//! What one instance takes on, and for how long.
+//! The limits of one instance on sizes, counts and times.
 
 use {
     crate::settings::{HumanDuration, HumanSize},
@@ -11,10 +11,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SecondSignal {
-    /// Ends the process at once; running requests are cut off.
+    /// Ends the process at once and cuts running requests off.
     #[default]
     Immediate,
-    /// Does nothing; the close limit alone ends the wait.
+    /// Does nothing; the close still ends at the close limit.
     Ignored,
 }
 
@@ -23,28 +23,28 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde_as(as = "HumanSize")]
     pub body: u64,
-    /// The close limit: how long a graceful close waits for queued and running requests.
+    /// The close limit: the time that a graceful close waits for queued and running requests.
     #[serde_as(as = "HumanDuration")]
     pub close: Duration,
-    /// How long an upstream may take for the first byte of its answer.
+    /// The timeout for the first byte of an upstream's answer.
     #[serde_as(as = "HumanDuration")]
     pub first_byte: Duration,
-    /// The largest headers of a request, in bytes.
+    /// The maximum size of the headers of a request, in bytes.
     #[serde_as(as = "HumanSize")]
     pub headers: u64,
-    /// How long an upstream may fall silent within its answer.
+    /// The timeout for a pause within an upstream's answer.
     #[serde_as(as = "HumanDuration")]
     pub idle: Duration,
-    /// How many requests the instance holds at once, queued and running.
+    /// The maximum number of open requests, queued and running.
     pub open_requests: u32,
-    /// How many requests may wait in the queue.
+    /// The maximum number of queued requests.
     pub queue: u32,
     /// What a second SIGTERM does.
     pub second_signal: SecondSignal,
-    /// How many threads serve requests.
+    /// The number of threads that serve requests.
     pub workers: u32,
 }
 
--- a/crates/trestlewalk/src/settings/listen_settings.rs
+++ b/crates/trestlewalk/src/settings/listen_settings.rs
@@ -7,17 +7,17 @@
 
 const ANY_LOOPBACK_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// The section `listen`. Port 0 takes a free port; the line printed at the start names the real one.
+/// The section `listen`. Port 0 takes a free port; the line printed at the start has the actual one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Where operators ask for metrics, state and health, TCP.
+    /// The TCP address of the admin server: metrics, state and health.
     pub admin: SocketAddr,
-    /// Where other instances reach `peers`, when that is another address.
+    /// The address at which other instances reach `peers`, if it is another one.
     pub advertise: Option<SocketAddr>,
-    /// Where callers send requests, TCP.
+    /// The TCP address for callers' requests.
     pub callers: SocketAddr,
-    /// Where other instances send messages, UDP.
+    /// The UDP address for messages of other instances.
     pub peers: SocketAddr,
 }
 
--- a/crates/trestlewalk/src/settings/log_settings.rs
+++ b/crates/trestlewalk/src/settings/log_settings.rs
@@ -1,32 +1,32 @@
-//! What is logged, and how.
+//! The settings of the log.
 
 use serde::{Deserialize, Serialize};
 
-/// The form of the log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
 }
 
-/// The least grave lines that are logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
     /// Steps inside a decision.
     Debug,
-    /// Faults of this process.
+    /// Failures of this process.
     Error,
     /// Changes of state.
     #[default]
     Info,
     /// Every event.
     Trace,
-    /// Faults of others.
+    /// Failures of other processes.
     Warn,
 }
 
@@ -34,8 +34,8 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// The form of the log lines.
+    /// The format of log lines.
     pub format: LogFormat,
-    /// The least grave lines that are logged.
+    /// The least severe level that is logged.
     pub level: LogLevel,
 }
--- a/crates/trestlewalk/src/settings/name_check.rs
+++ b/crates/trestlewalk/src/settings/name_check.rs
@@ -1,9 +1,10 @@
-//! What a name may look like.
+//! Checks the form of names.
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Says what is wrong with a name, if anything is. Names stand in headers, paths, tickets and certificates.
+/// Returns what is wrong with a name; `None` when it is valid. Names are used in headers, paths, tickets and
+/// certificates, which limits their length and characters.
 pub fn name_fault(name: &str) -> Option<String> {
     if name.is_empty() {
         return Some("missing".to_owned());
--- a/crates/trestlewalk/src/settings/node_error.rs
+++ b/crates/trestlewalk/src/settings/node_error.rs
@@ -1,28 +1,28 @@
-//! Why a value of the settings can't be read.
+//! The error of a value that can't be read.
 
 use {
     crate::settings::field_path::{FieldPath, PathStep},
     std::fmt,
 };
 
-/// An error with the path at which it came up.
+/// An error with the path of the value that caused it.
 #[derive(Debug)]
 pub struct NodeError {
     /// The steps from the innermost field to the root.
     steps: Vec<PathStep>,
-    /// What is wrong.
+    /// The message.
     text: String,
 }
 
 impl NodeError {
-    /// The path from the root.
+    /// The path of the value, from the root.
     pub fn path(&self) -> FieldPath {
         FieldPath {
             steps: self.steps.iter().rev().cloned().collect(),
         }
     }
 
-    /// The same error, seen from one step further out.
+    /// Adds the next outer step to the path.
     #[must_use]
     pub fn within(mut self, step: PathStep) -> Self {
         self.steps.push(step);
--- a/crates/trestlewalk/src/settings/node_reader.rs
+++ b/crates/trestlewalk/src/settings/node_reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed settings out of the tree, and says at which path a value does not fit.
+//! Deserializes typed settings from the tree; errors carry the path of the value that does not fit.
 
 use {
     crate::settings::{
@@ -24,7 +24,7 @@
 }
 
 impl<'a> NodeReader<'a> {
-    /// A reader of `node`.
+    /// Creates a deserializer over `node`.
     pub fn new(node: &'a SettingsNode) -> Self {
         Self { node }
     }
--- a/crates/trestlewalk/src/settings/peer_settings.rs
+++ b/crates/trestlewalk/src/settings/peer_settings.rs
@@ -1,4 +1,4 @@
-//! One peer to greet first.
+//! One peer to contact first.
 
 use {
     crate::settings::platform_settings::UNSET_ADDRESS,
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Where the peer listens for messages, UDP; required.
+    /// The UDP address at which the peer receives messages; required.
     pub address: SocketAddr,
     /// The peer's name; required.
     pub instance: InstanceId,
--- a/crates/trestlewalk/src/settings/platform_settings.rs
+++ b/crates/trestlewalk/src/settings/platform_settings.rs
@@ -1,4 +1,4 @@
-//! How the platform is reached.
+//! The settings of calls to the platform.
 
 use {
     crate::settings::HumanDuration,
@@ -10,7 +10,7 @@
     },
 };
 
-/// Stands for a required address that the file does not give.
+/// The default of a required address, by which the check recognises a missing one.
 pub const UNSET_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// The section `platform`.
@@ -18,15 +18,15 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where the platform answers, TCP; required.
+    /// The TCP address of the platform; required.
     pub address: SocketAddr,
-    /// The time from one reading of the list of instances to the next.
+    /// The interval between reads of the list of instances.
     #[serde_as(as = "HumanDuration")]
     pub list_poll: Duration,
-    /// The time from one reading of the table's head to the next, for an instance that polls it.
+    /// The interval between reads of the table's head, for an instance that polls it.
     #[serde_as(as = "HumanDuration")]
     pub poll: Duration,
-    /// How long one call may take.
+    /// The timeout of one call.
     #[serde_as(as = "HumanDuration")]
     pub timeout: Duration,
 }
--- a/crates/trestlewalk/src/settings/relay_file.rs
+++ b/crates/trestlewalk/src/settings/relay_file.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance that serves the operators' routes without an allocator: what `relay` runs.
+//! The settings of `relay`, an instance that serves the operators' routes without an allocator.
 
 use {
     crate::settings::{
@@ -19,31 +19,32 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayFile {
-    /// What the machine of this instance can carry.
+    /// The capacity of the host of this instance.
     pub capacity: RelayCapacity,
-    /// How the instance closes.
+    /// The times of a close.
     pub close: RelayClose,
     /// The customers' keys and quotas.
     pub customers: RelayCustomers,
-    /// Whether the whole system starts for the first time: then nobody serves yet, and instances take their time to meet.
+    /// Whether the whole system starts for the first time. No instance serves yet then, so instances may take longer to
+    /// find each other.
     pub first_start: bool,
     /// The name of this instance; required.
     pub instance: InstanceId,
     /// The addresses that this instance listens at; required.
     pub listen: RelayListen,
-    /// What is logged, and how.
+    /// The format and the level of the log.
     pub log: LogSettings,
-    /// The orders to engines.
+    /// The orders to engines to change their stage.
     pub orders: RelayOrders,
     /// The store.
     pub platform: PlatformSettings,
-    /// The requests under which upstreams end.
+    /// The quarantine of requests under which upstreams end.
     pub quarantine: RelayQuarantine,
-    /// The region of the availability zone.
+    /// The region of the availability zone; optional.
     pub region: Option<Arc<str>>,
     /// The retry budget.
     pub retries: RelayRetries,
-    /// How upstreams are called.
+    /// The calls to upstreams.
     pub upstreams: RelayUpstreams,
     /// The availability zone of this instance; required.
     pub zone: ZoneId,
@@ -53,21 +54,21 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayCapacity {
-    /// The processor cores, or the share of one.
+    /// The number of processor cores, or the share of one.
     pub cores: f64,
-    /// The rate of the network link, megabits a second.
+    /// The rate of the network link, in megabits per second.
     pub link_mbps: f64,
 }
 
 impl RelayCapacity {
-    /// One number to compare instances by.
+    /// The capacity as one number, by which instances are compared.
     pub fn weight(&self) -> u64 {
         (self.cores * self.link_mbps * WEIGHT_UNITS).max(1.0) as u64
     }
 }
 
 impl Default for RelayCapacity {
-    /// A small machine of today.
+    /// The capacity of a small virtual server.
     fn default() -> Self {
         Self {
             cores: 0.25,
@@ -76,7 +77,7 @@
     }
 }
 
-/// A core at a megabit a second counts as so many, so that small shares stay apart as whole numbers.
+/// The weight of one core at one megabit per second; large enough that small capacities differ as whole numbers.
 const WEIGHT_UNITS: f64 = 1_000.0;
 
 /// The section `close`.
@@ -84,10 +85,10 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayClose {
-    /// How long open requests get in all.
+    /// The time that open requests get in total.
     #[serde_as(as = "HumanDuration")]
     pub limit: Duration,
-    /// How long new connections still come in: until the balancer has noticed.
+    /// How long new connections are still accepted, until the balancer has noticed that the instance is not ready.
     #[serde_as(as = "HumanDuration")]
     pub settle: Duration,
 }
@@ -106,16 +107,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayCustomers {
-    /// How much more than rate and burst give in a window a customer may use, as a part of it: instances know late of each
-    /// other.
+    /// The share by which a customer may exceed what its rate and burst allow in a window, since instances learn late
+    /// of each other's use.
     pub overage: f64,
-    /// Within what time a key that was taken away holds nowhere. Without it an instance that is cut off serves on by the keys
-    /// that it knows.
+    /// The time within which a revoked key stops working everywhere. Without it an instance that is cut off continues
+    /// to accept the keys that it knows.
     #[serde_as(as = "Option<HumanDuration>")]
     pub revoked_within: Option<Duration>,
-    /// What a customer may use in a window beyond that, in the unit of its quota.
+    /// What a customer may use in a window on top of that, in the unit of its quota.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     #[serde_as(as = "HumanDuration")]
     pub window: Duration,
 }
@@ -135,11 +136,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayListen {
-    /// For operators and for the balancer's question whether the instance is ready, TCP; required.
+    /// The TCP address of the admin server, which also answers the balancer's readiness probe; required.
     pub admin: SocketAddr,
-    /// For callers, TCP; required.
+    /// The TCP address for callers' requests; required.
     pub callers: SocketAddr,
-    /// For other instances, UDP. Without it this instance reads the store by itself.
+    /// The UDP address for messages of other instances. Without it this instance reads the store alone.
     pub peers: Option<SocketAddr>,
 }
 
@@ -158,25 +159,25 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayOrders {
-    /// Whether engines refuse an order with an old fencing number.
+    /// Whether engines refuse an order with an outdated fencing token.
     pub checks_fence: bool,
     /// Whether this instance may order engines to change their stage.
     pub enabled: bool,
-    /// How long the lease to give orders lasts.
+    /// The duration of the lease to give orders.
     #[serde_as(as = "HumanDuration")]
     pub lease: Duration,
-    /// How long a service has to be off its goal before an engine changes.
+    /// How long a service has to miss its goal before an engine changes stage.
     #[serde_as(as = "HumanDuration")]
     pub patience: Duration,
-    /// How long after a change the next is considered: an engine ends its work and changes in this time.
+    /// The cooldown after a change, in which the engine drains and changes stage.
     #[serde_as(as = "HumanDuration")]
     pub pause: Duration,
-    /// How long a stage has to be pressed before an engine changes.
+    /// How long a stage has to be overloaded before an engine changes stage.
     #[serde_as(as = "HumanDuration")]
     pub pressed_patience: Duration,
-    /// The share of the engines of a model service that read prompts, rounded up, while requests ask for nothing else.
+    /// The share of the engines of a model service that prefill, rounded up, unless the load requires another.
     pub prefill_share: f64,
-    /// The fewest engines of each stage.
+    /// The minimum number of engines of each stage.
     pub spare_floor: u32,
 }
 
@@ -200,13 +201,14 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayQuarantine {
-    /// How long the end of an upstream counts against a request.
+    /// How long an ended upstream counts against the request that ran on it.
     #[serde_as(as = "HumanDuration")]
     pub life: Duration,
 }
 
 impl Default for RelayQuarantine {
-    /// Long enough for operators to look at it, and at most three ends each time that it is over.
+    /// Long enough for operators to investigate. Each time that it lapses, a request may end at most three more
+    /// upstreams.
     fn default() -> Self {
         Self {
             life: Duration::from_secs(600),
@@ -219,15 +221,15 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayRetries {
-    /// Repeated calls for each request of the window.
+    /// The number of repeated calls for each request of the window.
     pub ratio: f64,
-    /// Repeated calls beyond the ratio, of all instances. Each has an equal part of its zone's part, and none without
-    /// `listen.peers`, since it does not know of the others then.
+    /// The number of repeated calls beyond the ratio, over all instances. Each instance gets an equal part of the share
+    /// of its availability zone, and none without `listen.peers`, since it does not know the other instances then.
     pub slack: f64,
     /// The length of the window.
     #[serde_as(as = "HumanDuration")]
     pub window: Duration,
-    /// The availability zones that share the slack; none is the own one alone.
+    /// The availability zones that share the slack; without it the own one has all of it.
     pub zones: Option<Vec<ZoneId>>,
 }
 
@@ -247,15 +249,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayUpstreams {
-    /// How long a connection may take to come about.
+    /// The timeout for opening a connection.
     #[serde_as(as = "HumanDuration")]
     pub connect: Duration,
     /// How often an upstream reports to the platform's list.
     #[serde_as(as = "HumanDuration")]
     pub heartbeat: Duration,
-    /// Whether prompts are read by the engines of the prefill stage, or by the decode engine that goes on with them.
+    /// Whether prompts are prefilled by the engines of the prefill stage, or by the decode engine that continues with
+    /// them.
     pub reads_apart: bool,
-    /// How long an upstream may be unheard before its connection counts as lost.
+    /// How long an upstream may be silent before its connection counts as lost.
     #[serde_as(as = "HumanDuration")]
     pub unheard: Duration,
 }
@@ -271,11 +274,11 @@
     }
 }
 
-/// Reads the settings of `relay` out of the content of a file.
+/// Parses the settings of `relay` from the content of a file.
 ///
 /// # Errors
 ///
-/// Every fault, by line.
+/// All faults, sorted by line.
 pub fn parse_relay_file(
     file: &str,
     content: &[u8],
--- a/crates/trestlewalk/src/settings/setting_override.rs
+++ b/crates/trestlewalk/src/settings/setting_override.rs
@@ -8,7 +8,7 @@
     std::{str::FromStr, sync::Arc},
 };
 
-/// One `--set FIELD=VALUE`. The field is given with dots, the value as YAML.
+/// One `--set FIELD=VALUE`. The field is a path with dots, the value is YAML.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingOverride {
     /// The field.
@@ -18,11 +18,11 @@
 }
 
 impl SettingOverride {
-    /// Puts the value into `tree`, in place of an earlier one; sections that are not there are made.
+    /// Sets the value in `tree`, in place of an earlier one; missing sections are created.
     ///
     /// # Errors
     ///
-    /// The path of a field on the way that is no section.
+    /// The path of a field above this one that is not a section.
     pub fn apply(self, tree: &mut SettingsNode) -> Result<(), FieldPath> {
         let mut path = FieldPath::default();
         let mut node = tree;
--- a/crates/trestlewalk/src/settings/settings_check.rs
+++ b/crates/trestlewalk/src/settings/settings_check.rs
@@ -1,4 +1,4 @@
-//! What the settings have to fulfil beyond the form of each field.
+//! Checks the settings beyond the form of each field.
 
 use {
     crate::settings::{
@@ -9,16 +9,16 @@
     std::{collections::BTreeMap, net::SocketAddr, time::Duration},
 };
 
-/// With fewer, one failure splits the ring of instances.
+/// With fewer neighbours one failure splits the ring of instances.
 const MIN_NEIGHBOURS: u32 = 2;
 const MAX_BODY_BYTES: u64 = 1 << 30;
 const MAX_HEADER_BYTES: u64 = 1 << 20;
-/// Longer times are slips of the pen, and far longer ones have no end on the clock.
+/// Longer times are most likely typing errors, and far longer ones overflow the clock.
 const MAX_DURATION: Duration = Duration::from_secs(24 * 60 * 60);
 const MIN_SECRET_BYTES: usize = 16;
 const MIN_HEADER_BYTES: u64 = 1 << 10;
 
-/// Notes every fault in `list`.
+/// Adds every fault to `list`.
 pub fn check_settings(settings: &EntrySettings, list: &mut FaultList) {
     check_names(settings, list);
     check_defaults(settings, list);
--- a/crates/trestlewalk/src/settings/settings_fault.rs
+++ b/crates/trestlewalk/src/settings/settings_fault.rs
@@ -13,16 +13,16 @@
     Override,
 }
 
-/// One fault: the place, the field and what is wrong with it.
+/// One fault: the place, the field and the description.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsFault {
     /// The field, such as `peers[1].zone`; empty for the file as a whole.
     pub field: Arc<str>,
-    /// The file, as it was named on the command line.
+    /// The file, as named on the command line.
     pub file: Arc<str>,
     /// Where the value came from.
     pub place: FaultPlace,
-    /// What is wrong.
+    /// The description of the fault.
     pub text: Arc<str>,
 }
 
--- a/crates/trestlewalk/src/settings/settings_file.rs
+++ b/crates/trestlewalk/src/settings/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads settings from a file, and finds every fault in one go.
+//! Reads settings from a file, and reports all faults at once.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     std::{fs, path::Path, sync::Arc},
 };
 
-/// Reads the settings of an entry instance from a file and from the overrides of the command line.
+/// Reads the settings of an entry instance from a file, and applies the overrides of the command line.
 ///
 /// # Errors
 ///
@@ -35,11 +35,11 @@
         .map_err(|faults| SettingsInvalidSnafu { faults }.build())
 }
 
-/// Reads the settings of an entry instance out of the content of a file.
+/// Parses the settings of an entry instance from the content of a file.
 ///
 /// # Errors
 ///
-/// Every fault, by line.
+/// All faults, sorted by line.
 pub fn parse_settings(
     file: &str,
     content: &[u8],
@@ -52,11 +52,11 @@
     read_settings(file, tree, overrides, settings_check::check_settings)
 }
 
-/// Reads the content of a file to a tree.
+/// Parses the content of a file to a tree.
 ///
 /// # Errors
 ///
-/// The one place where the content is not UTF-8 or not YAML.
+/// The first place where the content is not UTF-8 or not YAML.
 pub fn parse_tree(file: &str, content: &[u8]) -> Result<SettingsNode, Vec<SettingsFault>> {
     let text = std::str::from_utf8(content).map_err(|error| {
         let before = &content[..error.valid_up_to()];
@@ -65,11 +65,11 @@
     SettingsNode::parse(text).map_err(|error| vec![yaml_fault(file, &error)])
 }
 
-/// Reads settings of any type out of a tree; `check` notes what is wrong beyond the form of each field.
+/// Reads settings of any type from a tree; `check` adds the faults beyond the form of each field.
 ///
 /// # Errors
 ///
-/// Every fault, by line.
+/// All faults, sorted by line.
 pub fn read_settings<T: Default + DeserializeOwned>(
     file: &str,
     mut tree: SettingsNode,
@@ -105,7 +105,8 @@
     misplaced
 }
 
-/// Reads the tree; each value that does not fit is noted, taken out and read as its default.
+/// Reads the tree. Each value that does not fit is reported and removed, so that its default takes its place and
+/// reading goes on.
 fn read_tree<T: Default + DeserializeOwned>(mut tree: SettingsNode, list: &mut FaultList) -> T {
     let mut removed: Vec<FieldPath> = Vec::new();
     loop {
--- a/crates/trestlewalk/src/settings/settings_node.rs
+++ b/crates/trestlewalk/src/settings/settings_node.rs
@@ -1,4 +1,4 @@
-//! The settings as a tree that knows its lines, so that each fault can name its own.
+//! The settings as a tree with line numbers, so that each fault can name its line.
 
 use {
     crate::settings::field_path::{FieldPath, PathStep},
@@ -10,7 +10,7 @@
     std::{fmt, sync::Arc},
 };
 
-/// The line of a value that was given on the command line.
+/// The line number of a value that was given on the command line.
 pub const OVERRIDE_LINE: u64 = 0;
 
 /// One field of a section.
@@ -24,7 +24,7 @@
     pub node: SettingsNode,
 }
 
-/// What a node holds.
+/// The value of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeValue {
     /// `true` or `false`.
@@ -37,13 +37,13 @@
     List(Vec<SettingsNode>),
     /// A section.
     Map(Vec<NodeEntry>),
-    /// Nothing.
+    /// An empty value.
     Null,
     /// Text.
     Text(Arc<str>),
 }
 
-/// One value with its line.
+/// One value with its line number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsNode {
     /// The line that the value starts at, counted from 1; [`OVERRIDE_LINE`] for the command line.
@@ -53,7 +53,7 @@
 }
 
 impl SettingsNode {
-    /// A section without fields.
+    /// Creates a section without fields.
     pub fn empty_map() -> Self {
         Self {
             line: OVERRIDE_LINE,
@@ -75,7 +75,7 @@
         line
     }
 
-    /// Marks the node and all below as given on the command line.
+    /// Marks the node and all nodes below it as given on the command line.
     pub fn mark_override(&mut self) {
         self.line = OVERRIDE_LINE;
         match &mut self.value {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Reads YAML.
+    /// Parses YAML. Repeated keys are kept, so that each is reported with its line.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
         serde_saphyr::from_str_with_options(text, options)
     }
 
-    /// Removes the field at `path`; an item of a list is emptied instead, so that the others keep their places.
+    /// Removes the field at `path`; an item of a list is emptied instead, so that the others keep their indexes.
     pub fn remove(&mut self, path: &FieldPath) {
         let Some((last, above)) = path.steps.split_last() else {
             return;
--- a/crates/trestlewalk/src/settings/settings_reader.rs
+++ b/crates/trestlewalk/src/settings/settings_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of `relay`, at the start and again when a signal asks for it.
+//! Reads the settings of `relay`, at the start and at each reload.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
     std::{fs, path::PathBuf},
 };
 
-/// Where the settings come from.
+/// The sources of the settings.
 #[derive(Clone, Debug)]
 pub struct SettingsReader {
     overrides: Vec<SettingOverride>,
@@ -18,12 +18,12 @@
 }
 
 impl SettingsReader {
-    /// A reader of a file, with the overrides of the command line.
+    /// Creates a reader of a file, with the overrides of the command line.
     pub fn new(path: PathBuf, overrides: Vec<SettingOverride>) -> Self {
         Self { overrides, path }
     }
 
-    /// Reads the settings.
+    /// Reads the file and applies the overrides.
     ///
     /// # Errors
     ///
--- a/crates/trestlewalk/src/settings/upstream_settings.rs
+++ b/crates/trestlewalk/src/settings/upstream_settings.rs
@@ -12,19 +12,19 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamSettings {
-    /// Where the upstream answers, TCP; required.
+    /// The TCP address of the upstream; required.
     pub address: SocketAddr,
-    /// Whether the upstream refuses an order with an old fencing number.
+    /// Whether the upstream refuses an order with an outdated fencing token.
     pub checks_fence: bool,
     /// The model; required for `prefill` and `decode`.
     pub model: Option<ModelId>,
     /// The upstream's name; required.
     pub name: UpstreamId,
-    /// What the upstream does.
+    /// The role of the upstream.
     pub role: UpstreamRole,
     /// The service that the upstream belongs to; required.
     pub service: ServiceId,
-    /// Where the upstream runs; required.
+    /// The availability zone of the upstream; required.
     pub zone: ZoneId,
 }
 
--- a/crates/trestlewalk/src/settings/work_defaults.rs
+++ b/crates/trestlewalk/src/settings/work_defaults.rs
@@ -1,4 +1,4 @@
-//! The kind of work of a request that names none.
+//! The kind of work of requests that name none.
 
 use {
     kernel::{ServiceId, WorkId},
--- a/crates/trestlewalk/src/subcommand.rs
+++ b/crates/trestlewalk/src/subcommand.rs
@@ -1,4 +1,4 @@
-//! What the binary can do, a subcommand a file.
+//! The subcommands of the binary, one per file.
 
 pub mod check;
 pub mod demo;
@@ -25,20 +25,20 @@
 pub enum Subcommand {
     /// Check a settings file or a table, and print every fault.
     Check(CheckCommand),
-    /// Run a small day of work through a whole system in one process.
+    /// Run a complete system in one process under the load of a short simulated day.
     Demo(DemoCommand),
-    /// Print the whole state of a running instance as JSON.
+    /// Print the state of a running instance as JSON.
     Dump(DumpCommand),
-    /// Tell the story of one request from the logs of instances.
+    /// Trace one request through the logs of instances.
     Explain(ExplainCommand),
     /// Run a stand-in of the platform, an engine or a plain service.
     #[command(subcommand)]
     Fake(FakeCommand),
-    /// Make keys that instances trust each other by, for trials.
+    /// Make keys by which instances authenticate each other, for tests.
     Keys(KeysCommand),
-    /// Run an instance that serves the operators' routes by its own view, until it is told to close.
+    /// Run an instance that serves the operators' routes without an allocator, until a signal closes it.
     Relay(RelayCommand),
-    /// Run an entry instance until it is told to close.
+    /// Run an entry instance until a signal closes it.
     Serve(ServeCommand),
     /// Read and edit the operators' table.
     #[command(subcommand)]
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// Whatever stopped it, with the exit code that `docs/CODES.md` lists.
+    /// The reason of the failure; it has an exit code that `docs/CODES.md` lists.
     pub fn run(self) -> Result<(), RunError> {
         match self {
             Self::Check(command) => command.run(),
--- a/crates/trestlewalk/src/subcommand/check.rs
+++ b/crates/trestlewalk/src/subcommand/check.rs
@@ -21,7 +21,7 @@
 const SETTINGS_EXTENSIONS: [&str; 2] = ["yaml", "yml"];
 const TABLE_EXTENSIONS: [&str; 1] = ["csv"];
 
-/// What a file holds.
+/// The kind of content of a file.
 enum FileKind {
     Settings,
     Table,
@@ -30,9 +30,9 @@
 /// The arguments of `check`.
 #[derive(Args, Debug)]
 pub struct CheckCommand {
-    /// The settings (`.yaml`) or the table (`.csv`); of another file the content tells.
+    /// The settings (`.yaml`) or the table (`.csv`); with another extension the content decides.
     pub file: PathBuf,
-    /// Takes the file as settings of `relay`.
+    /// Checks the file as settings of `relay`.
     #[arg(long)]
     pub relay: bool,
     /// Overrides one setting, such as `--set limits.body=2MiB`; may be given more than once.
@@ -41,7 +41,7 @@
 }
 
 impl CheckCommand {
-    /// Checks the file and prints that it is sound.
+    /// Checks the file and prints a line when it has no faults.
     ///
     /// # Errors
     ///
--- a/crates/trestlewalk/src/subcommand/demo.rs
+++ b/crates/trestlewalk/src/subcommand/demo.rs
@@ -12,22 +12,22 @@
     tokio::{runtime::Runtime, signal},
 };
 
-/// Any number will do; the same one gives the same day.
+/// The seed of the simulated day, fixed so that each run sends the same requests.
 const DAY_SEED: u64 = 20_261_202;
 
 /// The arguments of `demo`.
 #[derive(Args, Debug)]
 pub struct DemoCommand {
-    /// How many seconds the day lasts.
+    /// The duration of the simulated day, in seconds.
     #[arg(default_value_t = 24, long, value_name = "SECONDS")]
     pub seconds: u64,
-    /// Keep the system up after the day, and print calls to try.
+    /// Keep the system running after the day, and print calls to try.
     #[arg(long)]
     pub serve: bool,
 }
 
 impl DemoCommand {
-    /// Runs a small day of work through a whole system in this process.
+    /// Runs a complete system in this process under the load of a short simulated day.
     ///
     /// # Errors
     ///
@@ -88,6 +88,6 @@
         );
     }
     println!("\nCtrl-C ends it");
-    // Without a way to hear the signal the demonstration ends at once.
+    // If the signal handler can't be installed the demonstration ends at once.
     let _ = signal::ctrl_c().await;
 }
--- a/crates/trestlewalk/src/subcommand/dump.rs
+++ b/crates/trestlewalk/src/subcommand/dump.rs
@@ -21,17 +21,17 @@
 pub struct DumpCommand {
     /// The admin address of the instance, `IP:port`.
     pub address: SocketAddr,
-    /// How long the whole dump may take.
+    /// The timeout of the whole dump.
     #[arg(default_value = "10s", long, value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub timeout: Duration,
 }
 
 impl DumpCommand {
-    /// Prints the state of an instance as JSON.
+    /// Fetches the state of an instance and prints it as JSON.
     ///
     /// # Errors
     ///
-    /// The instance gives no dump.
+    /// The instance does not answer with a dump.
     pub fn run(self) -> Result<(), RunError> {
         let runtime = Runtime::new().context(RuntimeSnafu)?;
         let call = ClientRequest::builder()
--- a/crates/trestlewalk/src/subcommand/explain.rs
+++ b/crates/trestlewalk/src/subcommand/explain.rs
@@ -16,9 +16,10 @@
     },
 };
 
-/// Longer lines are no log lines of ours; they are counted as bad, and never held in memory whole.
+/// The maximum length of a log line. Longer lines were not written by an instance; they are counted as unreadable, and
+/// never held in memory completely.
 const MAX_LINE_BYTES: u64 = 64 << 10;
-/// Stands for standard input among the files.
+/// The file name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
 /// The arguments of `explain`.
@@ -33,7 +34,7 @@
 }
 
 impl ExplainCommand {
-    /// Prints what the logs say of the request.
+    /// Prints the trace of the request through the logs.
     ///
     /// # Errors
     ///
--- a/crates/trestlewalk/src/subcommand/fake.rs
+++ b/crates/trestlewalk/src/subcommand/fake.rs
@@ -18,10 +18,10 @@
     tokio::runtime::Runtime,
 };
 
-/// What stands for the file in faults when there is none.
+/// The name of the settings file in faults when there is no file.
 const NO_FILE: &str = "--set";
 
-/// What a stand-in can stand for.
+/// The kinds of stand-ins.
 #[derive(clap::Subcommand, Debug)]
 pub enum FakeCommand {
     /// Run a model engine.
@@ -32,7 +32,7 @@
     Service(FakeArguments),
 }
 
-/// The arguments of every stand-in. It prints one JSON line with its addresses when it listens.
+/// The arguments of every stand-in. Once it listens it prints one line of JSON with its addresses.
 #[derive(Args, Debug)]
 pub struct FakeArguments {
     /// Sets one field, such as `--set list_lag_ms=500`; may be given more than once.
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// Its settings have faults, or it can't listen.
+    /// The settings have faults, or the stand-in can't listen.
     pub fn run(self) -> Result<(), RunError> {
         match self {
             Self::Engine(arguments) => run_fake(fake::run_engine(arguments.load()?)),
--- a/crates/trestlewalk/src/subcommand/keys.rs
+++ b/crates/trestlewalk/src/subcommand/keys.rs
@@ -18,20 +18,20 @@
 /// The arguments of `keys`.
 #[derive(Args, Debug)]
 pub struct KeysCommand {
-    /// The name of an instance; given once for each.
+    /// The name of an instance; may be given more than once.
     #[arg(long, required = true, value_name = "NAME")]
     pub instance: Vec<String>,
-    /// The folder for `authority.pem`, and a `.pem` and a `.key` for each instance; made if it is not there.
+    /// The folder for `authority.pem`, and a `.pem` and a `.key` for each instance; created if missing.
     #[arg(long, value_name = "DIR")]
     pub out: PathBuf,
 }
 
 impl KeysCommand {
-    /// Makes an authority, and keys that it signed. The authority's own key is not kept.
+    /// Creates an authority, and keys with certificates that it signs. The authority's own key is discarded.
     ///
     /// # Errors
     ///
-    /// A name can't stand in a certificate, or a file can't be written.
+    /// A name is not valid in a certificate, or a file can't be written.
     pub fn run(self) -> Result<(), RunError> {
         let names: Vec<&str> = self.instance.iter().map(String::as_str).collect();
         let (authority, keys) = peer::make_test_keys(&names).context(KeysSnafu)?;
--- a/crates/trestlewalk/src/subcommand/table.rs
+++ b/crates/trestlewalk/src/subcommand/table.rs
@@ -27,7 +27,7 @@
     tokio::runtime::Runtime,
 };
 
-/// What `table` can do.
+/// The subcommands of `table`.
 #[derive(clap::Subcommand, Debug)]
 pub enum TableCommand {
     /// Merge a file's changes into the table, and wait until they are in force in every availability zone.
@@ -43,7 +43,7 @@
 }
 
 impl TableCommand {
-    /// Runs the verb on a runtime of its own.
+    /// Runs the subcommand on a runtime of its own.
     ///
     /// # Errors
     ///
@@ -54,11 +54,11 @@
         outcome.map_err(|source| RunError::Table { source })
     }
 
-    /// Runs the verb.
+    /// Runs the subcommand.
     ///
     /// # Errors
     ///
-    /// Whatever stopped it; [`TableCliError::result_code`] numbers it.
+    /// The reason of the failure; [`TableCliError::result_code`] gives its result code.
     pub async fn execute(self) -> Result<(), TableCliError> {
         match self {
             Self::Apply(command) => command.execute().await,
--- a/crates/trestlewalk/src/subcommand/table/admin_probe.rs
+++ b/crates/trestlewalk/src/subcommand/table/admin_probe.rs
@@ -1,4 +1,4 @@
-//! Asks entry instances which table they have in force.
+//! Queries entry instances for the table that they have in force.
 
 use {
     crate::admin::TableStatus,
@@ -12,15 +12,15 @@
     tokio::task::JoinSet,
 };
 
-/// The largest answer that is read, in bytes.
+/// The maximum size of an answer, in bytes.
 const ANSWER_LIMIT: usize = 64 << 10;
-/// How long one question may take.
+/// The timeout of one query.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What each address answered; none for one that did not.
+/// The answer of each address; `None` for one that gave none.
 pub type ProbeAnswers = BTreeMap<SocketAddr, Option<TableStatus>>;
 
-/// Asks the admin addresses of entry instances.
+/// Queries the admin addresses of entry instances.
 #[derive(Clone, Debug)]
 pub struct AdminProbe {
     addresses: Vec<SocketAddr>,
@@ -28,7 +28,7 @@
 }
 
 impl AdminProbe {
-    /// Asks all addresses at once.
+    /// Queries all addresses at the same time.
     pub async fn ask_all(&self) -> ProbeAnswers {
         let mut tasks = JoinSet::new();
         for address in &self.addresses {
@@ -44,7 +44,7 @@
         answers
     }
 
-    /// A probe of these addresses.
+    /// Creates a probe of these addresses.
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(PROBE_TIMEOUT));
--- a/crates/trestlewalk/src/subcommand/table/apply.rs
+++ b/crates/trestlewalk/src/subcommand/table/apply.rs
@@ -31,7 +31,7 @@
     table::TableFile,
 };
 
-/// The pause between two rounds of questions to entry instances.
+/// The pause between two rounds of queries to entry instances.
 const PROBE_PAUSE: Duration = Duration::from_millis(200);
 
 /// The arguments of `table apply`.
@@ -46,7 +46,7 @@
     /// Where the platform and the entry instances are.
     #[command(flatten)]
     pub operator: OperatorArguments,
-    /// Writes the file anew after the edit, so that it can be edited further.
+    /// Rewrites the file from the table after the edit, so that it can be edited further.
     #[arg(long)]
     pub refresh: bool,
     /// How long to wait until the edit is in force everywhere.
@@ -70,7 +70,7 @@
         let held = greatest_version(&before);
         let snapshot = self.wait_for_platform(&repository, held).await?;
         let plan = EditPlan::make(&repository, &snapshot, &self.file, &file).await?;
-        // Without a list there are no notes, and only the instances' own word on zones.
+        // Without a list there are no notes, and only the answers of instances tell which availability zones there are.
         let instances = repository.store().instances().await.unwrap_or_default();
         plan.print(&instances)?;
         let version = self.commit(&repository, &plan, file, held).await?;
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Asks the instances until the edit is in force everywhere or the wait is over.
+    /// Queries the instances until the edit is in force everywhere or the wait is over.
     async fn follow(
         &self,
         probe: &AdminProbe,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The platform's table, once it is no older than what entry instances hold.
+    /// Waits until the platform's table is no older than those of the entry instances, and returns it.
     async fn wait_for_platform(
         &self,
         repository: &TableRepository<HttpPlatform>,
@@ -182,7 +182,7 @@
     }
 }
 
-/// The zones that have entry instances by the platform's list.
+/// The availability zones in which the platform's list names entry instances.
 fn entry_zones(instances: Vec<InstanceRecord>) -> BTreeSet<ZoneId> {
     let entries = instances.into_iter();
     entries
@@ -196,7 +196,7 @@
     versions.max().unwrap_or_default()
 }
 
-/// A fresh id: the time, and a number that the standard library draws for each process.
+/// Makes a unique id from the time and a random number of the standard library.
 fn new_edit_id() -> EditId {
     let now = unix_time::micros(SystemTime::now());
     let drawn = RandomState::new().hash_one((now, std::process::id()));
--- a/crates/trestlewalk/src/subcommand/table/change_text.rs
+++ b/crates/trestlewalk/src/subcommand/table/change_text.rs
@@ -1,14 +1,14 @@
-//! How changes and conflicts read.
+//! Formats changes and conflicts as text.
 
 use {
     std::fmt::Write,
     table::{RowChange, RowConflict, WorkColumn, WorkRow, cell_text, changed_cells},
 };
 
-/// What stands for an empty cell.
+/// The text for an empty cell.
 const EMPTY_CELL: &str = "(empty)";
 
-/// Changes, a line a row that comes or goes and a line a cell.
+/// Formats changes: one line for each added or removed row, and one for each changed cell.
 pub fn changes_text(changes: &[RowChange]) -> String {
     let mut text = String::new();
     for change in changes {
@@ -30,7 +30,7 @@
     text
 }
 
-/// Conflicts, with both values of every cell in which they differ.
+/// Formats conflicts: one line for each cell that differs, with both values.
 pub fn conflicts_text(conflicts: &[RowConflict]) -> String {
     let mut text = String::new();
     for conflict in conflicts {
@@ -72,7 +72,7 @@
 }
 
 fn push(text: &mut String, mark: &str, work: &str, values: &str) {
-    // Writing to a string has no errors.
+    // Writing to a string does not fail.
     let _ = writeln!(text, "{mark} {work}  {values}");
 }
 
--- a/crates/trestlewalk/src/subcommand/table/check.rs
+++ b/crates/trestlewalk/src/subcommand/table/check.rs
@@ -14,7 +14,7 @@
 }
 
 impl CheckCommand {
-    /// Checks the file as a whole, and prints that it is sound.
+    /// Checks the whole file, and prints a line when it has no faults.
     ///
     /// # Errors
     ///
--- a/crates/trestlewalk/src/subcommand/table/diff.rs
+++ b/crates/trestlewalk/src/subcommand/table/diff.rs
@@ -24,7 +24,7 @@
     /// Where the platform is.
     #[command(flatten)]
     pub operator: OperatorArguments,
-    /// A second file: compares the two files, and asks no platform.
+    /// A second file: compares the two files without calling the platform.
     pub other: Option<PathBuf>,
 }
 
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// When a file has faults, the platform gives no table, or the file conflicts with other edits.
+    /// When a file has faults, the table can't be read from the platform, or the file conflicts with other edits.
     pub async fn execute(self) -> Result<(), TableCliError> {
         let file = self.file.load()?;
         if let Some(other) = &self.other {
--- a/crates/trestlewalk/src/subcommand/table/edit_plan.rs
+++ b/crates/trestlewalk/src/subcommand/table/edit_plan.rs
@@ -1,4 +1,4 @@
-//! What a file would do to the table now.
+//! The effect that a file would have on the current table.
 
 use {
     super::{
@@ -14,14 +14,14 @@
     table::{FileBase, RowConflict, TableFile, TableMerge, merge_rows},
 };
 
-/// A file merged into the table as it is now.
+/// The merge of a file into the current table.
 #[derive(Clone, Debug)]
 pub struct EditPlan {
-    /// The version that the file was taken from.
+    /// The version that the file is based on.
     pub base: FileBase,
-    /// What the file does.
+    /// The changes, the conflicts and the rows that already have the values of the file.
     pub merge: TableMerge,
-    /// The table's version now.
+    /// The current version of the table.
     pub version: TableVersion,
 }
 
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// When the version that the file was taken from can't be found.
+    /// When the version that the file is based on can't be found.
     pub async fn make<S: RowStore>(
         repository: &TableRepository<S>,
         snapshot: &TableSnapshot,
@@ -49,11 +49,11 @@
         })
     }
 
-    /// Prints what the file does, with notes on names that no listed instance has.
+    /// Prints the changes, with notes on names that no listed instance has.
     ///
     /// # Errors
     ///
-    /// When the output can't be written, or there are conflicts, after they are printed.
+    /// When the output can't be written, or there are conflicts; they are printed first.
     pub fn print(&self, instances: &[InstanceRecord]) -> Result<(), TableCliError> {
         print_text(&changes_text(&self.merge.changes))?;
         print_text(&name_notes(&self.merge.changes, instances).concat())?;
@@ -68,7 +68,7 @@
     }
 }
 
-/// Prints conflicts and makes the error of them.
+/// Prints conflicts and returns them as an error.
 ///
 /// # Errors
 ///
--- a/crates/trestlewalk/src/subcommand/table/file_arguments.rs
+++ b/crates/trestlewalk/src/subcommand/table/file_arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments by which a verb reads a table file.
+//! The arguments of subcommands that read a table file.
 
 use {
     super::table_cli_error::{BaseMissingSnafu, ReadFileSnafu, TableCliError, TableFaultsSnafu},
@@ -13,13 +13,13 @@
     table::{FileBase, TableFile, read_csv},
 };
 
-/// The name that stands for the standard input.
+/// The file name that stands for standard input.
 const STDIN_NAME: &str = "-";
 
-/// A table file, and the version that it was taken from.
+/// A table file, and the version that it is based on.
 #[derive(Args, Clone, Debug)]
 pub struct FileArguments {
-    /// The version that the file was taken from, for a file that has lost its `# version` line.
+    /// The version that the file is based on, for a file without its `# version` line.
     #[arg(long, value_name = "VERSION")]
     pub base: Option<TableVersion>,
     /// The table file, CSV; `-` is the standard input.
@@ -27,11 +27,11 @@
 }
 
 impl FileArguments {
-    /// The version that the file was taken from; version 0 for a file without one when there is no table yet.
+    /// The version that the file is based on; version 0 for a file without one if there is no table yet.
     ///
     /// # Errors
     ///
-    /// When the file has no version line, none is named, and the platform has a table.
+    /// When the file has no version line, `--base` is not given, and the platform has a table.
     pub fn base_of(
         &self,
         file: &TableFile,
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't be read or has faults; all of them are told.
+    /// When it can't be read or has faults; the error lists them all.
     pub fn load(&self) -> Result<TableFile, TableCliError> {
         load_file(&self.file)
     }
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// When it can't be read or has faults; all of them are told.
+/// When it can't be read or has faults; the error lists them all.
 pub fn load_file(path: &Path) -> Result<TableFile, TableCliError> {
     let content = match path.as_os_str() == STDIN_NAME {
         true => read_stdin(),
--- a/crates/trestlewalk/src/subcommand/table/history.rs
+++ b/crates/trestlewalk/src/subcommand/table/history.rs
@@ -50,7 +50,7 @@
     )
 }
 
-/// A time since the Unix epoch, to the second; a time beyond the calendar's end as the epoch.
+/// Formats a time since the Unix epoch to the second; times after the year 9999 are shown as its end.
 fn time_text(at: Duration) -> String {
     const LAST: Duration = Duration::from_secs(253_402_300_799);
     let time: Option<SystemTime> = UNIX_EPOCH.checked_add(at.min(LAST));
--- a/crates/trestlewalk/src/subcommand/table/name_notes.rs
+++ b/crates/trestlewalk/src/subcommand/table/name_notes.rs
@@ -1,4 +1,4 @@
-//! Notes on names that nobody in the platform's list of instances has: most often a slip of the pen.
+//! Notes on names that no instance in the platform's list has; they are most likely typing errors.
 
 use {
     kernel::ZoneId,
@@ -7,8 +7,8 @@
     table::{RowChange, WorkRow},
 };
 
-/// One line for each name in a changed row that no listed instance has. The list lags and may be empty, so a note is no
-/// fault; an empty list gives none.
+/// One line for each name in a changed row that no listed instance has. The list lags, so such a name is not a fault;
+/// an empty list gives no notes.
 pub fn name_notes(changes: &[RowChange], instances: &[InstanceRecord]) -> Vec<String> {
     if instances.is_empty() {
         return Vec::new();
--- a/crates/trestlewalk/src/subcommand/table/operator_arguments.rs
+++ b/crates/trestlewalk/src/subcommand/table/operator_arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments by which a verb finds the platform and the entry instances.
+//! The arguments that give the addresses of the platform and of the entry instances.
 
 use {
     super::{
@@ -17,10 +17,10 @@
     std::{fs, net::SocketAddr, path::PathBuf, sync::Arc},
 };
 
-/// Where the platform and the entry instances are; an argument goes before the file.
+/// The addresses of the platform and of the entry instances. An argument overrides the file.
 #[derive(Args, Clone, Debug)]
 pub struct OperatorArguments {
-    /// The admin addresses of the entry instances, with commas between them.
+    /// The admin addresses of the entry instances, separated by commas.
     #[arg(
         long,
         env = "TRESTLEWALK_INSTANCES",
@@ -37,7 +37,7 @@
 }
 
 impl OperatorArguments {
-    /// The settings: the file's, with the arguments in place of them.
+    /// Loads the settings from the file, and overrides them with the arguments.
     ///
     /// # Errors
     ///
@@ -70,18 +70,18 @@
 }
 
 impl OperatorSettings {
-    /// A client of the platform.
+    /// Creates a client of the platform.
     ///
     /// # Errors
     ///
-    /// When no platform is named or its address can't be read.
+    /// When no platform is named or its address is invalid.
     pub fn connect(&self) -> Result<HttpPlatform, TableCliError> {
         let address = self.platform.clone().context(PlatformMissingSnafu)?;
         let platform = HttpPlatform::builder().address(address).build();
         platform.context(PlatformSnafu)
     }
 
-    /// The table at the platform.
+    /// Creates a repository of the table at the platform.
     ///
     /// # Errors
     ///
--- a/crates/trestlewalk/src/subcommand/table/operator_settings.rs
+++ b/crates/trestlewalk/src/subcommand/table/operator_settings.rs
@@ -1,4 +1,4 @@
-//! The operator's settings: where the platform and the entry instances are.
+//! The operator's settings: the addresses of the platform and of the entry instances.
 
 use {
     serde::{Deserialize, Serialize},
--- a/crates/trestlewalk/src/subcommand/table/show.rs
+++ b/crates/trestlewalk/src/subcommand/table/show.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// When the platform gives no table.
+    /// When the table can't be read from the platform.
     pub async fn execute(self) -> Result<(), TableCliError> {
         let repository = self.operator.load()?.repository()?;
         let snapshot = repository.snapshot().await.context(PlatformSnafu)?;
@@ -33,7 +33,7 @@
     }
 }
 
-/// A table as CSV with its version line.
+/// Formats a table as CSV with its version line.
 pub fn snapshot_text(snapshot: &TableSnapshot) -> String {
     let rows = snapshot.table.live_rows();
     let base = FileBase {
--- a/crates/trestlewalk/src/subcommand/table/table_cli_error.rs
+++ b/crates/trestlewalk/src/subcommand/table/table_cli_error.rs
@@ -1,4 +1,4 @@
-//! Why a verb of `table` failed.
+//! Errors of `trestlewalk table`.
 
 use {
     kernel::{ResultCode, TableVersion},
@@ -8,29 +8,29 @@
     table::TableError,
 };
 
-/// The error of `trestlewalk table`.
+/// Why a subcommand of `table` failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum TableCliError {
     /// A file has no version line, and the platform has a table already.
     #[snafu(display(
-        "{}: the file has no `# version` line, so that its changes can't be told; take a fresh file with \
+        "{}: the file has no `# version` line, so its changes can't be determined; take a fresh file with \
          `table show`, or name the version with --base",
         path.display()
     ))]
     BaseMissing {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
     },
-    /// Someone else changed the same rows.
+    /// Another operator changed the same rows.
     #[snafu(display(
-        "rows that somebody else changed as well, up to version {version}: {count}; nothing is applied; take a \
+        "rows that another operator changed too, up to version {version}: {count}; nothing is applied; take a \
          fresh file with `table show` and make your changes there"
     ))]
     Conflict {
-        /// How many rows.
+        /// The number of rows in conflict.
         count: usize,
-        /// The version that has the other values.
+        /// The version of the table that has the conflicting values.
         version: TableVersion,
     },
     /// Instances hold one version with different content.
@@ -39,26 +39,26 @@
         /// The version.
         version: TableVersion,
     },
-    /// The edit is done, but not in force everywhere.
-    #[snafu(display("version {version} is accepted and not yet in force in: {zones}"))]
+    /// The edit is accepted, but not in force everywhere yet.
+    #[snafu(display("version {version} is accepted but not yet in force in: {zones}"))]
     NotInForce {
         /// The version.
         version: TableVersion,
-        /// The availability zones, with commas between them.
+        /// The availability zones, separated by commas.
         zones: String,
     },
     /// The standard output or a file can't be written.
     #[snafu(display("can't write {what}: {source}"))]
     Output {
-        /// Why.
+        /// The underlying error.
         source: io::Error,
-        /// What was written to.
+        /// The name of the output.
         what: String,
     },
-    /// The platform's fault.
+    /// A call to the platform failed.
     #[snafu(display("{source}"))]
     Platform {
-        /// What the client says.
+        /// The error of the client.
         source: PlatError,
     },
     /// No platform was named.
@@ -67,15 +67,15 @@
     /// A file can't be read.
     #[snafu(display("{}: can't read the file: {source}", path.display()))]
     ReadFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
     /// The operator's settings have faults.
     #[snafu(display("{detail}"))]
     SettingsInvalid {
-        /// The faults, one a line.
+        /// The faults, one per line.
         detail: String,
     },
     /// The table file has faults.
@@ -84,9 +84,9 @@
         /// The faults.
         source: TableError,
     },
-    /// Entry instances hold a newer table than the platform.
+    /// Entry instances hold a newer table than the platform, which was restored from an older copy.
     #[snafu(display(
-        "entry instances hold version {held}, the platform only {stored}: it was put back to an older copy; the \
+        "entry instances hold version {held}, the platform only {stored}: it was restored from an older copy; the \
          instances write the newer rows back, so try again in a few seconds"
     ))]
     VersionFell {
@@ -98,7 +98,7 @@
 }
 
 impl TableCliError {
-    /// The numbered result that operators see; none for faults of files and pipes.
+    /// The result code that operators see; `None` for errors of files and pipes.
     pub fn result_code(&self) -> Option<ResultCode> {
         match self {
             Self::BaseMissing { .. } => Some(ResultCode::TableInvalid),
--- a/crates/trestlewalk/src/subcommand/table/text_output.rs
+++ b/crates/trestlewalk/src/subcommand/table/text_output.rs
@@ -1,4 +1,4 @@
-//! Writes to the standard output without panics when a pipe is closed.
+//! Writes to the standard output without panicking when a pipe is closed.
 
 use {
     super::table_cli_error::{OutputSnafu, TableCliError},
@@ -6,11 +6,11 @@
     std::io::{self, ErrorKind, Write},
 };
 
-/// Writes a text to the standard output. A reader that went away, as in `table show | head`, is no fault.
+/// Writes a text to the standard output. A closed pipe, as in `table show | head`, is not an error.
 ///
 /// # Errors
 ///
-/// Any other fault of the output.
+/// When the output can't be written for another reason.
 pub fn print_text(text: &str) -> Result<(), TableCliError> {
     let mut output = io::stdout().lock();
     let written = output
--- a/crates/trestlewalk/src/subcommand/table/zone_watch.rs
+++ b/crates/trestlewalk/src/subcommand/table/zone_watch.rs
@@ -10,25 +10,25 @@
     },
 };
 
-/// What stands for the availability zone of an instance that never answered.
+/// The name shown for the availability zone of an instance that never answered.
 const UNKNOWN_ZONE: &str = "(unknown availability zone)";
 
 /// The state of one availability zone.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ZoneState {
-    /// The instances that answered.
+    /// The number of instances that answered.
     pub answered: usize,
-    /// How long after the edit all that answer had it in force.
+    /// The time from the edit until all instances that answer had it in force; `None` until then.
     pub in_force: Option<Duration>,
-    /// The instances that have the edit in force.
+    /// The number of instances that have the edit in force.
     pub ready: usize,
-    /// The instances that gave no answer.
+    /// The addresses that gave no answer.
     pub silent: BTreeSet<SocketAddr>,
-    /// The least version that an answer told.
+    /// The lowest version among the answers.
     pub version: TableVersion,
 }
 
-/// Gathers what instances answer. Pure: whoever asks them passes the answers in.
+/// Tracks the answers of instances. It does no I/O: the caller of its methods queries the instances.
 #[derive(Clone, Debug)]
 pub struct ZoneWatch {
     digests: BTreeSet<TableDigest>,
@@ -39,8 +39,9 @@
 }
 
 impl ZoneWatch {
-    /// Takes a round of answers, `passed` after the edit; the zones that came into force with it, by name.
-    pub fn record_answers(&mut self, answers: &ProbeAnswers, passed: Duration) -> Vec<ZoneId> {
+    /// Records a round of answers, received `elapsed` after the edit. Returns the availability zones in which the edit
+    /// came into force with this round, sorted by name.
+    pub fn record_answers(&mut self, answers: &ProbeAnswers, elapsed: Duration) -> Vec<ZoneId> {
         let mut states: BTreeMap<ZoneId, ZoneState> = BTreeMap::new();
         for zone in &self.zones {
             states.insert(zone.clone(), ZoneState::default());
@@ -68,7 +69,7 @@
         for (zone, state) in &mut states {
             let earlier = self.states.get(zone).and_then(|earlier| earlier.in_force);
             let is_ready = state.answered > 0 && state.ready == state.answered;
-            state.in_force = earlier.or(is_ready.then_some(passed));
+            state.in_force = earlier.or(is_ready.then_some(elapsed));
             if earlier.is_none() && is_ready {
                 newly_in_force.push(zone.clone());
             }
@@ -77,7 +78,7 @@
         newly_in_force
     }
 
-    /// Whether the edit is in force in every zone, at every instance.
+    /// Whether the edit is in force in every availability zone, at every instance.
     pub fn is_done(&self) -> bool {
         let states = self.states.values();
         let mut states =
@@ -90,7 +91,8 @@
         self.digests.len() > 1
     }
 
-    /// A watch of an edit that made `version`, over zones known beforehand and instances that answered before.
+    /// Creates a watch of the edit that made `version`, over the known availability zones and the answers from before
+    /// the edit.
     pub fn new(version: TableVersion, zones: BTreeSet<ZoneId>, before: &ProbeAnswers) -> Self {
         let mut known_zones = BTreeMap::new();
         for (address, answer) in before {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The zones where the edit is not in force.
+    /// The availability zones in which the edit is not in force yet.
     pub fn pending_zones(&self) -> Vec<ZoneId> {
         let mut zones = Vec::new();
         for (zone, state) in &self.states {
@@ -118,15 +120,15 @@
         zones
     }
 
-    /// One line about a zone.
+    /// Formats the state of an availability zone as one line.
     pub fn zone_text(&self, zone: &str) -> String {
         let Some(state) = self.states.get(zone) else {
             return format!("{zone}: nothing known");
         };
         let mut text = match state.in_force {
-            Some(passed) => format!(
+            Some(elapsed) => format!(
                 "{zone}: in force after {:.1} s at {} of {} instances",
-                passed.as_secs_f64(),
+                elapsed.as_secs_f64(),
                 state.ready,
                 state.answered + state.silent.len()
             ),
@@ -145,7 +147,7 @@
         text
     }
 
-    /// The zones, by name.
+    /// The availability zones, sorted by name.
     pub fn zones(&self) -> Vec<ZoneId> {
         self.states.keys().cloned().collect()
     }
--- a/crates/trestlewalk/src/subcommand/ticket.rs
+++ b/crates/trestlewalk/src/subcommand/ticket.rs
@@ -9,12 +9,12 @@
     crate::RunError,
 };
 
-/// What `ticket` can do.
+/// The subcommands of `ticket`.
 #[derive(clap::Subcommand, Debug)]
 pub enum TicketCommand {
     /// Mint a ticket and print it.
     Mint(MintCommand),
-    /// Send a request under a ticket and print its answer; the same ticket again runs nothing again.
+    /// Send a request under a ticket and print its answer; the same ticket never runs it twice.
     Use(UseCommand),
 }
 
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// No whole answer came, or one with another result code than 1000.
+    /// No complete answer came, or one with another result code than 1000.
     pub fn run(self) -> Result<(), RunError> {
         match self {
             Self::Mint(command) => command.run(),
--- a/crates/trestlewalk/src/subcommand/ticket/mint.rs
+++ b/crates/trestlewalk/src/subcommand/ticket/mint.rs
@@ -21,10 +21,10 @@
 pub struct MintCommand {
     /// The callers' address of any instance, `IP:port`.
     pub address: SocketAddr,
-    /// How long the ticket is good for; without it the instance decides.
+    /// The lifetime of the ticket; without it the instance decides.
     #[arg(long, value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub expires: Option<Duration>,
-    /// How long the answer may take.
+    /// The timeout of the answer.
     #[arg(default_value = "10s", long, value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub timeout: Duration,
 }
@@ -38,7 +38,7 @@
     expires: Option<Duration>,
 }
 
-/// What `POST /v1/tickets` answers.
+/// The answer of `POST /v1/tickets`.
 #[derive(Debug, Deserialize)]
 struct MintReply {
     ticket: Arc<str>,
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// No instance answers with a ticket.
+    /// The instance does not answer with a ticket.
     pub fn run(self) -> Result<(), RunError> {
         let body = MintBody {
             expires: self.expires,
--- a/crates/trestlewalk/src/subcommand/ticket/ticket_call.rs
+++ b/crates/trestlewalk/src/subcommand/ticket/ticket_call.rs
@@ -1,4 +1,4 @@
-//! Sends a call of `ticket`, and tells its outcome by the result code.
+//! Sends the calls of `ticket`, and turns their outcomes into result codes.
 
 use {
     crate::{
@@ -11,14 +11,14 @@
     tokio::runtime::Runtime,
 };
 
-/// The type of the bodies that are sent.
+/// The content type of request bodies.
 pub const BODY_TYPE: &str = "application/json";
 
-/// Sends the call and gives the answer.
+/// Sends the call and returns the answer.
 ///
 /// # Errors
 ///
-/// No whole answer came, which leaves the outcome unknown; or the answer has another code than 1000.
+/// No complete answer came, or the answer has another result code than 1000.
 pub fn send_call(call: ClientRequest) -> Result<ClientReply, RunError> {
     let runtime = Runtime::new().context(RuntimeSnafu)?;
     let outcome = runtime.block_on(HttpClient::new().send(call));
--- a/crates/trestlewalk/src/subcommand/ticket/use_ticket.rs
+++ b/crates/trestlewalk/src/subcommand/ticket/use_ticket.rs
@@ -38,7 +38,7 @@
     /// The ticket, as `ticket mint` printed it.
     #[arg(long)]
     pub ticket: String,
-    /// How long the answer may take.
+    /// The timeout of the answer.
     #[arg(default_value = "5min", long, value_name = "DURATION", value_parser = humantime::parse_duration)]
     pub timeout: Duration,
     /// The kind of work.
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// The body can't be read, no whole answer came, or one with another code than 1000.
+    /// The body can't be read, no complete answer came, or one with another result code than 1000.
     pub fn run(self) -> Result<(), RunError> {
         let body = match &self.body {
             Some(path) => read_body(path).context(ReadFileSnafu { path })?,
--- a/crates/trestlewalk/src/text_output.rs
+++ b/crates/trestlewalk/src/text_output.rs
@@ -1,4 +1,4 @@
-//! Writes to the standard output without panics when nobody reads it.
+//! Writes to the standard output without panicking when its reader has gone.
 
 use {
     crate::{RunError, run_error::WriteFileSnafu},
@@ -8,11 +8,11 @@
 
 const STANDARD_OUTPUT: &str = "standard output";
 
-/// Writes bytes as they are. A reader that went away, as in `dump | head`, is no fault.
+/// Writes bytes unchanged. A closed pipe, as in `dump | head`, is not an error.
 ///
 /// # Errors
 ///
-/// Any other fault of the output.
+/// The output can't be written for another reason.
 pub fn print_bytes(bytes: &[u8]) -> Result<(), RunError> {
     let mut output = io::stdout().lock();
     let written = output.write_all(bytes).and_then(|()| output.flush());
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Any fault of the output but a reader that went away.
+/// As for [`print_bytes`].
 pub fn print_line(line: &str) -> Result<(), RunError> {
     print_bytes(format!("{line}\n").as_bytes())
 }
