--- a/crates/relay/src/order_dialect.rs
+++ b/crates/relay/src/order_dialect.rs
@@ -4,7 +4,7 @@
     bytes::Bytes,
     http::{Request, StatusCode},
     http_body_util::Full,
-    kernel::FenceNumber,
+    kernel::FencingToken,
     lease::OrderReply,
     policy::{UpstreamRecord, UpstreamStage},
 };
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OrderState {
     /// Whether an order is at work.
-    pub busy: bool,
+    pub is_busy: bool,
     /// How many orders it has accepted in its life. An order names it, so that one which arrives late is refused.
     pub count: u64,
 }
@@ -24,7 +24,7 @@
     /// The count that the engine has to have.
     pub expected: u64,
     /// The fencing number.
-    pub fence: FenceNumber,
+    pub fence: FencingToken,
     /// The life of the process that gives the order.
     pub holder: &'a str,
     /// The new stage.
--- a/crates/trestlewalk/src/demo/demo_system.rs
+++ b/crates/trestlewalk/src/demo/demo_system.rs
@@ -281,8 +281,8 @@
     async fn wait_for_version(&self, entry: &DemoEntry, version: u64) {
         let started = time::Instant::now();
         while started.elapsed() < WAIT_LIMIT {
-            let board = entry.map.get::<flow::TableBoard>();
-            let table = board.and_then(|board| board.table());
+            let current_table = entry.map.get::<flow::CurrentTable>();
+            let table = current_table.and_then(|current_table| current_table.table());
             if table.is_some_and(|table| table.version >= version) {
                 return;
             }
--- a/crates/trestlewalk/src/entry/allocator_factory.rs
+++ b/crates/trestlewalk/src/entry/allocator_factory.rs
@@ -2,7 +2,7 @@
 
 use {
     admit::CellAllocator,
-    flow::{PolicyMaker, UpstreamBoard, limit_share::zone_limit},
+    flow::{PolicyFactory, UpstreamRegistry, limit_share::zone_limit},
     kernel::{ModelId, ZoneId},
     plat::InstanceKind,
     std::{collections::BTreeSet, sync::Arc},
@@ -11,19 +11,23 @@
 
 /// Creates allocators whose random choices come from a seed.
 pub struct AllocatorFactory {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     seed: u64,
     zone: ZoneId,
 }
 
 impl AllocatorFactory {
     /// Creates a factory for the allocators of `zone`.
-    pub fn new(board: Arc<UpstreamBoard>, seed: u64, zone: ZoneId) -> Self {
-        Self { board, seed, zone }
+    pub fn new(registry: Arc<UpstreamRegistry>, seed: u64, zone: ZoneId) -> Self {
+        Self {
+            registry,
+            seed,
+            zone,
+        }
     }
 }
 
-impl PolicyMaker for AllocatorFactory {
+impl PolicyFactory for AllocatorFactory {
     type Policy = CellAllocator;
 
     fn make(&self, _: &ModelId) -> CellAllocator {
@@ -32,8 +36,8 @@
 
     /// Limits are divided among the availability zones in which the list names engines of the model, live or not. An
     /// availability zone that is cut off thus keeps to its share, and no other one takes it over.
-    fn cell_part(&self, model: &ModelId, table: &WorkTable) -> WorkTable {
-        let map = self.board.snapshot();
+    fn table_for_cell(&self, model: &ModelId, table: &WorkTable) -> WorkTable {
+        let map = self.registry.snapshot();
         let engines = map.values().filter(|entry| {
             entry.record.kind != InstanceKind::Plain && entry.record.model.as_ref() == Some(model)
         });
--- a/crates/trestlewalk/src/entry/control_tasks.rs
+++ b/crates/trestlewalk/src/entry/control_tasks.rs
@@ -10,7 +10,7 @@
         run_error::PeersSnafu,
     },
     flow::{
-        AllocatorSeats, CELL_TAG, CellTable, GrantRouter, LoadPoller, SessionHost, StreamSweeper,
+        AllocatorTracker, CELL_TAG, CellTable, GrantRouter, LoadPoller, SessionHost, StreamSweeper,
     },
     kernel::InstanceId,
     peer::{ListedMember, MemberSettings, PeerDriver},
@@ -62,7 +62,7 @@
         parts.map.insert(driver.clone());
         let zone = parts.identity.zone.clone();
         let watch = Arc::new(MemberWatch::new(
-            components.board.clone(),
+            components.registry.clone(),
             driver.clone(),
             zone,
         ));
@@ -71,12 +71,12 @@
             parts.identity.instance.clone(),
         ));
         let factory = AllocatorFactory::new(
-            components.board.clone(),
+            components.registry.clone(),
             parts.identity.incarnation,
             parts.identity.zone.clone(),
         );
         let cells = CellTable::new(
-            components.tables.clone(),
+            components.current_table.clone(),
             factory,
             components.pool.clone(),
             router.clone(),
@@ -114,7 +114,7 @@
         polling,
     );
     let driver = TableDriver::builder()
-        .board(components.tables.clone())
+        .current_table(components.current_table.clone())
         .health(components.health.clone())
         .instance(identity.instance.clone())
         .plan(plan)
@@ -133,8 +133,8 @@
     router: Arc<GrantRouter>,
 ) {
     let zone = &parts.identity.zone;
-    let seats = AllocatorSeats::builder()
-        .board(components.board.clone())
+    let tracker = AllocatorTracker::builder()
+        .registry(components.registry.clone())
         .cells(cells.clone())
         .endpoint(components.endpoint.clone())
         .hub(components.hub.clone())
@@ -144,14 +144,14 @@
         .zone(zone.clone())
         .build();
     let poller = LoadPoller::builder()
-        .board(components.board.clone())
+        .registry(components.registry.clone())
         .cells(cells.clone())
         .engine(components.engine.clone())
         .interval(LOAD_INTERVAL)
         .zone(zone.clone())
         .build();
     let sweeper = StreamSweeper::builder()
-        .board(components.board.clone())
+        .registry(components.registry.clone())
         .canceller(components.canceller())
         .cells(cells.clone())
         .engine(components.engine.clone())
@@ -162,7 +162,7 @@
     let host = SessionHost::new(cells.clone(), components.pool.clone(), router);
     let sessions = components.endpoint.register(CELL_TAG);
     let tables = cells.clone();
-    components.pool.spawn(seats.run());
+    components.pool.spawn(tracker.run());
     components.pool.spawn(poller.run());
     components.pool.spawn(sweeper.run());
     components.pool.spawn(host.run(sessions));
@@ -231,12 +231,12 @@
         driver: watch.driver(),
         limiter: components.limiter.clone(),
         list: list.clone(),
-        tables: components.tables.clone(),
+        current_table: components.current_table.clone(),
         zone: parts.identity.zone.clone(),
     };
     components.pool.spawn(updater.run());
     let poller = ListPoller::new(
-        components.board.clone(),
+        components.registry.clone(),
         interval,
         sender,
         components.platform.clone(),
--- a/crates/trestlewalk/src/entry/list_poller.rs
+++ b/crates/trestlewalk/src/entry/list_poller.rs
@@ -1,7 +1,7 @@
 //! Polls the platform's list of instances.
 
 use {
-    flow::UpstreamBoard,
+    flow::UpstreamRegistry,
     plat::{InstanceList, InstanceRecord},
     std::{sync::Arc, time::Duration},
     tokio::{
@@ -12,23 +12,23 @@
 
 /// Polls the list and passes changes on to the other parts. While the platform is down the last list stays in use.
 pub struct ListPoller<P> {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     interval: Duration,
     list: watch::Sender<Vec<InstanceRecord>>,
     platform: P,
 }
 
 impl<P: InstanceList> ListPoller<P> {
-    /// Creates a poller that puts the listed upstreams on the board, and sends the whole list to the receivers of
+    /// Creates a poller that puts the listed upstreams on the registry, and sends the whole list to the receivers of
     /// `list`.
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         interval: Duration,
         list: watch::Sender<Vec<InstanceRecord>>,
         platform: P,
     ) -> Self {
         Self {
-            board,
+            registry,
             interval,
             list,
             platform,
@@ -47,7 +47,7 @@
             if *self.list.borrow() == records {
                 continue;
             }
-            self.board.put_list(&records);
+            self.registry.put_list(&records);
             self.list.send_replace(records);
         }
     }
--- a/crates/trestlewalk/src/entry/member_watch.rs
+++ b/crates/trestlewalk/src/entry/member_watch.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{admin::ReadinessState, entry::AllocatorFactory},
-    flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamBoard},
+    flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamRegistry},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, UpstreamId, ZoneId},
     peer::{ListedMember, MemberNews, MemberState, PeerDriver},
     plat::{InstanceKind, InstanceRecord, InstanceState},
@@ -20,7 +20,7 @@
 
 /// After this time an incarnation without a record counts as gone; until then its record may still arrive.
 const UNKNOWN_INCARNATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often marks are exchanged between the board and the membership.
+/// How often marks are exchanged between the registry and the membership.
 const MARK_INTERVAL: Duration = Duration::from_millis(200);
 /// How often a mark that still applies is renewed; well below the lifetime of a mark.
 const MARK_REFRESH_INTERVAL: Duration = Duration::from_secs(20);
@@ -36,7 +36,7 @@
 
 /// The membership as the request path sees it.
 pub struct MemberWatch {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     driver: Arc<PeerDriver>,
     lost: RankedLock<LostIncarnations>,
     zone: ZoneId,
@@ -44,10 +44,10 @@
 
 impl MemberWatch {
     /// Creates a watch over a running membership, for an instance in `zone`.
-    pub fn new(board: Arc<UpstreamBoard>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
+    pub fn new(registry: Arc<UpstreamRegistry>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
         let lost = RankedLock::new(LockRank::Members, LostIncarnations::default());
         Self {
-            board,
+            registry,
             driver,
             lost,
             zone,
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Exchanges marks between the board and the membership in both directions. Never returns.
+    /// Exchanges marks between the registry and the membership in both directions. Never returns.
     pub async fn run_marks(self: Arc<Self>) {
         let mut published: BTreeMap<UpstreamId, (LeavingCause, Instant)> = BTreeMap::new();
         let mut ticks = time::interval(MARK_INTERVAL);
         loop {
             ticks.tick().await;
             self.publish_marks(Instant::now(), &mut published);
-            self.board.put_peer_marks(&self.peer_marks());
+            self.registry.put_peer_marks(&self.peer_marks());
         }
     }
 
@@ -168,7 +168,7 @@
         now: Instant,
         published: &mut BTreeMap<UpstreamId, (LeavingCause, Instant)>,
     ) {
-        let marks = self.board.own_marks();
+        let marks = self.registry.own_marks();
         for (upstream, cause) in &marks {
             let is_fresh = published.get(upstream).is_some_and(|(before, at)| {
                 before == cause && now.saturating_duration_since(*at) < MARK_REFRESH_INTERVAL
--- a/crates/trestlewalk/src/entry/path_components.rs
+++ b/crates/trestlewalk/src/entry/path_components.rs
@@ -10,10 +10,10 @@
     door::{AdmissionGate, DoorDefaults, DoorLimits, DoorShared},
     engine::CompletionEngine,
     flow::{
-        CellHub, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView, StreamCanceller,
-        TableBoard, UpstreamBoard,
+        CellHub, CurrentTable, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView,
+        StreamCanceller, UpstreamRegistry,
     },
-    kernel::{CloseSignal, WorkerPool},
+    kernel::{ShutdownSignal, WorkerPool},
     peer::{PeerBook, PeerEndpoint, PeerError},
     plat::{BudgetPlatform, CallRate, HttpPlatform, InstanceKind, InstanceRecord, InstanceState},
     route::UpstreamRole,
@@ -43,7 +43,7 @@
 /// The components that the request path and the background tasks share.
 pub struct PathComponents {
     /// The known upstreams and their states.
-    pub board: Arc<UpstreamBoard>,
+    pub registry: Arc<UpstreamRegistry>,
     /// The links to other instances.
     pub endpoint: PeerEndpoint,
     /// The client that calls engines.
@@ -61,7 +61,7 @@
     /// The pool in which background tasks run.
     pub pool: WorkerPool,
     /// The table in force.
-    pub tables: Arc<TableBoard>,
+    pub current_table: Arc<CurrentTable>,
 }
 
 impl PathComponents {
@@ -76,7 +76,7 @@
         let platform = make_platform(settings)?;
         let health = PlatformHealth::new(platform.counts()).context(MetricsSnafu)?;
         let components = Self {
-            board: Arc::new(UpstreamBoard::new(fixed_upstreams(settings))),
+            registry: Arc::new(UpstreamRegistry::new(fixed_upstreams(settings))),
             endpoint: bind_endpoint(parts)?,
             engine: make_engine(settings),
             health: Arc::new(health),
@@ -93,21 +93,21 @@
             metrics: Arc::new(FlowMetrics::new().context(MetricsSnafu)?),
             platform,
             pool: parts.pool.clone(),
-            tables: Arc::new(TableBoard::new()),
+            current_table: Arc::new(CurrentTable::new()),
         };
         parts.map.insert(components.health.clone());
-        parts.map.insert(components.board.clone());
+        parts.map.insert(components.registry.clone());
         parts.map.insert(components.hub.clone());
         parts.map.insert(components.limiter.clone());
         parts.map.insert(components.metrics.clone());
-        parts.map.insert(components.tables.clone());
+        parts.map.insert(components.current_table.clone());
         Ok(components)
     }
 
     /// Creates what cancels streams in the background.
     pub fn canceller(&self) -> StreamCanceller<CompletionEngine> {
         StreamCanceller::new(
-            self.board.clone(),
+            self.registry.clone(),
             self.engine.clone(),
             self.metrics.clone(),
             self.pool.clone(),
@@ -118,19 +118,19 @@
     pub fn door_shared(
         &self,
         parts: &EntryParts,
-        cut: CloseSignal,
+        cut: ShutdownSignal,
         gate: Arc<AdmissionGate>,
     ) -> DoorShared<CompletionEngine> {
         let settings = &parts.settings;
         let plain = PlainCaller::builder()
-            .board(self.board.clone())
+            .registry(self.registry.clone())
             .connect(CONNECT_TIMEOUT)
             .first_byte(settings.limits.first_byte)
             .seed(parts.identity.incarnation)
             .zone(parts.identity.zone.clone())
             .build();
         let flow = FlowShared {
-            board: self.board.clone(),
+            registry: self.registry.clone(),
             canceller: self.canceller(),
             cut,
             engine: self.engine.clone(),
@@ -144,7 +144,7 @@
             limiter: self.limiter.clone(),
             limits: door_limits(settings),
             plain: Arc::new(plain),
-            tables: self.tables.clone(),
+            tables: self.current_table.clone(),
             zone: parts.identity.zone.clone(),
         }
     }
--- a/crates/trestlewalk/src/entry/relay_process.rs
+++ b/crates/trestlewalk/src/entry/relay_process.rs
@@ -16,8 +16,8 @@
     policy::{QuotaRule, RetryBounds, StageGoal},
     prometheus::Registry,
     relay::{
-        CallReason, CallerServer, LinkTimes, OperatorSource, RelayCore, RelaySettings, SourceWatch,
-        StageKeeper, StageSettings, StoreCalls, WatchTimes,
+        CallReason, CallerServer, ConnectionTimeouts, OperatorSource, RelayCore, RelaySettings,
+        SourceWatch, StageController, StageSettings, StoreCalls, WatchTimes,
     },
     snafu::ResultExt,
     spread::{SharedSource, SpreadTimes},
@@ -68,13 +68,13 @@
 
 impl StatusSource for RouteStatus {
     fn table_status(&self) -> TableStatus {
-        let book = self.core.book.load();
+        let routes = self.core.routes.load();
         TableStatus {
             cut_off_since: None,
             digest: 0,
             instance: self.settings.instance.clone(),
             since: 0,
-            version: book.as_ref().map_or(0, |book| book.version),
+            version: routes.as_ref().map_or(0, |routes| routes.version),
             zone: self.settings.zone.clone(),
         }
     }
@@ -200,7 +200,7 @@
 /// Keeps the instance not ready while it does not know which keys are in force. Never returns.
 async fn watch_keys(core: &PlatformCore, readiness: &ReadinessState) {
     loop {
-        match core.knows_keys() {
+        match core.can_check_keys() {
             true => readiness.clear(KEYS_CONDITION),
             false => readiness.block(KEYS_CONDITION, "the keys may have changed meanwhile"),
         }
@@ -224,11 +224,11 @@
             slack: customers.slack,
             window: customers.window,
         })
-        .connect(settings.upstreams.connect)
+        .connect_timeout(settings.upstreams.connect)
         .quarantine(settings.quarantine.life)
-        .reads_apart(settings.upstreams.reads_apart)
+        .has_separate_prefill(settings.upstreams.reads_apart)
         .retries(bounds)
-        .unheard(settings.upstreams.unheard)
+        .peer_timeout(settings.upstreams.unheard)
         .zone(settings.zone.clone())
         .zones(retries.zones.as_ref().map_or(1, Vec::len).max(1))
         .build()
@@ -262,15 +262,15 @@
     calls: StoreCalls,
 ) {
     let platform = &settings.platform;
-    let links = LinkTimes::builder()
+    let links = ConnectionTimeouts::builder()
         .connect(platform.timeout)
-        .unheard(platform.timeout)
+        .peer_timeout(platform.timeout)
         .build();
     let store = Arc::new(RowStore::new(platform.address, links, calls));
     if settings.orders.enabled {
         let leases = Arc::new(store.for_reason(CallReason::Lease));
-        let keeper = StageKeeper::new(core.clone(), leases, stage_settings(settings));
-        pool.spawn(keeper.run());
+        let controller = StageController::new(core.clone(), leases, stage_settings(settings));
+        pool.spawn(controller.run());
     }
     let Some(socket) = peers else {
         let times = watch_times(settings, platform.timeout, STORE_RETRY_PAUSE);
@@ -278,7 +278,7 @@
     };
     let times = SpreadTimes::builder()
         .period(platform.list_poll)
-        .read_limit(platform.timeout)
+        .read_timeout(platform.timeout)
         .build();
     let shared = SharedSource::builder()
         .counts(core.counts.clone())
@@ -314,7 +314,7 @@
     let watch = Arc::new(SourceWatch::new(core.clone(), source, times));
     pool.spawn({
         let watch = watch.clone();
-        async move { watch.watch_book().await }
+        async move { watch.watch_routes().await }
     });
     pool.spawn({
         let watch = watch.clone();
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -11,8 +11,8 @@
         run_error::PeersSnafu,
     },
     door::{AdmissionGate, DoorServer},
-    flow::TableBoard,
-    kernel::CloseSignal,
+    flow::CurrentTable,
+    kernel::ShutdownSignal,
     peer::PeerEndpoint,
     snafu::ResultExt,
     std::{
@@ -30,11 +30,11 @@
 /// Everything between the callers' socket and the upstreams.
 pub struct RequestPath {
     control: ControlTasks,
-    cut: CloseSignal,
+    cut: ShutdownSignal,
     endpoint: PeerEndpoint,
     gate: Arc<AdmissionGate>,
     server: JoinHandle<bool>,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     tickets: Arc<EntryTickets>,
 }
 
@@ -79,10 +79,10 @@
 
     /// The source of the status that `/table` reports.
     pub fn source(parts: &EntryParts) -> Arc<impl StatusSource + use<>> {
-        let board = parts.map.get::<TableBoard>().unwrap_or_default();
+        let current_table = parts.map.get::<CurrentTable>().unwrap_or_default();
         let identity = &parts.identity;
         Arc::new(EntryStatus {
-            board,
+            current_table,
             health: parts.map.get::<PlatformHealth>(),
             instance: identity.instance.clone(),
             zone: identity.zone.clone(),
@@ -97,12 +97,12 @@
     pub fn start(callers: TcpListener, parts: &EntryParts) -> Result<Self, RunError> {
         let components = PathComponents::new(parts)?;
         let control = ControlTasks::start(&components, parts)?;
-        let cut = CloseSignal::new();
+        let cut = ShutdownSignal::new();
         let gate = Arc::new(AdmissionGate::new(
             parts.settings.limits.open_requests as usize,
         ));
         let shared = components.door_shared(parts, cut.clone(), gate.clone());
-        let signal = CloseSignal::new();
+        let signal = ShutdownSignal::new();
         let server = DoorServer::new(callers, Arc::new(shared));
         let members = control.members();
         let tickets = start_tickets(&components, parts, gate.clone(), server.router(), members)?;
--- a/crates/trestlewalk/src/entry/share_updater.rs
+++ b/crates/trestlewalk/src/entry/share_updater.rs
@@ -1,7 +1,7 @@
 //! Keeps the limits of plain rows divided among the live instances.
 
 use {
-    flow::{PlainLimiter, ShareView, TableBoard},
+    flow::{CurrentTable, PlainLimiter, ShareView},
     kernel::ZoneId,
     peer::{MemberView, PeerDriver},
     plat::{InstanceKind, InstanceRecord},
@@ -21,7 +21,7 @@
     /// The platform's list, which names the availability zones that have instances.
     pub list: watch::Receiver<Vec<InstanceRecord>>,
     /// The table in force.
-    pub tables: Arc<TableBoard>,
+    pub current_table: Arc<CurrentTable>,
     /// The own availability zone.
     pub zone: ZoneId,
 }
@@ -33,7 +33,7 @@
         loop {
             ticks.tick().await;
             self.limiter.put_shares(self.shares());
-            let Some(table) = self.tables.table() else {
+            let Some(table) = self.current_table.table() else {
                 continue;
             };
             let rows = table.rows.values();
--- a/crates/trestlewalk/src/entry/table_driver.rs
+++ b/crates/trestlewalk/src/entry/table_driver.rs
@@ -6,7 +6,7 @@
         entry::{PlatformHealth, PlatformSample},
     },
     bytes::Bytes,
-    flow::TableBoard,
+    flow::CurrentTable,
     kernel::{InstanceId, LockRank, RankedLock, TableVersion, WorkerPool, ZoneId, unix_time},
     peer::{MemberNews, PeerDriver, PeerError, TableMark, peer_error::GarbledSnafu},
     plat::{EditOrigin, PollAction, PollEvent, PollPlan, RowStore, TableRepository},
@@ -39,7 +39,7 @@
 
 /// Keeps the table in force up to date.
 pub struct TableDriver<S> {
-    board: Arc<TableBoard>,
+    current_table: Arc<CurrentTable>,
     head_changed: Notify,
     health: Arc<PlatformHealth>,
     instance: InstanceId,
@@ -55,7 +55,7 @@
     /// Creates a driver without a table, which keeps the instance not ready until it has one.
     #[builder]
     pub fn new(
-        board: Arc<TableBoard>,
+        current_table: Arc<CurrentTable>,
         health: Arc<PlatformHealth>,
         instance: InstanceId,
         plan: PollPlan,
@@ -70,7 +70,7 @@
             platform_head: None,
         };
         Self {
-            board,
+            current_table,
             head_changed: Notify::new(),
             health,
             instance,
@@ -257,7 +257,7 @@
             rows = table.rows.len(),
             "a table is in force"
         );
-        self.board.put(table);
+        self.current_table.put(table);
         self.readiness.clear(TABLE_CONDITION);
         self.head_changed.notify_one();
     }
@@ -348,7 +348,7 @@
 /// Reports the table in force of an entry instance to the admin server.
 pub struct EntryStatus {
     /// The table in force.
-    pub board: Arc<TableBoard>,
+    pub current_table: Arc<CurrentTable>,
     /// Whether the platform answers; `None` leaves that out of the status.
     pub health: Option<Arc<PlatformHealth>>,
     /// The name of this instance.
@@ -359,7 +359,7 @@
 
 impl StatusSource for EntryStatus {
     fn table_status(&self) -> TableStatus {
-        let entry = self.board.entry();
+        let entry = self.current_table.entry();
         let digest = entry.as_ref().map_or(0, |entry| entry.table.digest());
         let cut_off = self
             .health
