--- a/crates/trestlewalk/src/entry/allocator_factory.rs
+++ b/crates/trestlewalk/src/entry/allocator_factory.rs
@@ -1,4 +1,4 @@
-//! Makes the allocators of cells, and tells each its share of the rows' limits.
+//! Creates the allocators of cells, and computes the share of the rows' limits that each enforces.
 
 use {
     admit::CellAllocator,
@@ -9,17 +9,21 @@
     table::WorkTable,
 };
 
-/// Makes allocators that draw from a seed.
+/// Creates allocators whose random choices come from a seed.
 pub struct AllocatorFactory {
-    board: Arc<UpstreamRegistry>,
+    registry: Arc<UpstreamRegistry>,
     seed: u64,
     zone: ZoneId,
 }
 
 impl AllocatorFactory {
-    /// A maker whose allocators draw from `seed`.
-    pub fn new(board: Arc<UpstreamRegistry>, seed: u64, zone: ZoneId) -> Self {
-        Self { board, seed, zone }
+    /// Creates a factory for the allocators of `zone`.
+    pub fn new(registry: Arc<UpstreamRegistry>, seed: u64, zone: ZoneId) -> Self {
+        Self {
+            registry,
+            seed,
+            zone,
+        }
     }
 }
 
@@ -30,10 +34,10 @@
         CellAllocator::builder().seed(self.seed).build()
     }
 
-    /// The zones are those in which the list names engines of the model, live or not, so that a zone that is cut off
-    /// keeps to its part and no other takes it.
+    /// Limits are divided among the availability zones in which the list names engines of the model, live or not. An
+    /// availability zone that is cut off thus keeps to its share, and no other one takes it over.
     fn table_for_cell(&self, model: &ModelId, table: &WorkTable) -> WorkTable {
-        let map = self.board.snapshot();
+        let map = self.registry.snapshot();
         let engines = map.values().filter(|entry| {
             entry.record.kind != InstanceKind::Plain && entry.record.model.as_ref() == Some(model)
         });
--- a/crates/trestlewalk/src/entry/control_tasks.rs
+++ b/crates/trestlewalk/src/entry/control_tasks.rs
@@ -1,4 +1,4 @@
-//! The control work around the request path: membership, table, list of instances, allocators.
+//! The background tasks beside the request path: membership, table, list of instances and allocators.
 
 use {
     crate::{
@@ -23,25 +23,25 @@
     tokio::{sync::watch, time},
 };
 
-/// How often an allocator asks its engines for their load.
+/// How often an allocator polls the load of its engines.
 const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 /// How often an allocator compares the engines' streams with the members.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the polling plan hears of the members.
+/// How often the polling plan is given the current members.
 const MEMBERS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The cells whose allocator this instance is.
+/// The cells whose allocator runs at this instance.
 type LocalCells = Arc<CellTable<AllocatorFactory, GrantRouter>>;
-/// The driver of the table.
+/// The driver of the table, shared by its tasks.
 type LocalDriver = Arc<TableDriver<EntryPlatform>>;
 
-/// The running control work.
+/// The running background tasks.
 pub struct ControlTasks {
     driver: Arc<PeerDriver>,
 }
 
 impl ControlTasks {
-    /// Tells the other instances that this life is over.
+    /// Tells the other instances that this incarnation ends.
     pub async fn close(self) {
         PeerDriver::clone(&self.driver).close().await;
     }
@@ -51,18 +51,18 @@
         self.driver.clone()
     }
 
-    /// Starts all of it in the pool.
+    /// Starts all tasks in the worker pool.
     ///
     /// # Errors
     ///
-    /// The socket for peers is gone.
+    /// The socket for peers is closed.
     pub fn start(components: &PathComponents, parts: &EntryParts) -> Result<Self, RunError> {
         let table = make_table(components, parts);
         let driver = Arc::new(start_members(components, parts, &table)?);
         parts.map.insert(driver.clone());
         let zone = parts.identity.zone.clone();
         let watch = Arc::new(MemberWatch::new(
-            components.board.clone(),
+            components.registry.clone(),
             driver.clone(),
             zone,
         ));
@@ -71,12 +71,12 @@
             parts.identity.instance.clone(),
         ));
         let factory = AllocatorFactory::new(
-            components.board.clone(),
+            components.registry.clone(),
             parts.identity.incarnation,
             parts.identity.zone.clone(),
         );
         let cells = CellTable::new(
-            components.tables.clone(),
+            components.current_table.clone(),
             factory,
             components.pool.clone(),
             router.clone(),
@@ -114,7 +114,7 @@
         polling,
     );
     let driver = TableDriver::builder()
-        .board(components.tables.clone())
+        .current_table(components.current_table.clone())
         .health(components.health.clone())
         .instance(identity.instance.clone())
         .plan(plan)
@@ -133,8 +133,8 @@
     router: Arc<GrantRouter>,
 ) {
     let zone = &parts.identity.zone;
-    let seats = AllocatorTracker::builder()
-        .registry(components.board.clone())
+    let tracker = AllocatorTracker::builder()
+        .registry(components.registry.clone())
         .cells(cells.clone())
         .endpoint(components.endpoint.clone())
         .hub(components.hub.clone())
@@ -144,14 +144,14 @@
         .zone(zone.clone())
         .build();
     let poller = LoadPoller::builder()
-        .registry(components.board.clone())
+        .registry(components.registry.clone())
         .cells(cells.clone())
         .engine(components.engine.clone())
         .interval(LOAD_INTERVAL)
         .zone(zone.clone())
         .build();
     let sweeper = StreamSweeper::builder()
-        .registry(components.board.clone())
+        .registry(components.registry.clone())
         .canceller(components.canceller())
         .cells(cells.clone())
         .engine(components.engine.clone())
@@ -162,7 +162,7 @@
     let host = SessionHost::new(cells.clone(), components.pool.clone(), router);
     let sessions = components.endpoint.register(CELL_TAG);
     let tables = cells.clone();
-    components.pool.spawn(seats.run());
+    components.pool.spawn(tracker.run());
     components.pool.spawn(poller.run());
     components.pool.spawn(sweeper.run());
     components.pool.spawn(host.run(sessions));
@@ -196,7 +196,7 @@
         .context(PeersSnafu)
 }
 
-/// Starts what brings the table here.
+/// Starts the tasks that keep the table up to date.
 fn start_table(
     components: &PathComponents,
     parts: &EntryParts,
@@ -218,7 +218,7 @@
     ));
 }
 
-/// Starts what the membership and the list of instances tell the rest.
+/// Starts the tasks that pass the membership and the list of instances on to the other parts.
 fn start_watch(
     components: &PathComponents,
     parts: &EntryParts,
@@ -231,12 +231,12 @@
         driver: watch.driver(),
         limiter: components.limiter.clone(),
         list: list.clone(),
-        tables: components.tables.clone(),
+        current_table: components.current_table.clone(),
         zone: parts.identity.zone.clone(),
     };
     components.pool.spawn(updater.run());
     let poller = ListPoller::new(
-        components.board.clone(),
+        components.registry.clone(),
         interval,
         sender,
         components.platform.clone(),
@@ -254,14 +254,14 @@
         .spawn(watch.clone().run_state(parts.readiness.clone()));
 }
 
-/// Tells the polling plan which instances of the own availability zone live.
+/// Gives the polling plan the live instances of the own availability zone. Never returns.
 async fn watch_members(driver: Arc<PeerDriver>, table: LocalDriver, zone: String) {
     let mut ticks = time::interval(MEMBERS_INTERVAL);
     loop {
         ticks.tick().await;
         let view = driver.view();
-        let near = view.heard.iter().filter(|record| *record.zone == *zone);
-        let members: Vec<InstanceId> = near.map(|record| record.instance.clone()).collect();
+        let local = view.heard.iter().filter(|record| *record.zone == *zone);
+        let members: Vec<InstanceId> = local.map(|record| record.instance.clone()).collect();
         table.on_members(members);
     }
 }
--- a/crates/trestlewalk/src/entry/list_poller.rs
+++ b/crates/trestlewalk/src/entry/list_poller.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of instances.
+//! Polls the platform's list of instances.
 
 use {
     flow::UpstreamRegistry,
@@ -10,31 +10,32 @@
     },
 };
 
-/// Reads the list and shows it to the other parts. While the platform is down the last list stays.
+/// Polls the list and passes changes on to the other parts. While the platform is down the last list stays in use.
 pub struct ListPoller<P> {
-    board: Arc<UpstreamRegistry>,
+    registry: Arc<UpstreamRegistry>,
     interval: Duration,
     list: watch::Sender<Vec<InstanceRecord>>,
     platform: P,
 }
 
 impl<P: InstanceList> ListPoller<P> {
-    /// A poller that shows upstreams on the board, and the whole list to `list`'s receivers.
+    /// Creates a poller that puts the listed upstreams on the registry, and sends the whole list to the receivers of
+    /// `list`.
     pub fn new(
-        board: Arc<UpstreamRegistry>,
+        registry: Arc<UpstreamRegistry>,
         interval: Duration,
         list: watch::Sender<Vec<InstanceRecord>>,
         platform: P,
     ) -> Self {
         Self {
-            board,
+            registry,
             interval,
             list,
             platform,
         }
     }
 
-    /// Polls for as long as it is driven.
+    /// Polls every `interval`. Never returns.
     pub async fn run(self) {
         let mut ticks = time::interval(self.interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -46,7 +47,7 @@
             if *self.list.borrow() == records {
                 continue;
             }
-            self.board.put_list(&records);
+            self.registry.put_list(&records);
             self.list.send_replace(records);
         }
     }
--- a/crates/trestlewalk/tests/table_driver.rs
+++ b/crates/trestlewalk/tests/table_driver.rs
@@ -98,7 +98,7 @@
     let board = Arc::new(CurrentTable::new());
     let pool = WorkerPool::new();
     let driver = TableDriver::builder()
-        .board(board.clone())
+        .current_table(board.clone())
         .health(Arc::new(PlatformHealth::new(Arc::default()).unwrap()))
         .instance("gijon-1".into())
         .plan(plan())
