--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -211,7 +211,7 @@
             tracing::warn!(
                 fingerprint = %report.fingerprint,
                 left_s = held.map(|left| left.as_secs()),
-                "the quarantine of a request changed"
+                "the quarantine of a request changes"
             );
         }
     }
@@ -233,7 +233,7 @@
                 upstream = %report.upstream,
                 fingerprint = %report.fingerprint,
                 mark = ?report.mark,
-                "an upstream crashed while running a request"
+                "an upstream ended under a request"
             );
             Self::apply_report(state, report, now, now);
         }
--- a/crates/relay/src/source_watch.rs
+++ b/crates/relay/src/source_watch.rs
@@ -232,7 +232,7 @@
                 age_ms = age.as_millis() as u64,
                 passed_on = reading.passed_on,
                 version = reading.version,
-                "the list of upstreams was refreshed late"
+                "the list of upstreams was late"
             );
         }
     }
--- a/crates/spread/src/shared_source/requesting.rs
+++ b/crates/spread/src/shared_source/requesting.rs
@@ -95,7 +95,7 @@
             detail,
             questions = election.pending_attempts(from),
             waited_ms = election.waited(from, now).as_millis() as u64,
-            "no update from another instance"
+            "no reading from another instance"
         );
     }
 
