--- a/crates/bench/src/once/copy_peer.rs
+++ b/crates/bench/src/once/copy_peer.rs
@@ -1,7 +1,7 @@
 //! A second instance over loopback TCP: the origin of a ticket, or the keeper of a copy.
 
 use {
-    claim::{LifeKey, SubmitVerdict, Ticket, TicketSettings, TicketTable},
+    claim::{IncarnationKey, SubmitVerdict, Ticket, TicketSettings, TicketTable},
     std::{
         collections::BTreeMap,
         io,
@@ -110,7 +110,7 @@
 ///
 /// None for names that a ticket can carry.
 pub fn table(instance: &str) -> Result<TicketTable<Vec<u8>>, claim::ClaimError> {
-    let life = LifeKey {
+    let life = IncarnationKey {
         incarnation: 1,
         instance: instance.into(),
     };
--- a/crates/bench/src/once/once_ways.rs
+++ b/crates/bench/src/once/once_ways.rs
@@ -4,7 +4,7 @@
     crate::once::copy_peer::{CopyPeer, PeerLink, table},
     claim::{
         ClaimEvent, ClaimKeeper, ClaimRecord, ClaimVerdict, ClockReading, KeyedClaim,
-        PermitDispatch, RunPermit, SubmitVerdict, Ticket, TicketTable, Unsent, claim_key,
+        PermitDispatch, RunPermit, SubmitVerdict, Ticket, TicketTable, UnsentRequest, claim_key,
     },
     fake::platform::{PlatformSettings, StandInPlatform},
     plat::HttpPlatform,
@@ -135,8 +135,8 @@
     }
 
     fn run(&mut self, permit: RunPermit) {
-        let dispatch = permit.dispatch(Instant::now(), Unsent::from_caller(()));
-        if let PermitDispatch::Begun { run, sent, .. } = dispatch {
+        let dispatch = permit.dispatch(Instant::now(), UnsentRequest::from_caller(()));
+        if let PermitDispatch::Started { run, sent, .. } = dispatch {
             self.table.finish(run, sent, Vec::new());
         }
     }
--- a/crates/claim/src/kept_answers.rs
+++ b/crates/claim/src/answer_cache.rs
@@ -1,48 +1,48 @@
 //! Answers kept for replays, within a limit.
 
 use {
-    crate::{answer_size::AnswerSize, life_key::LifeKey, ticket::TicketSerial},
+    crate::{answer_size::AnswerSize, incarnation_key::IncarnationKey, ticket::TicketSerial},
     std::collections::BTreeMap,
 };
 
 /// Names a ticket among all lives that an instance holds.
-pub type TicketPlace = (LifeKey, TicketSerial);
+pub type TicketKey = (IncarnationKey, TicketSerial);
 
 #[derive(Debug)]
-struct KeptAnswer<A> {
+struct CachedAnswer<A> {
     answer: A,
     order: u64,
 }
 
 /// Answers by ticket. The oldest goes first when the limit is reached.
 #[derive(Debug)]
-pub struct KeptAnswers<A> {
-    answers: BTreeMap<TicketPlace, KeptAnswer<A>>,
+pub struct AnswerCache<A> {
+    answers: BTreeMap<TicketKey, CachedAnswer<A>>,
     bytes: usize,
     limit: usize,
     next_order: u64,
-    order: BTreeMap<u64, TicketPlace>,
+    order: BTreeMap<u64, TicketKey>,
 }
 
-impl<A: AnswerSize> KeptAnswers<A> {
+impl<A: AnswerSize> AnswerCache<A> {
     /// The bytes of all answers.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
     /// The answer of a ticket.
-    pub fn get(&self, place: &TicketPlace) -> Option<&A> {
-        self.answers.get(place).map(|kept| &kept.answer)
+    pub fn get(&self, key: &TicketKey) -> Option<&A> {
+        self.answers.get(key).map(|kept| &kept.answer)
     }
 
     /// Keeps an answer, and drops the oldest ones while all are larger than the limit.
-    pub fn insert(&mut self, place: TicketPlace, answer: A) {
-        self.remove(&place);
+    pub fn insert(&mut self, key: TicketKey, answer: A) {
+        self.remove(&key);
         self.bytes += answer.size();
         let order = self.next_order;
         self.next_order += 1;
-        self.order.insert(order, place.clone());
-        self.answers.insert(place, KeptAnswer { answer, order });
+        self.order.insert(order, key.clone());
+        self.answers.insert(key, CachedAnswer { answer, order });
         self.shrink();
     }
 
@@ -58,8 +58,8 @@
     }
 
     /// Drops a ticket's answer, if there is one.
-    pub fn remove(&mut self, place: &TicketPlace) {
-        let Some(kept) = self.answers.remove(place) else {
+    pub fn remove(&mut self, key: &TicketKey) {
+        let Some(kept) = self.answers.remove(key) else {
             return;
         };
         self.bytes -= kept.answer.size();
@@ -68,10 +68,10 @@
 
     fn shrink(&mut self) {
         while self.bytes > self.limit {
-            let Some((_, place)) = self.order.pop_first() else {
+            let Some((_, key)) = self.order.pop_first() else {
                 return;
             };
-            self.remove(&place);
+            self.remove(&key);
         }
     }
 }
--- a/crates/claim/src/claim_watch.rs
+++ b/crates/claim/src/claim_watch.rs
@@ -53,7 +53,7 @@
             return false;
         }
         let since = self.since(clock.now, row, record);
-        clock.now.saturating_duration_since(since) >= stretched(record.life)
+        clock.now.saturating_duration_since(since) >= add_drift_margin(record.life)
     }
 
     /// Watches nothing, and at most `limit` rows.
@@ -77,7 +77,7 @@
         {
             return seen.since;
         }
-        self.make_room(&row.key);
+        self.evict_newest(&row.key);
         let seen = SeenRow {
             since: now,
             ticket,
@@ -88,7 +88,7 @@
     }
 
     /// Drops the row seen last, so that the older ones come to their end.
-    fn make_room(&mut self, key: &str) {
+    fn evict_newest(&mut self, key: &str) {
         if self.rows.len() < self.limit || self.rows.contains_key(key) {
             return;
         }
@@ -101,6 +101,6 @@
 }
 
 /// The time by this clock in which `duration` has passed by any clock within the drift.
-fn stretched(duration: Duration) -> Duration {
+fn add_drift_margin(duration: Duration) -> Duration {
     duration + duration * DRIFT_PPM / MILLION
 }
--- a/crates/claim/src/closed_table.rs
+++ b/crates/claim/src/closed_table.rs
@@ -3,18 +3,18 @@
 use {
     crate::{
         answer_size::AnswerSize,
-        hand_over::{HandOver, HandOverReply, LifeHandOver},
-        life_key::LifeKey,
+        hand_over::{HandOver, HandOverReply, IncarnationHandOver},
+        incarnation_key::IncarnationKey,
+        incarnation_tickets::IncarnationTickets,
         not_run::NotRun,
         request_outcome::RequestOutcome,
         run_permit::{RunPermit, RunTicket},
-        sent::Sent,
+        sent_request::SentRequest,
         submit_verdict::SubmitVerdict,
         ticket::Ticket,
-        ticket_life::TicketLife,
         ticket_state::{RequestDigest, TicketRecord, TicketState},
         ticket_table::{TicketTable, refused, repeated},
-        unsent::Unsent,
+        unsent_request::UnsentRequest,
     },
     kernel::ResultCode,
     std::{collections::BTreeSet, time::Instant},
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct ClosedTable<A> {
     reply: Option<HandOverReply>,
-    successor: LifeKey,
+    successor: IncarnationKey,
     table: TicketTable<A>,
 }
 
@@ -47,7 +47,7 @@
     }
 
     /// Whether this instance held the tickets of a life, and handed them over.
-    pub fn holds(&self, life: &LifeKey) -> bool {
+    pub fn holds(&self, life: &IncarnationKey) -> bool {
         self.table.holds(life)
     }
 
@@ -57,31 +57,41 @@
     }
 
     /// Records the whole answer of a run that was going on at the hand-over.
-    pub fn finish(&mut self, run: RunTicket, sent: Sent, answer: A) -> RequestOutcome<A> {
+    pub fn finish(&mut self, run: RunTicket, sent: SentRequest, answer: A) -> RequestOutcome<A> {
         self.table.finish(run, sent, answer)
     }
 
     /// Records that nobody knows what became of a run that was going on at the hand-over.
-    pub fn lose(&mut self, run: RunTicket, sent: Sent, code: ResultCode) -> RequestOutcome<A> {
-        self.table.lose(run, sent, code)
+    pub fn finish_unknown(
+        &mut self,
+        run: RunTicket,
+        sent: SentRequest,
+        code: ResultCode,
+    ) -> RequestOutcome<A> {
+        self.table.finish_unknown(run, sent, code)
     }
 
     /// Hears a reply to the hand-over. Only the named successor's counts: its later life can't know what the
     /// earlier one did.
-    pub fn on_reply(&mut self, from: &LifeKey, reply: HandOverReply) {
+    pub fn on_reply(&mut self, from: &IncarnationKey, reply: HandOverReply) {
         if *from == self.successor {
             self.reply.get_or_insert(reply);
         }
     }
 
     /// Refuses a request whose permit was out at the hand-over. The successor never runs it.
-    pub fn refuse<T>(&mut self, permit: RunPermit, unsent: Unsent<T>, code: ResultCode) -> NotRun {
+    pub fn refuse<T>(
+        &mut self,
+        permit: RunPermit,
+        unsent: UnsentRequest<T>,
+        code: ResultCode,
+    ) -> NotRun {
         self.table.refuse(permit, unsent, code)
     }
 
-    /// Seals a ticket as refused, as [`TicketTable::seal`] does.
-    pub fn seal(&mut self, permit: RunPermit, code: ResultCode) {
-        self.table.seal(permit, code);
+    /// Seals a ticket as refused, as [`TicketTable::mark_refused`] does.
+    pub fn mark_refused(&mut self, permit: RunPermit, code: ResultCode) {
+        self.table.mark_refused(permit, code);
     }
 
     /// Decides on a request that comes with a ticket. `Elsewhere` means: pass it on to [`Self::successor`], and
@@ -113,7 +123,7 @@
     }
 
     /// Whom the tickets were handed over to.
-    pub fn successor(&self) -> &LifeKey {
+    pub fn successor(&self) -> &IncarnationKey {
         &self.successor
     }
 }
@@ -136,7 +146,11 @@
 
     /// Gives all tickets to one successor. From here on this instance gives out no permit; send the message, and
     /// send it again to the same successor, as often as needed.
-    pub fn hand_over(mut self, now: Instant, successor: LifeKey) -> (HandOver<A>, ClosedTable<A>) {
+    pub fn hand_over(
+        mut self,
+        now: Instant,
+        successor: IncarnationKey,
+    ) -> (HandOver<A>, ClosedTable<A>) {
         self.sweep(now);
         let message = self.message(now, successor.clone());
         let closed = ClosedTable {
@@ -148,16 +162,16 @@
     }
 
     /// Learns how runs ended that went on at their instance when it handed its tickets over. Nothing else changes.
-    pub fn learn_ends(&mut self, message: HandOver<A>) {
+    pub fn record_outcomes(&mut self, message: HandOver<A>) {
         if message.successor != self.life {
             return;
         }
         for life in message.lives {
-            self.learn_life_ends(life);
+            self.record_incarnation_outcomes(life);
         }
     }
 
-    fn learn_life_ends(&mut self, message: LifeHandOver<A>) {
+    fn record_incarnation_outcomes(&mut self, message: IncarnationHandOver<A>) {
         let Some(life) = self.lives.get_mut(&message.life) else {
             return;
         };
@@ -179,7 +193,7 @@
         }
     }
 
-    fn message(&self, now: Instant, successor: LifeKey) -> HandOver<A> {
+    fn message(&self, now: Instant, successor: IncarnationKey) -> HandOver<A> {
         let mut lives = Vec::with_capacity(self.lives.len());
         for (key, life) in &self.lives {
             lives.push(self.life_message(now, key, life));
@@ -191,7 +205,12 @@
         }
     }
 
-    fn life_message(&self, now: Instant, key: &LifeKey, life: &TicketLife) -> LifeHandOver<A> {
+    fn life_message(
+        &self,
+        now: Instant,
+        key: &IncarnationKey,
+        life: &IncarnationTickets,
+    ) -> IncarnationHandOver<A> {
         let mut answers = Vec::new();
         let mut records = Vec::with_capacity(life.records.len());
         for (serial, record) in &life.records {
@@ -200,7 +219,7 @@
             }
             records.push((*serial, handed_over(record)));
         }
-        LifeHandOver {
+        IncarnationHandOver {
             age: life.age(now),
             answers,
             check_key: life.check_key,
@@ -210,8 +229,9 @@
         }
     }
 
-    fn take_life(&mut self, now: Instant, message: LifeHandOver<A>) {
-        let mut life = TicketLife::new(now, message.age, message.check_key, message.swept_ms);
+    fn take_life(&mut self, now: Instant, message: IncarnationHandOver<A>) {
+        let mut life =
+            IncarnationTickets::new(now, message.age, message.check_key, message.swept_ms);
         life.records.extend(message.records);
         self.lives.insert(message.life.clone(), life);
         for (serial, answer) in message.answers {
--- a/crates/claim/src/forward_table.rs
+++ b/crates/claim/src/forward_table.rs
@@ -1,7 +1,7 @@
 //! Where a request with a ticket goes.
 
 use {
-    crate::life_key::LifeKey,
+    crate::incarnation_key::IncarnationKey,
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
@@ -10,34 +10,34 @@
 
 /// Where to pass a request on to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ForwardCourse {
+pub enum ForwardRoute {
     /// The origin is gone: [`OriginGone`](kernel::ResultCode::OriginGone). Nothing but that is true here.
     Gone,
     /// This instance holds the ticket's life.
     Local,
     /// That life holds it, or may.
-    Remote(LifeKey),
+    Remote(IncarnationKey),
 }
 
 #[derive(Debug)]
 struct SuccessorRecord {
-    learnt: Instant,
-    successor: LifeKey,
+    learned_at: Instant,
+    successor: IncarnationKey,
 }
 
 /// The successors of closed lives, as far as this instance has heard.
 #[derive(Debug)]
 pub struct ForwardTable {
     retention: Duration,
-    successors: BTreeMap<LifeKey, SuccessorRecord>,
+    successors: BTreeMap<IncarnationKey, SuccessorRecord>,
 }
 
 impl ForwardTable {
     /// Learns that a life was handed over. The first word stands: a life has one successor.
-    pub fn learn(&mut self, now: Instant, life: LifeKey, successor: LifeKey) {
+    pub fn add_successor(&mut self, now: Instant, life: IncarnationKey, successor: IncarnationKey) {
         self.sweep(now);
         self.successors.entry(life).or_insert(SuccessorRecord {
-            learnt: now,
+            learned_at: now,
             successor,
         });
     }
@@ -53,15 +53,15 @@
     /// Where a ticket of `life` goes. `holds` tells what this instance holds, `is_live` which lives still answer.
     pub fn route(
         &self,
-        life: &LifeKey,
-        holds: impl Fn(&LifeKey) -> bool,
-        is_live: impl Fn(&LifeKey) -> bool,
-    ) -> ForwardCourse {
+        life: &IncarnationKey,
+        holds: impl Fn(&IncarnationKey) -> bool,
+        is_live: impl Fn(&IncarnationKey) -> bool,
+    ) -> ForwardRoute {
         let mut at = life;
         // Each step goes to another successor; more steps than there are would be a circle.
         for _ in 0..=self.successors.len() {
             if holds(at) {
-                return ForwardCourse::Local;
+                return ForwardRoute::Local;
             }
             let Some(record) = self.successors.get(at) else {
                 break;
@@ -69,16 +69,16 @@
             at = &record.successor;
         }
         if holds(at) {
-            return ForwardCourse::Local;
+            return ForwardRoute::Local;
         }
         if is_live(at) {
-            return ForwardCourse::Remote(at.clone());
+            return ForwardRoute::Remote(at.clone());
         }
-        ForwardCourse::Gone
+        ForwardRoute::Gone
     }
 
     /// The successors, by life.
-    pub fn successors(&self) -> impl Iterator<Item = (&LifeKey, &LifeKey)> {
+    pub fn successors(&self) -> impl Iterator<Item = (&IncarnationKey, &IncarnationKey)> {
         self.successors
             .iter()
             .map(|(life, record)| (life, &record.successor))
@@ -88,6 +88,6 @@
     pub fn sweep(&mut self, now: Instant) {
         let retention = self.retention;
         self.successors
-            .retain(|_, record| now.saturating_duration_since(record.learnt) < retention);
+            .retain(|_, record| now.saturating_duration_since(record.learned_at) < retention);
     }
 }
--- a/crates/claim/src/hand_over.rs
+++ b/crates/claim/src/hand_over.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        life_key::LifeKey,
+        incarnation_key::IncarnationKey,
         ticket::{CheckKey, TicketSerial},
         ticket_state::TicketRecord,
     },
@@ -16,17 +16,17 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HandOver<A> {
     /// The sender.
-    pub from: LifeKey,
+    pub from: IncarnationKey,
     /// The sender's own life and those that it took over.
-    pub lives: Vec<LifeHandOver<A>>,
+    pub lives: Vec<IncarnationHandOver<A>>,
     /// The one life that may take them.
-    pub successor: LifeKey,
+    pub successor: IncarnationKey,
 }
 
 /// One life's tickets.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct LifeHandOver<A> {
+pub struct IncarnationHandOver<A> {
     /// The age of the life when the message was made: the successor's clock for it starts here, and so is never
     /// ahead of what the sender judged by.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
@@ -36,7 +36,7 @@
     /// Checks the tickets of the life.
     pub check_key: CheckKey,
     /// The life.
-    pub life: LifeKey,
+    pub life: IncarnationKey,
     /// The used tickets. Those that were running are told as unknown.
     pub records: Vec<(TicketSerial, TicketRecord)>,
     /// Records with an expiry below this one are gone, milliseconds of the life's age.
--- a/crates/claim/src/ticket_life.rs
+++ b/crates/claim/src/incarnation_tickets.rs
@@ -24,34 +24,34 @@
 
 /// The clock and the records of one life.
 #[derive(Debug)]
-pub(crate) struct TicketLife {
-    age_then: Duration,
+pub(crate) struct IncarnationTickets {
+    start_age: Duration,
     pub(crate) check_key: CheckKey,
     pub(crate) records: BTreeMap<TicketSerial, TicketRecord>,
     swept_ms: u64,
-    then: Instant,
+    started: Instant,
 }
 
-impl TicketLife {
+impl IncarnationTickets {
     /// The age of the life, by this process's monotonic clock.
     pub(crate) fn age(&self, now: Instant) -> Duration {
-        self.age_then + now.saturating_duration_since(self.then)
+        self.start_age + now.saturating_duration_since(self.started)
     }
 
     /// When a ticket ends, by this process's monotonic clock.
     pub(crate) fn deadline(&self, ticket: &Ticket) -> Instant {
-        let left = ticket.expiry.saturating_sub(self.age_then);
-        self.then + left
+        let left = ticket.expiry.saturating_sub(self.start_age);
+        self.started + left
     }
 
     /// A life of the given age.
     pub(crate) fn new(now: Instant, age: Duration, check_key: CheckKey, swept_ms: u64) -> Self {
         Self {
-            age_then: age,
+            start_age: age,
             check_key,
             records: BTreeMap::new(),
             swept_ms,
-            then: now,
+            started: now,
         }
     }
 
--- a/crates/claim/src/keyed_claim.rs
+++ b/crates/claim/src/keyed_claim.rs
@@ -13,7 +13,7 @@
 };
 
 /// How many further calls to the platform a claim may need before the request is refused.
-const DEFAULT_TRIES: u8 = 5;
+const MAX_ATTEMPTS: u8 = 5;
 
 /// What the claim hears.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     record: ClaimRecord,
     replacement: Option<ClaimReplacement>,
     seen: Option<Ticket>,
-    tries_left: u8,
+    attempts_left: u8,
 }
 
 /// A claim that never runs again is being replaced: the epoch is read first, then the row once more.
@@ -80,7 +80,7 @@
             record,
             replacement: None,
             seen: None,
-            tries_left: DEFAULT_TRIES,
+            attempts_left: MAX_ATTEMPTS,
         }
     }
 
@@ -155,7 +155,7 @@
     ) -> ClaimAction {
         let replacement = self.replacement.take();
         let Some(row) = row else {
-            return self.try_again(self.insert());
+            return self.retry(self.insert());
         };
         let Some(found) = ClaimRecord::from_value(&row.value) else {
             return ClaimAction::Refuse(ResultCode::PlatformDown);
@@ -188,20 +188,20 @@
     }
 
     fn read_row(&mut self) -> ClaimAction {
-        self.try_again(ClaimAction::Get(self.key.clone()))
+        self.retry(ClaimAction::Get(self.key.clone()))
     }
 
     /// Puts this claim in the place of one that never runs again.
     fn replace(&mut self, ended: Ticket) -> ClaimAction {
         self.replacement = Some(ClaimReplacement { ended, epoch: None });
-        self.try_again(ClaimAction::Get(EPOCH_KEY.into()))
+        self.retry(ClaimAction::Get(EPOCH_KEY.into()))
     }
 
-    fn try_again(&mut self, action: ClaimAction) -> ClaimAction {
-        let Some(left) = self.tries_left.checked_sub(1) else {
+    fn retry(&mut self, action: ClaimAction) -> ClaimAction {
+        let Some(left) = self.attempts_left.checked_sub(1) else {
             return ClaimAction::Refuse(ResultCode::PlatformDown);
         };
-        self.tries_left = left;
+        self.attempts_left = left;
         action
     }
 }
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,9 +1,10 @@
 //! At most once: tickets, keyed claims, and requests that know whether they were sent.
 //!
-//! An [`Unsent`] request is consumed by its dispatch, and only an unsent one can be answered as not run. A
+//! An [`UnsentRequest`] request is consumed by its dispatch, and only an unsent one can be answered as not run. A
 //! [`TicketTable`] decides whether a ticket may run here; a [`KeyedClaim`] binds a caller's own key to a ticket. The
 //! decisions have no I/O and take the time as an argument; [`ClaimKeeper`] reads and writes the platform's rows.
 
+pub mod answer_cache;
 pub mod answer_size;
 pub mod claim_error;
 pub mod claim_keeper;
@@ -14,22 +15,21 @@
 pub mod closed_table;
 pub mod forward_table;
 pub mod hand_over;
-pub mod kept_answers;
+pub mod incarnation_key;
+pub mod incarnation_tickets;
 pub mod keyed_claim;
-pub mod life_key;
 pub mod not_run;
+pub mod not_run_evidence;
 mod outstanding_count;
 pub mod request_outcome;
 pub mod run_permit;
-pub mod sent;
+pub mod sent_request;
 pub mod submit_verdict;
 pub mod ticket;
-pub mod ticket_life;
 pub mod ticket_settings;
 pub mod ticket_state;
 pub mod ticket_table;
-pub mod undone_dispatch;
-pub mod unsent;
+pub mod unsent_request;
 
 pub use {
     answer_size::AnswerSize,
@@ -39,19 +39,19 @@
     claim_record::ClaimRecord,
     claim_watch::{ClaimWatch, ClockReading},
     closed_table::ClosedTable,
-    forward_table::{ForwardCourse, ForwardTable},
+    forward_table::{ForwardRoute, ForwardTable},
     hand_over::{HandOver, HandOverReply},
+    incarnation_key::IncarnationKey,
     keyed_claim::{ClaimAction, ClaimEvent, KeyedClaim},
-    life_key::LifeKey,
     not_run::NotRun,
+    not_run_evidence::NotRunEvidence,
     request_outcome::{OriginReply, RequestOutcome},
     run_permit::{PermitDispatch, RunPermit, RunTicket},
-    sent::Sent,
+    sent_request::SentRequest,
     submit_verdict::SubmitVerdict,
     ticket::{Ticket, TicketSerial},
     ticket_settings::TicketSettings,
     ticket_state::{RequestDigest, TicketState},
     ticket_table::{TicketCounts, TicketTable},
-    undone_dispatch::UndoneDispatch,
-    unsent::Unsent,
+    unsent_request::UnsentRequest,
 };
--- a/crates/claim/src/not_run.rs
+++ b/crates/claim/src/not_run.rs
@@ -2,7 +2,7 @@
 
 use {kernel::ResultCode, serde::Serialize};
 
-/// The promise that a request did not run. Only [`Unsent::into_not_run`](crate::Unsent::into_not_run) and the
+/// The promise that a request did not run. Only [`UnsentRequest::into_not_run`](crate::UnsentRequest::into_not_run) and the
 /// origin of a ticket give it.
 ///
 /// It can't be made up, since its field is private:
@@ -28,7 +28,7 @@
     }
 
     /// The caller of this function vouches that the request did not run and never will.
-    pub(crate) fn vouched(code: ResultCode) -> Self {
+    pub(crate) fn from_code(code: ResultCode) -> Self {
         debug_assert!(code.not_run(), "{code:?} does not say that nothing ran");
         Self { code }
     }
--- a/crates/claim/src/undone_dispatch.rs
+++ b/crates/claim/src/not_run_evidence.rs
@@ -7,15 +7,15 @@
 /// It can't be made up without either:
 ///
 /// ```compile_fail,E0423
-/// let forged = claim::UndoneDispatch(());
+/// let forged = claim::NotRunEvidence(());
 /// ```
 #[derive(Debug)]
-pub struct UndoneDispatch(());
+pub struct NotRunEvidence(());
 
 /// The status of an upstream that refuses before it runs anything.
 const REFUSAL_STATUSES: [u16; 2] = [429, 503];
 
-impl UndoneDispatch {
+impl NotRunEvidence {
     /// The upstream's whole refusal: evidence when its status is 429 or 503 and its body says that it did not run.
     pub fn from_refusal(status: u16, ran: Option<bool>) -> Option<Self> {
         let said = ran == Some(false);
--- a/crates/claim/src/run_permit.rs
+++ b/crates/claim/src/run_permit.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        life_key::LifeKey, sent::Sent, ticket::TicketSerial, undone_dispatch::UndoneDispatch,
-        unsent::Unsent,
+        incarnation_key::IncarnationKey, not_run_evidence::NotRunEvidence,
+        sent_request::SentRequest, ticket::TicketSerial, unsent_request::UnsentRequest,
     },
     std::time::Instant,
 };
@@ -13,7 +13,7 @@
 #[must_use = "a permit ends in a dispatch or in a refusal"]
 pub struct RunPermit {
     pub(crate) deadline: Instant,
-    pub(crate) life: LifeKey,
+    pub(crate) life: IncarnationKey,
     pub(crate) serial: TicketSerial,
 }
 
@@ -28,21 +28,21 @@
 #[derive(Debug)]
 pub enum PermitDispatch<T> {
     /// It may be sent now.
-    Begun {
+    Started {
         /// The request, to be written at once.
         request: T,
         /// The run, for the table.
         run: RunTicket,
         /// The duty to answer.
-        sent: Sent,
+        sent: SentRequest,
     },
     /// The ticket ended first, such as while the process was frozen: refuse it as
     /// [`TicketExpired`](kernel::ResultCode::TicketExpired).
-    Late {
+    Expired {
         /// The permit, for the table.
         permit: RunPermit,
         /// The request.
-        unsent: Unsent<T>,
+        unsent: UnsentRequest<T>,
     },
 }
 
@@ -54,15 +54,15 @@
 
     /// Dispatches the request, if its ticket has not ended. `now` is read right before the call: whoever was
     /// frozen must not run what others may take for ended.
-    pub fn dispatch<T>(self, now: Instant, unsent: Unsent<T>) -> PermitDispatch<T> {
+    pub fn dispatch<T>(self, now: Instant, unsent: UnsentRequest<T>) -> PermitDispatch<T> {
         if now >= self.deadline {
-            return PermitDispatch::Late {
+            return PermitDispatch::Expired {
                 permit: self,
                 unsent,
             };
         }
         let (request, sent) = unsent.dispatch();
-        PermitDispatch::Begun {
+        PermitDispatch::Started {
             request,
             run: RunTicket { permit: self },
             sent,
@@ -72,17 +72,17 @@
 
 impl RunTicket {
     /// The life and serial that the table knows it by.
-    pub(crate) fn place(&self) -> (&LifeKey, TicketSerial) {
+    pub(crate) fn key(&self) -> (&IncarnationKey, TicketSerial) {
         (&self.permit.life, self.permit.serial)
     }
 
     /// The dispatch came to nothing: the ticket may be dispatched again, the request with it.
-    pub fn undone<T>(
+    pub fn into_unsent<T>(
         self,
-        sent: Sent,
-        evidence: UndoneDispatch,
+        sent: SentRequest,
+        evidence: NotRunEvidence,
         request: T,
-    ) -> (RunPermit, Unsent<T>) {
-        (self.permit, sent.undone(evidence, request))
+    ) -> (RunPermit, UnsentRequest<T>) {
+        (self.permit, sent.into_unsent(evidence, request))
     }
 }
--- a/crates/claim/src/sent.rs
+++ b/crates/claim/src/sent_request.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         not_run::NotRun,
+        not_run_evidence::NotRunEvidence,
         request_outcome::{OriginReply, RequestOutcome},
-        undone_dispatch::UndoneDispatch,
-        unsent::Unsent,
+        unsent_request::UnsentRequest,
     },
     kernel::ResultCode,
 };
@@ -15,14 +15,14 @@
 /// It has no way to "not run" by itself:
 ///
 /// ```compile_fail,E0599
-/// let (_request, sent) = claim::Unsent::from_caller("a request").dispatch();
+/// let (_request, sent) = claim::UnsentRequest::from_caller("a request").dispatch();
 /// let answer = sent.into_not_run(kernel::ResultCode::Closing);
 /// ```
 #[derive(Debug)]
 #[must_use = "a dispatched request has to be answered"]
-pub struct Sent(());
+pub struct SentRequest(());
 
-impl Sent {
+impl SentRequest {
     /// The whole answer came.
     pub fn answered<A>(self, answer: A) -> RequestOutcome<A> {
         RequestOutcome::Answered(answer)
@@ -33,7 +33,7 @@
         match reply {
             OriginReply::Answered(answer) => RequestOutcome::Answered(answer),
             OriginReply::NotRun(code) if code.not_run() => {
-                RequestOutcome::NotRun(NotRun::vouched(code))
+                RequestOutcome::NotRun(NotRun::from_code(code))
             }
             OriginReply::NotRun(code) | OriginReply::Unknown(code) => RequestOutcome::Unknown(code),
             OriginReply::Used => RequestOutcome::Used,
@@ -41,8 +41,8 @@
     }
 
     /// The dispatch came to nothing, and there is evidence: the request is unsent again.
-    pub fn undone<T>(self, _evidence: UndoneDispatch, request: T) -> Unsent<T> {
-        Unsent::returned(request)
+    pub fn into_unsent<T>(self, _evidence: NotRunEvidence, request: T) -> UnsentRequest<T> {
+        UnsentRequest::from_dispatch(request)
     }
 
     /// Nobody knows whether it ran.
@@ -52,7 +52,7 @@
     }
 
     /// A dispatch that has just begun.
-    pub(crate) fn begun() -> Self {
+    pub(crate) fn new() -> Self {
         Self(())
     }
 }
--- a/crates/claim/src/ticket.rs
+++ b/crates/claim/src/ticket.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         claim_error::{ClaimError, NameInvalidSnafu, NumberInvalidSnafu, PartsWrongSnafu},
-        life_key::LifeKey,
+        incarnation_key::IncarnationKey,
     },
     kernel::{TicketId, ZoneId, seeded_rng},
     serde::{Deserialize, Serialize},
@@ -42,7 +42,7 @@
     /// own monotonic clock alone, so that no wall clock has a say.
     pub expiry: Duration,
     /// Where it may run.
-    pub life: LifeKey,
+    pub life: IncarnationKey,
     /// Tells apart the tickets of one life with one expiry.
     pub random: u64,
     /// The availability zone of its origin.
@@ -120,7 +120,7 @@
         );
         Ok(Self {
             zone: checked_name("zone", parts[1])?,
-            life: LifeKey {
+            life: IncarnationKey {
                 instance: checked_name("instance", parts[2])?,
                 incarnation: number("incarnation", parts[3])?,
             },
--- a/crates/claim/src/ticket_settings.rs
+++ b/crates/claim/src/ticket_settings.rs
@@ -10,10 +10,10 @@
     pub answer_limit: usize,
     /// All answers that are kept for replays, bytes.
     #[builder(default = 4 << 20)]
-    pub kept_limit: usize,
+    pub cache_limit: usize,
     /// The longest time that a ticket may be good for.
     #[builder(default = Duration::from_secs(3600))]
-    pub longest_expiry: Duration,
+    pub max_expiry: Duration,
     /// How long a used ticket is remembered past its expiry. So long is "expired, not run" told from "unknown".
     #[builder(default = Duration::from_secs(600))]
     pub retention: Duration,
--- a/crates/claim/src/ticket_table.rs
+++ b/crates/claim/src/ticket_table.rs
@@ -2,21 +2,21 @@
 
 use {
     crate::{
+        answer_cache::AnswerCache,
         answer_size::AnswerSize,
         claim_error::{ClaimError, MintLimitSnafu},
-        kept_answers::KeptAnswers,
-        life_key::LifeKey,
+        incarnation_key::IncarnationKey,
+        incarnation_tickets::{IncarnationTickets, UnusedTicket},
         not_run::NotRun,
         outstanding_count::OutstandingCount,
         request_outcome::RequestOutcome,
         run_permit::{RunPermit, RunTicket},
-        sent::Sent,
+        sent_request::SentRequest,
         submit_verdict::SubmitVerdict,
         ticket::{Ticket, checked_name, millis},
-        ticket_life::{TicketLife, UnusedTicket},
         ticket_settings::TicketSettings,
         ticket_state::{RequestDigest, TicketRecord, TicketState},
-        unsent::Unsent,
+        unsent_request::UnsentRequest,
     },
     kernel::{ResultCode, ZoneId, seeded_rng},
     snafu::ensure,
@@ -32,9 +32,9 @@
 /// expiry and the retention have passed. The number of both is bounded where tickets are minted.
 #[derive(Debug)]
 pub struct TicketTable<A> {
-    pub(crate) kept: KeptAnswers<A>,
-    pub(crate) life: LifeKey,
-    pub(crate) lives: BTreeMap<LifeKey, TicketLife>,
+    pub(crate) kept: AnswerCache<A>,
+    pub(crate) life: IncarnationKey,
+    pub(crate) lives: BTreeMap<IncarnationKey, IncarnationTickets>,
     minted: u64,
     outstanding: OutstandingCount,
     pub(crate) settings: TicketSettings,
@@ -66,28 +66,33 @@
     }
 
     /// Records the whole answer of a run, and keeps it for replays if it is small enough.
-    pub fn finish(&mut self, run: RunTicket, sent: Sent, answer: A) -> RequestOutcome<A> {
+    pub fn finish(&mut self, run: RunTicket, sent: SentRequest, answer: A) -> RequestOutcome<A> {
         let known = self.set_state(&run, TicketState::Answered);
         let small = answer.size() <= self.settings.answer_limit;
         if known && small {
-            let (life, serial) = run.place();
+            let (life, serial) = run.key();
             self.kept.insert((life.clone(), serial), answer.clone());
         }
         sent.answered(answer)
     }
 
     /// Whether this instance holds the tickets of a life.
-    pub fn holds(&self, life: &LifeKey) -> bool {
+    pub fn holds(&self, life: &IncarnationKey) -> bool {
         self.lives.contains_key(life)
     }
 
     /// This instance's own life.
-    pub fn life(&self) -> &LifeKey {
+    pub fn life(&self) -> &IncarnationKey {
         &self.life
     }
 
     /// Records that nobody knows what became of a run.
-    pub fn lose(&mut self, run: RunTicket, sent: Sent, code: ResultCode) -> RequestOutcome<A> {
+    pub fn finish_unknown(
+        &mut self,
+        run: RunTicket,
+        sent: SentRequest,
+        code: ResultCode,
+    ) -> RequestOutcome<A> {
         self.set_state(&run, TicketState::Unknown(code));
         sent.unknown(code)
     }
@@ -102,7 +107,7 @@
         let limit = self.settings.ticket_limit;
         ensure!(self.outstanding.total < limit, MintLimitSnafu { limit });
         let own = &self.lives[&self.life];
-        let lifetime = lifetime.min(self.settings.longest_expiry);
+        let lifetime = lifetime.min(self.settings.max_expiry);
         let expiry = Duration::from_millis(millis(own.age(now) + lifetime));
         self.minted += 1;
         let mut ticket = Ticket {
@@ -124,7 +129,7 @@
     /// [`ClaimError::NameInvalid`] when a ticket can't carry the names.
     pub fn new(
         now: Instant,
-        life: LifeKey,
+        life: IncarnationKey,
         zone: ZoneId,
         settings: TicketSettings,
     ) -> Result<Self, ClaimError> {
@@ -132,9 +137,9 @@
         checked_name("zone", &zone)?;
         let seed = seeded_rng::mix(settings.secret, life.instance.as_bytes());
         let check_key = seeded_rng::mix(seed, &life.incarnation.to_le_bytes());
-        let own = TicketLife::new(now, Duration::ZERO, check_key, 0);
+        let own = IncarnationTickets::new(now, Duration::ZERO, check_key, 0);
         Ok(Self {
-            kept: KeptAnswers::new(settings.kept_limit),
+            kept: AnswerCache::new(settings.cache_limit),
             lives: BTreeMap::from([(life.clone(), own)]),
             life,
             minted: 0,
@@ -145,13 +150,18 @@
     }
 
     /// Seals a ticket as refused, and gives the answer that its request did not run.
-    pub fn refuse<T>(&mut self, permit: RunPermit, unsent: Unsent<T>, code: ResultCode) -> NotRun {
-        self.seal(permit, code);
+    pub fn refuse<T>(
+        &mut self,
+        permit: RunPermit,
+        unsent: UnsentRequest<T>,
+        code: ResultCode,
+    ) -> NotRun {
+        self.mark_refused(permit, code);
         unsent.into_not_run(code)
     }
 
     /// Seals a ticket as refused, when its request goes on by another ticket: its caller's key stands for that one.
-    pub fn seal(&mut self, permit: RunPermit, code: ResultCode) {
+    pub fn mark_refused(&mut self, permit: RunPermit, code: ResultCode) {
         if let Some(record) = self.record_mut(&permit) {
             record.state = TicketState::Refused(code);
         }
@@ -212,7 +222,7 @@
 
     /// Whether the record was still there.
     fn set_state(&mut self, run: &RunTicket, state: TicketState) -> bool {
-        let (life, serial) = run.place();
+        let (life, serial) = run.key();
         let records = self.lives.get_mut(life).map(|life| &mut life.records);
         let Some(record) = records.and_then(|records| records.get_mut(&serial)) else {
             return false;
@@ -244,7 +254,7 @@
 
 /// The verdict on a ticket that did not run, and never will.
 pub(crate) fn refused<A>(code: ResultCode) -> SubmitVerdict<A> {
-    SubmitVerdict::Decided(RequestOutcome::NotRun(NotRun::vouched(code)))
+    SubmitVerdict::Decided(RequestOutcome::NotRun(NotRun::from_code(code)))
 }
 
 fn forgotten<A>() -> SubmitVerdict<A> {
--- a/crates/claim/src/unsent.rs
+++ b/crates/claim/src/unsent_request.rs
@@ -1,16 +1,16 @@
 //! A request that was never dispatched.
 
 use {
-    crate::{not_run::NotRun, sent::Sent},
+    crate::{not_run::NotRun, sent_request::SentRequest},
     kernel::ResultCode,
 };
 
 /// A request that was never dispatched. Dispatching consumes it, and only it can become the answer "not run".
 ///
 /// ```
-/// use {claim::Unsent, kernel::ResultCode};
+/// use {claim::UnsentRequest, kernel::ResultCode};
 ///
-/// let unsent = Unsent::from_caller("a request");
+/// let unsent = UnsentRequest::from_caller("a request");
 /// let answer = unsent.into_not_run(ResultCode::QueueFull);
 /// assert_eq!(answer.code(), ResultCode::QueueFull);
 /// ```
@@ -18,9 +18,9 @@
 /// What was dispatched can't be refused as not run:
 ///
 /// ```compile_fail,E0382
-/// use {claim::Unsent, kernel::ResultCode};
+/// use {claim::UnsentRequest, kernel::ResultCode};
 ///
-/// let unsent = Unsent::from_caller("a request");
+/// let unsent = UnsentRequest::from_caller("a request");
 /// let (request, sent) = unsent.dispatch();
 /// let answer = unsent.into_not_run(ResultCode::QueueFull);
 /// ```
@@ -28,7 +28,7 @@
 /// nor dispatched twice:
 ///
 /// ```compile_fail,E0382
-/// let unsent = claim::Unsent::from_caller("a request");
+/// let unsent = claim::UnsentRequest::from_caller("a request");
 /// let first = unsent.dispatch();
 /// let second = unsent.dispatch();
 /// ```
@@ -36,22 +36,22 @@
 /// It can't be copied before it is dispatched:
 ///
 /// ```compile_fail,E0599
-/// let unsent = claim::Unsent::from_caller("a request");
+/// let unsent = claim::UnsentRequest::from_caller("a request");
 /// let copy = unsent.clone();
 /// ```
 ///
 /// nor built without its constructor:
 ///
 /// ```compile_fail,E0451
-/// let forged = claim::Unsent { request: "a request" };
+/// let forged = claim::UnsentRequest { request: "a request" };
 /// ```
 #[derive(Debug)]
 #[must_use = "a request that is dropped gets no answer"]
-pub struct Unsent<T> {
+pub struct UnsentRequest<T> {
     request: T,
 }
 
-impl<T> Unsent<T> {
+impl<T> UnsentRequest<T> {
     /// The request.
     pub fn as_request(&self) -> &T {
         &self.request
@@ -59,8 +59,8 @@
 
     /// Dispatches the request: from here on its outcome is a whole answer or unknown. Call it right before the
     /// first byte is written.
-    pub fn dispatch(self) -> (T, Sent) {
-        (self.request, Sent::begun())
+    pub fn dispatch(self) -> (T, SentRequest) {
+        (self.request, SentRequest::new())
     }
 
     /// The request as it came in from its caller. The door calls this once for each request; no one else does.
@@ -74,18 +74,18 @@
     ///
     /// In debug builds, when the code does not say that nothing ran.
     pub fn into_not_run(self, code: ResultCode) -> NotRun {
-        NotRun::vouched(code)
+        NotRun::from_code(code)
     }
 
     /// The same request in another form.
-    pub fn map<U>(self, change: impl FnOnce(T) -> U) -> Unsent<U> {
-        Unsent {
+    pub fn map<U>(self, change: impl FnOnce(T) -> U) -> UnsentRequest<U> {
+        UnsentRequest {
             request: change(self.request),
         }
     }
 
     /// A request that came back undone.
-    pub(crate) fn returned(request: T) -> Self {
+    pub(crate) fn from_dispatch(request: T) -> Self {
         Self { request }
     }
 }
--- a/crates/claim/tests/hand_over.rs
+++ b/crates/claim/tests/hand_over.rs
@@ -2,8 +2,8 @@
 
 use {
     claim::{
-        ClosedTable, ForwardCourse, ForwardTable, HandOver, HandOverReply, LifeKey, PermitDispatch,
-        SubmitVerdict, Ticket, TicketSettings, TicketTable, Unsent,
+        ClosedTable, ForwardRoute, ForwardTable, HandOver, HandOverReply, IncarnationKey,
+        PermitDispatch, SubmitVerdict, Ticket, TicketSettings, TicketTable, UnsentRequest,
     },
     kernel::ResultCode,
     std::time::{Duration, Instant},
@@ -12,14 +12,14 @@
 const DIGEST: u64 = 5;
 const MINUTE: Duration = Duration::from_secs(60);
 
-fn life(instance: &str, incarnation: u64) -> LifeKey {
-    LifeKey {
+fn life(instance: &str, incarnation: u64) -> IncarnationKey {
+    IncarnationKey {
         incarnation,
         instance: instance.into(),
     }
 }
 
-fn table(now: Instant, life: LifeKey) -> TicketTable<Vec<u8>> {
+fn table(now: Instant, life: IncarnationKey) -> TicketTable<Vec<u8>> {
     let settings = TicketSettings::builder().secret(3).build();
     TicketTable::new(now, life, "riga-a".into(), settings).unwrap()
 }
@@ -48,7 +48,8 @@
         let SubmitVerdict::Run(permit) = origin.submit(now, &used, DIGEST) else {
             panic!("no permit");
         };
-        let PermitDispatch::Begun { run, sent, .. } = permit.dispatch(now, Unsent::from_caller(()))
+        let PermitDispatch::Started { run, sent, .. } =
+            permit.dispatch(now, UnsentRequest::from_caller(()))
         else {
             panic!("late");
         };
@@ -169,17 +170,17 @@
     let now = Instant::now();
     let (first, second) = (life("entry-1", 7), life("entry-2", 9));
     let mut table = ForwardTable::new(MINUTE);
-    let none = |_: &LifeKey| false;
-    assert_eq!(table.route(&first, none, none), ForwardCourse::Gone);
-    let live = |life: &LifeKey| *life == second;
-    table.learn(now, first.clone(), second.clone());
+    let none = |_: &IncarnationKey| false;
+    assert_eq!(table.route(&first, none, none), ForwardRoute::Gone);
+    let live = |life: &IncarnationKey| *life == second;
+    table.add_successor(now, first.clone(), second.clone());
     assert_eq!(
         table.route(&first, none, live),
-        ForwardCourse::Remote(second.clone())
+        ForwardRoute::Remote(second.clone())
     );
-    assert_eq!(table.route(&first, live, none), ForwardCourse::Local);
-    table.learn(now, second.clone(), first.clone());
-    assert_eq!(table.route(&first, none, none), ForwardCourse::Gone);
+    assert_eq!(table.route(&first, live, none), ForwardRoute::Local);
+    table.add_successor(now, second.clone(), first.clone());
+    assert_eq!(table.route(&first, none, none), ForwardRoute::Gone);
     table.sweep(now + MINUTE);
     assert_eq!(table.successors().count(), 0);
 }
--- a/crates/claim/tests/keyed_claim.rs
+++ b/crates/claim/tests/keyed_claim.rs
@@ -5,8 +5,8 @@
 
 use {
     claim::{
-        ClaimEvent, ClaimKeeper, ClaimRecord, ClaimVerdict, ClaimWatch, ClockReading, KeyedClaim,
-        LifeKey, SubmitVerdict, Ticket, TicketSettings, TicketTable, claim_key,
+        ClaimEvent, ClaimKeeper, ClaimRecord, ClaimVerdict, ClaimWatch, ClockReading,
+        IncarnationKey, KeyedClaim, SubmitVerdict, Ticket, TicketSettings, TicketTable, claim_key,
         claim_key::EPOCH_KEY,
         claim_sweep::{due_removals, is_sweeper},
     },
@@ -31,7 +31,7 @@
 
 fn claim(instance: &str, digest: u64) -> KeyedClaim {
     let clock = clock();
-    let life = LifeKey {
+    let life = IncarnationKey {
         incarnation: 7,
         instance: instance.into(),
     };
--- a/crates/claim/tests/run_ends.rs
+++ b/crates/claim/tests/run_ends.rs
@@ -2,8 +2,8 @@
 
 use {
     claim::{
-        ClosedTable, HandOver, LifeKey, PermitDispatch, RequestOutcome, RunPermit, SubmitVerdict,
-        Ticket, TicketSettings, TicketTable, Unsent,
+        ClosedTable, HandOver, IncarnationKey, PermitDispatch, RequestOutcome, RunPermit,
+        SubmitVerdict, Ticket, TicketSettings, TicketTable, UnsentRequest,
     },
     kernel::ResultCode,
     std::time::{Duration, Instant},
@@ -44,9 +44,9 @@
         }
     }
 
-    fn learn_ends(&mut self) {
+    fn record_outcomes(&mut self) {
         let message = self.closed.final_records(self.now);
-        self.successor.learn_ends(message);
+        self.successor.record_outcomes(message);
     }
 
     fn outcome(&mut self, ticket: &Ticket) -> RequestOutcome<Vec<u8>> {
@@ -59,7 +59,7 @@
 
 fn table(now: Instant, instance: &str) -> TicketTable<Vec<u8>> {
     let settings = TicketSettings::builder().secret(3).build();
-    let life = LifeKey {
+    let life = IncarnationKey {
         incarnation: 7,
         instance: instance.into(),
     };
@@ -74,13 +74,13 @@
         .accept_hand_over(test.now, test.message.clone());
     let running = test.running.clone();
     assert_eq!(test.outcome(&running).code(), ResultCode::OriginGone);
-    let unsent = Unsent::from_caller(());
-    let PermitDispatch::Begun { run, sent, .. } = test.permit.dispatch(test.now, unsent) else {
+    let unsent = UnsentRequest::from_caller(());
+    let PermitDispatch::Started { run, sent, .. } = test.permit.dispatch(test.now, unsent) else {
         panic!("late");
     };
     test.closed.finish(run, sent, b"answer".to_vec());
     let message = test.closed.final_records(test.now);
-    test.successor.learn_ends(message);
+    test.successor.record_outcomes(message);
     let SubmitVerdict::Decided(outcome) = test.successor.submit(test.now, &running, DIGEST) else {
         panic!("it runs again");
     };
@@ -93,7 +93,7 @@
     let _ = test
         .successor
         .accept_hand_over(test.now, test.message.clone());
-    test.learn_ends();
+    test.record_outcomes();
     let running = test.running.clone();
     assert_eq!(test.outcome(&running).code(), ResultCode::OriginGone);
 }
@@ -108,12 +108,12 @@
     let SubmitVerdict::Run(permit) = test.successor.submit(test.now, &unused, DIGEST) else {
         panic!("no permit");
     };
-    let unsent = Unsent::from_caller(());
-    let PermitDispatch::Begun { run, sent, .. } = permit.dispatch(test.now, unsent) else {
+    let unsent = UnsentRequest::from_caller(());
+    let PermitDispatch::Started { run, sent, .. } = permit.dispatch(test.now, unsent) else {
         panic!("late");
     };
     test.successor.finish(run, sent, b"here".to_vec());
-    test.learn_ends();
+    test.record_outcomes();
     let outcome = test.outcome(&unused);
     assert_eq!(outcome, RequestOutcome::Answered(b"here".to_vec()));
 }
@@ -121,7 +121,7 @@
 #[test]
 fn a_life_that_holds_nothing_learns_nothing() {
     let mut test = Test::new();
-    test.learn_ends();
+    test.record_outcomes();
     let running = test.running.clone();
     let verdict = test.successor.submit(test.now, &running, DIGEST);
     assert!(matches!(verdict, SubmitVerdict::Elsewhere));
--- a/crates/claim/tests/support/once_request.rs
+++ b/crates/claim/tests/support/once_request.rs
@@ -9,8 +9,8 @@
         },
     },
     claim::{
-        ClaimAction, ClaimEvent, ClaimRecord, KeyedClaim, OriginReply, PermitDispatch, RunPermit,
-        SubmitVerdict, UndoneDispatch, Unsent, claim_key,
+        ClaimAction, ClaimEvent, ClaimRecord, KeyedClaim, NotRunEvidence, OriginReply,
+        PermitDispatch, RunPermit, SubmitVerdict, UnsentRequest, claim_key,
     },
     kernel::ResultCode,
     std::mem,
@@ -51,7 +51,7 @@
         &mut self,
         index: usize,
         permit: RunPermit,
-        unsent: Unsent<()>,
+        unsent: UnsentRequest<()>,
         code: ResultCode,
     ) {
         let at = self.requests[index].at;
@@ -66,7 +66,7 @@
         &mut self,
         index: usize,
         (mut claim, permit): OwnClaim,
-        unsent: Unsent<()>,
+        unsent: UnsentRequest<()>,
         event: ClaimEvent,
         (fault, late): (CallFault, bool),
     ) {
@@ -110,7 +110,7 @@
         index: usize,
         pick: u8,
         permit: RunPermit,
-        unsent: Unsent<()>,
+        unsent: UnsentRequest<()>,
     ) {
         let at = self.requests[index].at;
         if pick.is_multiple_of(4) {
@@ -118,12 +118,12 @@
         }
         let now = self.clock(at).now;
         match permit.dispatch(now, unsent) {
-            PermitDispatch::Begun { request, run, sent } if pick % 4 == 1 => {
-                let evidence = UndoneDispatch::not_connected();
-                let (permit, unsent) = run.undone(sent, evidence, request);
+            PermitDispatch::Started { request, run, sent } if pick % 4 == 1 => {
+                let evidence = NotRunEvidence::not_connected();
+                let (permit, unsent) = run.into_unsent(sent, evidence, request);
                 self.requests[index].phase = Phase::Permitted(permit, unsent);
             }
-            PermitDispatch::Begun { run, sent, .. } => {
+            PermitDispatch::Started { run, sent, .. } => {
                 let request = &mut self.requests[index];
                 request.phase = Phase::Running(run, sent);
                 self.oracle.runs.push(DoneRun {
@@ -133,7 +133,7 @@
                     ticket: request.ticket.clone(),
                 });
             }
-            PermitDispatch::Late { permit, unsent } => {
+            PermitDispatch::Expired { permit, unsent } => {
                 self.refuse(index, permit, unsent, ResultCode::TicketExpired);
             }
         }
@@ -154,13 +154,14 @@
             SubmitVerdict::Elsewhere => match self.route(at, &ticket.life) {
                 None => self.answer(index, OriginReply::Unknown(ResultCode::OriginGone)),
                 Some(to) => {
-                    let ((), sent) = Unsent::from_caller(()).dispatch();
+                    let ((), sent) = UnsentRequest::from_caller(()).dispatch();
                     self.requests[index].phase = Phase::Forwarded(sent, None);
                     self.forward(index, to, ticket);
                 }
             },
             SubmitVerdict::Run(permit) => {
-                self.requests[index].phase = Phase::Permitted(permit, Unsent::from_caller(()));
+                self.requests[index].phase =
+                    Phase::Permitted(permit, UnsentRequest::from_caller(()));
             }
         }
     }
@@ -178,7 +179,7 @@
         let claim = KeyedClaim::new(claim_key(3, "work", "scope", &key.to_string()), record);
         let mut request = self.request(at, ticket);
         request.key = Some(key);
-        let unsent = Unsent::from_caller(());
+        let unsent = UnsentRequest::from_caller(());
         request.phase = Phase::Claiming((claim, permit), unsent, ClaimEvent::Start);
         self.requests.push(request);
     }
--- a/crates/claim/tests/support/once_world.rs
+++ b/crates/claim/tests/support/once_world.rs
@@ -7,9 +7,9 @@
         once_step::OnceStep,
     },
     claim::{
-        ClaimEvent, ClaimWatch, ClockReading, ClosedTable, ForwardCourse, ForwardTable, HandOver,
-        HandOverReply, KeyedClaim, LifeKey, OriginReply, RequestOutcome, RunPermit, RunTicket,
-        Sent, Ticket, TicketSettings, TicketTable, UndoneDispatch, Unsent,
+        ClaimEvent, ClaimWatch, ClockReading, ClosedTable, ForwardRoute, ForwardTable, HandOver,
+        HandOverReply, IncarnationKey, KeyedClaim, NotRunEvidence, OriginReply, RequestOutcome,
+        RunPermit, RunTicket, SentRequest, Ticket, TicketSettings, TicketTable, UnsentRequest,
         claim_key::{CLAIM_PREFIX, EPOCH_KEY},
         claim_sweep::due_removals,
     },
@@ -43,7 +43,7 @@
 
 pub(super) struct Slot {
     pub(super) forward: ForwardTable,
-    pub(super) life: LifeKey,
+    pub(super) life: IncarnationKey,
     pub(super) state: SlotState,
     pub(super) sweep_watch: ClaimWatch,
     pub(super) wall_ms: u64,
@@ -54,11 +54,11 @@
 pub(super) type OwnClaim = (KeyedClaim, RunPermit);
 
 pub(super) enum Phase {
-    Claiming(OwnClaim, Unsent<()>, ClaimEvent),
+    Claiming(OwnClaim, UnsentRequest<()>, ClaimEvent),
     Done,
-    Forwarded(Sent, Option<OwnClaim>),
-    Permitted(RunPermit, Unsent<()>),
-    Running(RunTicket, Sent),
+    Forwarded(SentRequest, Option<OwnClaim>),
+    Permitted(RunPermit, UnsentRequest<()>),
+    Running(RunTicket, SentRequest),
 }
 
 /// One request at one instance; a forwarded submission is one request at each.
@@ -66,9 +66,9 @@
     pub(super) at: usize,
     pub(super) by_ticket: bool,
     pub(super) key: Option<usize>,
-    pub(super) life: LifeKey,
+    pub(super) life: IncarnationKey,
     pub(super) phase: Phase,
-    pub(super) reply_to: Option<(LifeKey, usize)>,
+    pub(super) reply_to: Option<(IncarnationKey, usize)>,
     pub(super) submission: usize,
     pub(super) ticket: Ticket,
 }
@@ -77,16 +77,16 @@
 pub(super) enum Message {
     Forward(usize, Ticket),
     HandOver(HandOver<Answer>),
-    HandOverReply(LifeKey, HandOverReply),
+    HandOverReply(IncarnationKey, HandOverReply),
     Reply(usize, OriginReply<Answer>),
 }
 
 pub(crate) struct OnceWorld {
     pub(super) base: Instant,
-    pub(super) hand_overs: Vec<(LifeKey, LifeKey)>,
+    pub(super) hand_overs: Vec<(IncarnationKey, IncarnationKey)>,
     pub(super) late: Vec<Transaction>,
     pub(super) lives: u64,
-    pub(super) network: Vec<(LifeKey, Message)>,
+    pub(super) network: Vec<(IncarnationKey, Message)>,
     pub(super) now_ms: u64,
     pub(crate) oracle: OnceOracle,
     pub(super) platform: FlakyRows,
@@ -153,7 +153,7 @@
             OnceStep::Learn { at, hand_over } => {
                 let now = self.clock(at).now;
                 if let Some((life, successor)) = self.hand_overs.get(hand_over).cloned() {
-                    self.slots[at].forward.learn(now, life, successor);
+                    self.slots[at].forward.add_successor(now, life, successor);
                 }
             }
             OnceStep::Mint(at) => {
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(super) fn forward(&mut self, index: usize, to: LifeKey, ticket: Ticket) {
+    pub(super) fn forward(&mut self, index: usize, to: IncarnationKey, ticket: Ticket) {
         self.network.push((to, Message::Forward(index, ticket)));
     }
 
@@ -289,22 +289,22 @@
             let outcome: RequestOutcome<Answer> = sent.relay(reply);
             return self.answer(index, outcome.into());
         };
-        if let Some(evidence) = UndoneDispatch::from_origin(&reply) {
-            let unsent = sent.undone(evidence, ());
+        if let Some(evidence) = NotRunEvidence::from_origin(&reply) {
+            let unsent = sent.into_unsent(evidence, ());
             let event = ClaimEvent::OriginRefused;
             self.requests[index].phase = Phase::Claiming((claim, permit), unsent, event);
             return;
         }
         let at = self.requests[index].at;
         if let Some(table) = open_table(&mut self.slots[at]) {
-            table.seal(permit, ResultCode::KeyTaken);
+            table.mark_refused(permit, ResultCode::KeyTaken);
         }
         let outcome: RequestOutcome<Answer> = sent.relay(reply);
         self.answer(index, outcome.into());
     }
 
-    pub(super) fn route(&self, at: usize, life: &LifeKey) -> Option<LifeKey> {
-        let is_live = |life: &LifeKey| self.slots.iter().any(|slot| slot.life == *life);
+    pub(super) fn route(&self, at: usize, life: &IncarnationKey) -> Option<IncarnationKey> {
+        let is_live = |life: &IncarnationKey| self.slots.iter().any(|slot| slot.life == *life);
         let slot = &self.slots[at];
         let course = match &slot.state {
             SlotState::Closed(closed) if closed.holds(life) => {
@@ -314,15 +314,15 @@
             SlotState::Open(table) => slot.forward.route(life, |life| table.holds(life), is_live),
         };
         match course {
-            ForwardCourse::Gone => None,
-            ForwardCourse::Local => Some(slot.life.clone()),
-            ForwardCourse::Remote(life) => Some(life),
+            ForwardRoute::Gone => None,
+            ForwardRoute::Local => Some(slot.life.clone()),
+            ForwardRoute::Remote(life) => Some(life),
         }
     }
 
     fn start(&mut self, at: usize) -> Slot {
         self.lives += 1;
-        let life = LifeKey {
+        let life = IncarnationKey {
             incarnation: self.lives,
             instance: format!("entry-{at}").into(),
         };
--- a/crates/claim/tests/ticket.rs
+++ b/crates/claim/tests/ticket.rs
@@ -1,12 +1,12 @@
 //! The text of tickets.
 
 use {
-    claim::{ClaimError, LifeKey, Ticket, TicketSettings, TicketTable},
+    claim::{ClaimError, IncarnationKey, Ticket, TicketSettings, TicketTable},
     std::time::{Duration, Instant},
 };
 
 fn table(instance: &str) -> Result<TicketTable<Vec<u8>>, ClaimError> {
-    let life = LifeKey {
+    let life = IncarnationKey {
         incarnation: 7,
         instance: instance.into(),
     };
--- a/crates/claim/tests/ticket_table.rs
+++ b/crates/claim/tests/ticket_table.rs
@@ -2,8 +2,8 @@
 
 use {
     claim::{
-        ClaimError, LifeKey, PermitDispatch, RequestOutcome, SubmitVerdict, Ticket, TicketSettings,
-        TicketTable, UndoneDispatch, Unsent,
+        ClaimError, IncarnationKey, NotRunEvidence, PermitDispatch, RequestOutcome, SubmitVerdict,
+        Ticket, TicketSettings, TicketTable, UnsentRequest,
     },
     kernel::ResultCode,
     std::time::{Duration, Instant},
@@ -25,7 +25,7 @@
 
     fn with(settings: TicketSettings) -> Self {
         let now = Instant::now();
-        let life = LifeKey {
+        let life = IncarnationKey {
             incarnation: 7,
             instance: "entry-1".into(),
         };
@@ -45,8 +45,8 @@
         let SubmitVerdict::Run(permit) = self.table.submit(self.now, &self.ticket, DIGEST) else {
             panic!("no permit");
         };
-        let PermitDispatch::Begun { run, sent, .. } =
-            permit.dispatch(self.now, Unsent::from_caller(()))
+        let PermitDispatch::Started { run, sent, .. } =
+            permit.dispatch(self.now, UnsentRequest::from_caller(()))
         else {
             panic!("late");
         };
@@ -91,7 +91,7 @@
     let SubmitVerdict::Run(permit) = test.table.submit(test.now, &test.ticket, DIGEST) else {
         panic!("no permit");
     };
-    let unsent = Unsent::from_caller(());
+    let unsent = UnsentRequest::from_caller(());
     test.table.refuse(permit, unsent, ResultCode::QueueFull);
     assert_eq!(test.code(), Some(ResultCode::QueueFull));
 }
@@ -129,8 +129,8 @@
         panic!("no permit");
     };
     let thawed = test.now + MINUTE;
-    let dispatch = permit.dispatch(thawed, Unsent::from_caller(()));
-    assert!(matches!(dispatch, PermitDispatch::Late { .. }));
+    let dispatch = permit.dispatch(thawed, UnsentRequest::from_caller(()));
+    assert!(matches!(dispatch, PermitDispatch::Expired { .. }));
 }
 
 #[test]
@@ -139,13 +139,13 @@
     let SubmitVerdict::Run(permit) = test.table.submit(test.now, &test.ticket, DIGEST) else {
         panic!("no permit");
     };
-    let PermitDispatch::Begun { request, run, sent } =
-        permit.dispatch(test.now, Unsent::from_caller("request"))
+    let PermitDispatch::Started { request, run, sent } =
+        permit.dispatch(test.now, UnsentRequest::from_caller("request"))
     else {
         panic!("late");
     };
-    let evidence = UndoneDispatch::from_refusal(503, Some(false)).unwrap();
-    let (permit, unsent) = run.undone(sent, evidence, request);
+    let evidence = NotRunEvidence::from_refusal(503, Some(false)).unwrap();
+    let (permit, unsent) = run.into_unsent(sent, evidence, request);
     test.table
         .refuse(permit, unsent, ResultCode::UpstreamRefused);
     assert_eq!(test.code(), Some(ResultCode::UpstreamRefused));
@@ -153,9 +153,9 @@
 
 #[test]
 fn an_upstream_that_may_have_run_it_is_no_evidence() {
-    assert!(UndoneDispatch::from_refusal(503, None).is_none());
-    assert!(UndoneDispatch::from_refusal(503, Some(true)).is_none());
-    assert!(UndoneDispatch::from_refusal(500, Some(false)).is_none());
+    assert!(NotRunEvidence::from_refusal(503, None).is_none());
+    assert!(NotRunEvidence::from_refusal(503, Some(true)).is_none());
+    assert!(NotRunEvidence::from_refusal(500, Some(false)).is_none());
 }
 
 #[test]
@@ -175,7 +175,7 @@
 
 #[test]
 fn kept_answers_are_bounded() {
-    let settings = TicketSettings::builder().secret(3).kept_limit(10).build();
+    let settings = TicketSettings::builder().secret(3).cache_limit(10).build();
     let mut test = Test::with(settings);
     test.run(b"answer");
     let first = test.ticket.clone();
--- a/crates/door/src/ticket_desk.rs
+++ b/crates/door/src/ticket_desk.rs
@@ -7,9 +7,9 @@
         ticket_metrics::{TicketMetrics, ticket_happening},
     },
     claim::{
-        ClaimError, ClosedTable, ForwardCourse, ForwardTable, HandOverReply, LifeKey,
-        RequestOutcome, RunPermit, RunTicket, Sent, SubmitVerdict, Ticket, TicketCounts,
-        TicketSettings, TicketTable, Unsent, ticket_state::RequestDigest,
+        ClaimError, ClosedTable, ForwardRoute, ForwardTable, HandOverReply, IncarnationKey,
+        RequestOutcome, RunPermit, RunTicket, SentRequest, SubmitVerdict, Ticket, TicketCounts,
+        TicketSettings, TicketTable, UnsentRequest, ticket_state::RequestDigest,
     },
     kernel::{LockRank, RankedLock, ResultCode, ZoneId},
     std::{
@@ -38,8 +38,8 @@
 /// Holds the tickets and what is known of other lives' tickets.
 #[derive(Debug)]
 pub struct TicketDesk {
-    pub(crate) life: LifeKey,
-    pub(crate) longest_expiry: Duration,
+    pub(crate) life: IncarnationKey,
+    pub(crate) max_expiry: Duration,
     pub(crate) metrics: TicketMetrics,
     settled: Notify,
     state: RankedLock<DeskState>,
@@ -54,7 +54,7 @@
     /// The outcome is known.
     Decided(RequestOutcome<TicketAnswer>),
     /// Pass it on to this life.
-    Elsewhere(LifeKey),
+    Elsewhere(IncarnationKey),
     /// Run it, once.
     Run(RunPermit),
 }
@@ -66,13 +66,13 @@
     ///
     /// [`ClaimError::NameInvalid`] when a ticket can't carry the names.
     pub fn new(
-        life: LifeKey,
+        life: IncarnationKey,
         metrics: TicketMetrics,
         settings: TicketSettings,
         zone: ZoneId,
     ) -> Result<Self, ClaimError> {
-        let longest_expiry = settings.longest_expiry;
-        let retention = settings.longest_expiry + settings.retention;
+        let max_expiry = settings.max_expiry;
+        let retention = settings.max_expiry + settings.retention;
         let table = TicketTable::new(Instant::now(), life.clone(), zone.clone(), settings)?;
         let state = DeskState {
             forwards: ForwardTable::new(retention),
@@ -80,7 +80,7 @@
         };
         Ok(Self {
             life,
-            longest_expiry,
+            max_expiry,
             metrics,
             settled: Notify::new(),
             state: RankedLock::new(LockRank::Claims, state),
@@ -107,7 +107,7 @@
     }
 
     /// Records the whole answer of a run.
-    pub(crate) fn finish(&self, run: RunTicket, sent: Sent, answer: TicketAnswer) {
+    pub(crate) fn finish(&self, run: RunTicket, sent: SentRequest, answer: TicketAnswer) {
         let _ = match &mut self.state.lock().holding {
             Some(TicketHolding::Closed(table)) => table.finish(run, sent, answer),
             Some(TicketHolding::Open(table)) => table.finish(run, sent, answer),
@@ -127,7 +127,7 @@
     }
 
     /// Gives all tickets to `successor`; none when that was done before.
-    pub(crate) fn hand_over(&self, successor: LifeKey) -> Option<TicketHandOver> {
+    pub(crate) fn hand_over(&self, successor: IncarnationKey) -> Option<TicketHandOver> {
         let mut state = self.state.lock();
         let table = match state.holding.take() {
             Some(TicketHolding::Open(table)) => table,
@@ -142,7 +142,7 @@
     }
 
     /// The life that holds the tickets of `life`, as far as this instance knows.
-    pub(crate) fn holder(&self, life: &LifeKey) -> Option<LifeKey> {
+    pub(crate) fn holder(&self, life: &IncarnationKey) -> Option<IncarnationKey> {
         let state = self.state.lock();
         match &state.holding {
             Some(TicketHolding::Closed(table)) if table.holds(life) => {
@@ -164,23 +164,26 @@
     }
 
     /// Learns that a life was handed over.
-    pub(crate) fn learn(&self, life: LifeKey, successor: LifeKey) {
+    pub(crate) fn learn(&self, life: IncarnationKey, successor: IncarnationKey) {
         let now = Instant::now();
-        self.state.lock().forwards.learn(now, life, successor);
+        self.state
+            .lock()
+            .forwards
+            .add_successor(now, life, successor);
     }
 
     /// Learns how the runs of a closing instance ended.
     pub(crate) fn learn_ends(&self, message: TicketHandOver) {
         if let Some(TicketHolding::Open(table)) = &mut self.state.lock().holding {
-            table.learn_ends(message);
+            table.record_outcomes(message);
         }
     }
 
     /// Records that nobody knows what became of a run.
-    pub(crate) fn lose(&self, run: RunTicket, sent: Sent, code: ResultCode) {
+    pub(crate) fn lose(&self, run: RunTicket, sent: SentRequest, code: ResultCode) {
         let _ = match &mut self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) => table.lose(run, sent, code),
-            Some(TicketHolding::Open(table)) => table.lose(run, sent, code),
+            Some(TicketHolding::Closed(table)) => table.finish_unknown(run, sent, code),
+            Some(TicketHolding::Open(table)) => table.finish_unknown(run, sent, code),
             None => sent.unknown(code),
         };
         self.metrics.count(ticket_happening::LOST);
@@ -203,14 +206,14 @@
     }
 
     /// Hears what the successor says to the hand-over.
-    pub(crate) fn on_reply(&self, from: &LifeKey, reply: HandOverReply) {
+    pub(crate) fn on_reply(&self, from: &IncarnationKey, reply: HandOverReply) {
         if let Some(TicketHolding::Closed(table)) = &mut self.state.lock().holding {
             table.on_reply(from, reply);
         }
     }
 
     /// Seals a ticket as refused; its request did not run.
-    pub(crate) fn refuse<T>(&self, permit: RunPermit, unsent: Unsent<T>, code: ResultCode) {
+    pub(crate) fn refuse<T>(&self, permit: RunPermit, unsent: UnsentRequest<T>, code: ResultCode) {
         let _ = match &mut self.state.lock().holding {
             Some(TicketHolding::Closed(table)) => table.refuse(permit, unsent, code),
             Some(TicketHolding::Open(table)) => table.refuse(permit, unsent, code),
@@ -223,8 +226,8 @@
     /// Seals a ticket whose request goes on by another one, or not at all.
     pub(crate) fn seal(&self, permit: RunPermit, code: ResultCode) {
         match &mut self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) => table.seal(permit, code),
-            Some(TicketHolding::Open(table)) => table.seal(permit, code),
+            Some(TicketHolding::Closed(table)) => table.mark_refused(permit, code),
+            Some(TicketHolding::Open(table)) => table.mark_refused(permit, code),
             None => {}
         }
         self.settled.notify_waiters();
@@ -274,9 +277,9 @@
 }
 
 /// Whom to ask for a ticket that is not held here. Whether that life still runs shows when it is asked.
-fn route(forwards: &ForwardTable, ticket: &Ticket) -> LifeKey {
+fn route(forwards: &ForwardTable, ticket: &Ticket) -> IncarnationKey {
     match forwards.route(&ticket.life, |_| false, |_| true) {
-        ForwardCourse::Remote(life) => life,
-        ForwardCourse::Gone | ForwardCourse::Local => ticket.life.clone(),
+        ForwardRoute::Remote(life) => life,
+        ForwardRoute::Gone | ForwardRoute::Local => ticket.life.clone(),
     }
 }
--- a/crates/door/src/ticket_door.rs
+++ b/crates/door/src/ticket_door.rs
@@ -17,7 +17,10 @@
         body::Body,
         response::{IntoResponse, Response},
     },
-    claim::{ClaimKeeper, LifeKey, PermitDispatch, RequestOutcome, RunPermit, Ticket, Unsent},
+    claim::{
+        ClaimKeeper, IncarnationKey, PermitDispatch, RequestOutcome, RunPermit, Ticket,
+        UnsentRequest,
+    },
     http::Request,
     kernel::ResultCode,
     plat::RowStore,
@@ -48,9 +51,9 @@
 /// What became of a submission here.
 pub(crate) enum LocalEnd {
     /// Its answer. The request comes back when it did not run.
-    Answered(Response, Option<Unsent<TicketRequest>>),
+    Answered(Response, Option<UnsentRequest<TicketRequest>>),
     /// Its ticket is not held here; this life holds it, or may.
-    Elsewhere(Unsent<TicketRequest>, LifeKey),
+    Elsewhere(UnsentRequest<TicketRequest>, IncarnationKey),
 }
 
 impl<S: RowStore + 'static> TicketDoor<S> {
@@ -85,7 +88,7 @@
     pub(crate) async fn submit_here(
         &self,
         ticket: &Ticket,
-        unsent: Unsent<TicketRequest>,
+        unsent: UnsentRequest<TicketRequest>,
     ) -> LocalEnd {
         let digest = unsent.as_request().digest();
         let end = time::Instant::now() + ATTACH_LIMIT;
@@ -110,8 +113,8 @@
     pub(crate) async fn submit(
         &self,
         ticket: &Ticket,
-        unsent: Unsent<TicketRequest>,
-    ) -> (Response, Option<Unsent<TicketRequest>>) {
+        unsent: UnsentRequest<TicketRequest>,
+    ) -> (Response, Option<UnsentRequest<TicketRequest>>) {
         let mut unsent = unsent;
         for _ in 0..FORWARD_LIMIT {
             let (back, life) = match self.submit_here(ticket, unsent).await {
@@ -151,15 +154,19 @@
     }
 
     /// Runs a request under its permit.
-    pub(crate) async fn run(&self, permit: RunPermit, unsent: Unsent<TicketRequest>) -> LocalEnd {
+    pub(crate) async fn run(
+        &self,
+        permit: RunPermit,
+        unsent: UnsentRequest<TicketRequest>,
+    ) -> LocalEnd {
         let run_by = permit.deadline();
         match permit.dispatch(Instant::now(), unsent) {
-            PermitDispatch::Begun { request, run, sent } => {
+            PermitDispatch::Started { request, run, sent } => {
                 let guard = RunGuard::new(self.desk.clone(), run, sent);
                 let response = self.run_handler(request.into_http(run_by)).await;
                 LocalEnd::Answered(guard.settle(response), None)
             }
-            PermitDispatch::Late { permit, unsent } => {
+            PermitDispatch::Expired { permit, unsent } => {
                 let code = ResultCode::TicketExpired;
                 self.desk.refuse(permit, unsent, code);
                 LocalEnd::Answered(ErrorAnswer::of(code).into_response(), None)
@@ -169,9 +176,9 @@
 
     async fn forward(
         &self,
-        life: &LifeKey,
+        life: &IncarnationKey,
         ticket: &Ticket,
-        unsent: Unsent<TicketRequest>,
+        unsent: UnsentRequest<TicketRequest>,
         pass: Option<GatePass>,
     ) -> ForwardEnd {
         forward(&self.peers.endpoint, life, ticket, unsent, pass).await
@@ -180,7 +187,7 @@
     async fn handle_ticket(&self, ticket: &Ticket, request: Request<Body>) -> Response {
         match TicketRequest::read(request, self.limit).await {
             Ok(request) => {
-                let unsent = Unsent::from_caller(request);
+                let unsent = UnsentRequest::from_caller(request);
                 self.submit(ticket, unsent).await.0
             }
             Err(answer) => answer.into_response(),
@@ -204,7 +211,10 @@
 }
 
 /// The answer to a repeated submission.
-fn decided(outcome: RequestOutcome<TicketAnswer>, unsent: Unsent<TicketRequest>) -> LocalEnd {
+fn decided(
+    outcome: RequestOutcome<TicketAnswer>,
+    unsent: UnsentRequest<TicketRequest>,
+) -> LocalEnd {
     let code = outcome.code();
     match outcome {
         RequestOutcome::Answered(answer) => LocalEnd::Answered(answer.into_response(), None),
--- a/crates/door/src/ticket_forward.rs
+++ b/crates/door/src/ticket_forward.rs
@@ -16,7 +16,7 @@
         response::{IntoResponse, Response},
     },
     bytes::Bytes,
-    claim::{LifeKey, OriginReply, Sent, Ticket, UndoneDispatch, Unsent},
+    claim::{IncarnationKey, NotRunEvidence, OriginReply, SentRequest, Ticket, UnsentRequest},
     futures_util::stream,
     kernel::ResultCode,
     peer::{PeerEndpoint, PeerError, SessionReceiver, SessionSender, peer_error::LostSnafu},
@@ -29,13 +29,13 @@
 /// What passing a request on came to.
 pub(crate) enum ForwardEnd {
     /// The origin's answer. The request comes back when the origin said that it did not run.
-    Answered(Response, Option<Unsent<TicketRequest>>),
+    Answered(Response, Option<UnsentRequest<TicketRequest>>),
     /// The tickets are not held there, but by the named life, if that is known.
-    Elsewhere(Unsent<TicketRequest>, Option<LifeKey>),
+    Elsewhere(UnsentRequest<TicketRequest>, Option<IncarnationKey>),
     /// It left this instance, and no answer came.
     Lost(Response),
     /// It never left this instance.
-    Unreachable(Unsent<TicketRequest>),
+    Unreachable(UnsentRequest<TicketRequest>),
 }
 
 /// A session on which an answer comes back. Dropping it tells the origin that the caller is gone.
@@ -48,9 +48,9 @@
 /// Passes a request on to `holder`, which holds the life of `ticket`.
 pub(crate) async fn forward(
     endpoint: &PeerEndpoint,
-    holder: &LifeKey,
+    holder: &IncarnationKey,
     ticket: &Ticket,
-    unsent: Unsent<TicketRequest>,
+    unsent: UnsentRequest<TicketRequest>,
     pass: Option<GatePass>,
 ) -> ForwardEnd {
     let session = endpoint.open_session(&holder.instance, TICKET_TAG).await;
@@ -72,7 +72,7 @@
     match frame.tag {
         ELSEWHERE_FRAME => {
             let reply: Option<ElsewhereReply> = read_value(&frame.body);
-            let unsent = sent.undone(UndoneDispatch::not_held(), request);
+            let unsent = sent.into_unsent(NotRunEvidence::not_held(), request);
             ForwardEnd::Elsewhere(unsent, reply.and_then(|reply| reply.holder))
         }
         HEAD_FRAME => match read_value(&frame.body) {
@@ -92,10 +92,10 @@
 }
 
 /// The request is unsent again when its origin said that it did not run, and never will by its ticket.
-fn answered(response: Response, sent: Sent, request: TicketRequest) -> ForwardEnd {
+fn answered(response: Response, sent: SentRequest, request: TicketRequest) -> ForwardEnd {
     let reply = reply_of(&response);
-    let unsent = match UndoneDispatch::from_origin(&reply) {
-        Some(evidence) => Some(sent.undone(evidence, request)),
+    let unsent = match NotRunEvidence::from_origin(&reply) {
+        Some(evidence) => Some(sent.into_unsent(evidence, request)),
         None => {
             let _ = sent.relay(reply);
             None
@@ -104,7 +104,7 @@
     ForwardEnd::Answered(response, unsent)
 }
 
-fn lost(sent: Sent) -> ForwardEnd {
+fn lost(sent: SentRequest) -> ForwardEnd {
     let outcome = sent.unknown::<()>(ResultCode::OriginGone);
     debug_assert_eq!(outcome.code(), ResultCode::OriginGone);
     ForwardEnd::Lost(origin_gone(
--- a/crates/door/src/ticket_frame.rs
+++ b/crates/door/src/ticket_frame.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::ticket_answer::TicketAnswer,
-    claim::{HandOverReply, LifeKey, Ticket},
+    claim::{HandOverReply, IncarnationKey, Ticket},
     peer::{PeerError, ProtocolTag, SessionReceiver, SessionSender, wire},
     serde::{Deserialize, Serialize, de::DeserializeOwned},
     std::sync::Arc,
@@ -54,13 +54,13 @@
 /// The answer of an instance that does not hold a ticket.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ElsewhereReply {
-    pub(crate) holder: Option<LifeKey>,
+    pub(crate) holder: Option<IncarnationKey>,
 }
 
 /// The answer to a hand-over, by the life that gives it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct HandOverAnswer {
-    pub(crate) from: LifeKey,
+    pub(crate) from: IncarnationKey,
     pub(crate) reply: HandOverReply,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum TicketQuery {
     /// Which life holds the tickets of this one.
-    Holder(LifeKey),
+    Holder(IncarnationKey),
     /// Which life answers here.
     Life,
 }
@@ -76,8 +76,8 @@
 /// Tells of lives that were handed over, and to whom.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct SuccessorNotice {
-    pub(crate) lives: Vec<LifeKey>,
-    pub(crate) successor: LifeKey,
+    pub(crate) lives: Vec<IncarnationKey>,
+    pub(crate) successor: IncarnationKey,
 }
 
 /// Sends a body in pieces, and its end.
--- a/crates/door/src/ticket_host.rs
+++ b/crates/door/src/ticket_host.rs
@@ -14,7 +14,7 @@
         ticket_request::TicketRequest,
     },
     axum::{body::Body, response::Response},
-    claim::{HandOverReply, LifeKey, Ticket, Unsent},
+    claim::{HandOverReply, IncarnationKey, Ticket, UnsentRequest},
     http_body_util::BodyExt,
     kernel::WorkerPool,
     peer::{PeerIncoming, SessionReceiver, SessionSender, wire},
@@ -88,7 +88,7 @@
             return;
         };
         self.desk.metrics.count(ticket_happening::SERVED);
-        let unsent = Unsent::from_caller(request);
+        let unsent = UnsentRequest::from_caller(request);
         // After its request the peer says nothing more: any word, or the end, means that its caller is gone.
         let gone = receiver.receive();
         let answering = self.answer_peer(&ticket, unsent, sender);
@@ -101,7 +101,7 @@
     async fn answer_peer(
         &self,
         ticket: &Ticket,
-        unsent: Unsent<TicketRequest>,
+        unsent: UnsentRequest<TicketRequest>,
         sender: &mut SessionSender,
     ) {
         match self.submit_here(ticket, unsent).await {
@@ -141,7 +141,8 @@
         let Some(message) = read_value::<TicketHandOver>(&content) else {
             return;
         };
-        let lives: Vec<LifeKey> = message.lives.iter().map(|life| life.life.clone()).collect();
+        let lives: Vec<IncarnationKey> =
+            message.lives.iter().map(|life| life.life.clone()).collect();
         let reply = self.desk.accept(message);
         if reply == HandOverReply::Accepted {
             tracing::info!(lives = lives.len(), "tickets are taken over");
@@ -154,7 +155,7 @@
 }
 
 impl TicketDesk {
-    fn answer(&self, query: &TicketQuery) -> Option<LifeKey> {
+    fn answer(&self, query: &TicketQuery) -> Option<IncarnationKey> {
         match query {
             TicketQuery::Holder(life) => self.holder(life),
             TicketQuery::Life => self.is_open().then(|| self.life.clone()),
--- a/crates/door/src/ticket_key.rs
+++ b/crates/door/src/ticket_key.rs
@@ -13,8 +13,8 @@
         response::{IntoResponse, Response},
     },
     claim::{
-        ClaimEvent, ClaimRecord, ClaimVerdict, ClockReading, KeyedClaim, RunPermit, Ticket, Unsent,
-        claim_key,
+        ClaimEvent, ClaimRecord, ClaimVerdict, ClockReading, KeyedClaim, RunPermit, Ticket,
+        UnsentRequest, claim_key,
     },
     http::Request,
     kernel::ResultCode,
@@ -45,7 +45,7 @@
             Ok(request) => request,
             Err(answer) => return answer.into_response(),
         };
-        let unsent = Unsent::from_caller(request);
+        let unsent = UnsentRequest::from_caller(request);
         self.desk.metrics.count(ticket_happening::KEYED);
         match self.claim(key, unsent.as_request()) {
             Ok((claim, permit)) => self.settle(claim, permit, unsent).await,
@@ -83,7 +83,7 @@
         &self,
         mut claim: KeyedClaim,
         mut permit: HeldPermit,
-        mut unsent: Unsent<TicketRequest>,
+        mut unsent: UnsentRequest<TicketRequest>,
     ) -> Response {
         let mut event = ClaimEvent::Start;
         let mut refused = None;
@@ -108,7 +108,11 @@
         refused.unwrap_or_else(|| refusal(ResultCode::PlatformDown))
     }
 
-    async fn run_held(&self, mut held: HeldPermit, unsent: Unsent<TicketRequest>) -> Response {
+    async fn run_held(
+        &self,
+        mut held: HeldPermit,
+        unsent: UnsentRequest<TicketRequest>,
+    ) -> Response {
         let Some(permit) = held.permit.take() else {
             return refusal(ResultCode::Closing);
         };
@@ -122,14 +126,14 @@
     async fn submit_found(
         &self,
         ticket: &Ticket,
-        unsent: Unsent<TicketRequest>,
-    ) -> (Response, Option<Unsent<TicketRequest>>) {
+        unsent: UnsentRequest<TicketRequest>,
+    ) -> (Response, Option<UnsentRequest<TicketRequest>>) {
         self.submit(ticket, unsent).await
     }
 }
 
 impl HeldPermit {
-    fn refuse(&mut self, unsent: Unsent<TicketRequest>, code: ResultCode) {
+    fn refuse(&mut self, unsent: UnsentRequest<TicketRequest>, code: ResultCode) {
         if let Some(permit) = self.permit.take() {
             self.desk.refuse(permit, unsent, code);
         }
--- a/crates/door/src/ticket_mint.rs
+++ b/crates/door/src/ticket_mint.rs
@@ -69,7 +69,7 @@
                 .map_err(|error| ErrorAnswer::of(ResultCode::RequestInvalid).with_detail(error))?,
         };
         let lifetime = body.lifetime.unwrap_or(DEFAULT_LIFETIME);
-        let lifetime = lifetime.clamp(SHORTEST_LIFETIME, self.desk.longest_expiry);
+        let lifetime = lifetime.clamp(SHORTEST_LIFETIME, self.desk.max_expiry);
         let refused = |code| ErrorAnswer::of(code).with_retry_after(MINT_RETRY_AFTER);
         let _pass = self.gate.enter().map_err(refused)?;
         let ticket = self.desk.mint(lifetime).map_err(refused)?;
--- a/crates/door/src/ticket_peers.rs
+++ b/crates/door/src/ticket_peers.rs
@@ -5,7 +5,7 @@
         HAND_OVER_REPLY_FRAME, HandOverAnswer, SuccessorNotice, TICKET_TAG, TicketHandOver,
         TicketQuery, read_value, send_body, send_value,
     },
-    claim::{HandOverReply, LifeKey},
+    claim::{HandOverReply, IncarnationKey},
     futures_util::future::join_all,
     kernel::{InstanceId, ZoneId, seeded_rng},
     peer::{MemberState, PeerDriver, PeerEndpoint, PeerError, ProtocolTag, wire},
@@ -28,7 +28,11 @@
 
 impl TicketPeers {
     /// The life that holds the tickets of `life`, by the word of the instances in its availability zone.
-    pub(crate) async fn find_holder(&self, life: &LifeKey, zone: &ZoneId) -> Option<LifeKey> {
+    pub(crate) async fn find_holder(
+        &self,
+        life: &IncarnationKey,
+        zone: &ZoneId,
+    ) -> Option<IncarnationKey> {
         let query = TicketQuery::Holder(life.clone());
         let names = self.heard_in(zone);
         let asked = names.iter().map(|name| self.ask(name, &query));
@@ -60,7 +64,7 @@
         &self,
         tag: ProtocolTag,
         message: &TicketHandOver,
-    ) -> Option<(LifeKey, HandOverReply)> {
+    ) -> Option<(IncarnationKey, HandOverReply)> {
         let content = wire::encode(message).ok()?;
         let to = &message.successor.instance;
         for _ in 0..HAND_OVER_TRIES {
@@ -74,7 +78,7 @@
     }
 
     /// A life of the same availability zone that answers now: one that takes requests, as far as is known here.
-    pub(crate) async fn successor(&self, zone: &ZoneId) -> Option<LifeKey> {
+    pub(crate) async fn successor(&self, zone: &ZoneId) -> Option<IncarnationKey> {
         let view = self.members.view();
         let own = self.endpoint.instance();
         let mut candidates = Vec::new();
@@ -96,7 +100,7 @@
         None
     }
 
-    async fn ask(&self, instance: &InstanceId, query: &TicketQuery) -> Option<LifeKey> {
+    async fn ask(&self, instance: &InstanceId, query: &TicketQuery) -> Option<IncarnationKey> {
         let query = wire::encode(query).ok()?;
         let answer = self.endpoint.call(instance, TICKET_TAG, &query).await;
         read_value(&answer.ok()?)?
--- a/crates/door/src/ticket_run.rs
+++ b/crates/door/src/ticket_run.rs
@@ -8,7 +8,7 @@
         ticket_frame::ReplyHead,
     },
     axum::{body::Body, response::Response},
-    claim::{RunTicket, Sent, UndoneDispatch, Unsent},
+    claim::{NotRunEvidence, RunTicket, SentRequest, UnsentRequest},
     kernel::ResultCode,
     std::sync::Arc,
 };
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct RunGuard {
     desk: Arc<TicketDesk>,
-    run: Option<(RunTicket, Sent)>,
+    run: Option<(RunTicket, SentRequest)>,
 }
 
 impl RunGuard {
@@ -39,7 +39,7 @@
     }
 
     /// A run that has begun.
-    pub(crate) fn new(desk: Arc<TicketDesk>, run: RunTicket, sent: Sent) -> Self {
+    pub(crate) fn new(desk: Arc<TicketDesk>, run: RunTicket, sent: SentRequest) -> Self {
         Self {
             desk,
             run: Some((run, sent)),
@@ -53,12 +53,12 @@
             let head = ReplyHead::of(&response);
             return response.map(|body| Body::new(KeptBody::new(body, head, self)));
         }
-        let Some(evidence) = UndoneDispatch::from_verdict(code) else {
+        let Some(evidence) = NotRunEvidence::from_verdict(code) else {
             self.lose(code);
             return response;
         };
         if let Some((run, sent)) = self.run.take() {
-            let (permit, unsent): (_, Unsent<()>) = run.undone(sent, evidence, ());
+            let (permit, unsent): (_, UnsentRequest<()>) = run.into_unsent(sent, evidence, ());
             self.desk.refuse(permit, unsent, code);
         }
         response
--- a/crates/lease/src/lease_core.rs
+++ b/crates/lease/src/lease_core.rs
@@ -8,7 +8,7 @@
 };
 
 /// Below the first fencing number of a lease.
-const NO_FENCE: FencingToken = 0;
+const NO_TOKEN: FencingToken = 0;
 /// Writes without an answer that are remembered, the youngest ones.
 const PENDING_LIMIT: usize = 8;
 
@@ -79,7 +79,7 @@
     pending: Vec<PendingWrite>,
     phase: LeasePhase,
     settings: LeaseSettings,
-    unsure: bool,
+    needs_read: bool,
     writes: u64,
 }
 
@@ -100,7 +100,7 @@
             pending: Vec::new(),
             phase: LeasePhase::Following(None),
             settings,
-            unsure: false,
+            needs_read: false,
             writes: 0,
         }
     }
@@ -113,7 +113,7 @@
                 self.step_down()
             }
             LeaseEvent::NoAnswer => {
-                self.unsure = true;
+                self.needs_read = true;
                 LeaseAction::Wait
             }
             LeaseEvent::Read(row) => self.on_row(now, row),
@@ -142,10 +142,10 @@
         unchecked_from: Instant,
     ) -> LeaseAction {
         let next = fence.max(self.fence_floor) + 1;
-        self.write_hold(now, version, next, unchecked_from)
+        self.write_lease(now, version, next, unchecked_from)
     }
 
-    fn write_hold(
+    fn write_lease(
         &mut self,
         now: Instant,
         version: u64,
@@ -194,12 +194,12 @@
     /// Holds the lease by a write that took effect.
     fn become_holder(&mut self, pending: PendingWrite) {
         self.pending.clear();
-        self.unsure = false;
+        self.needs_read = false;
         self.phase = LeasePhase::Holding(HeldLease {
             hold: LeaseHold {
                 fence: pending.fence,
                 unchecked_from: pending.unchecked_from,
-                until: pending.sent + self.settings.usable_life(),
+                until: pending.sent + self.settings.usable_duration(),
             },
             renewed: pending.sent,
             version: pending.version,
@@ -219,7 +219,12 @@
     }
 
     /// The row says that another process holds the lease.
-    fn on_other(&mut self, now: Instant, row: &StoredRow, record: &LeaseRecord) -> LeaseAction {
+    fn on_foreign_row(
+        &mut self,
+        now: Instant,
+        row: &StoredRow,
+        record: &LeaseRecord,
+    ) -> LeaseAction {
         let since = match &self.phase {
             LeasePhase::Following(Some(seen)) if seen.version == row.version => seen.since,
             _ => now,
@@ -228,16 +233,16 @@
             since,
             version: row.version,
         }));
-        let ended = since + record.waiting_life();
+        let ended = since + record.takeover_wait();
         if now < ended {
             return LeaseAction::Wait;
         }
-        let unchecked_from = ended + record.waiting_order();
+        let unchecked_from = ended + record.order_wait();
         self.acquire(now, row.version, record.fence, unchecked_from)
     }
 
     /// The row says that this process holds the lease.
-    fn on_own(&mut self, now: Instant, row: &StoredRow, record: &LeaseRecord) -> LeaseAction {
+    fn on_own_row(&mut self, now: Instant, row: &StoredRow, record: &LeaseRecord) -> LeaseAction {
         let written = self
             .pending
             .iter()
@@ -253,14 +258,14 @@
             return self.renew(now);
         }
         // A write that was given up took effect after all. What it waited for is no longer known.
-        let longest = record.waiting_life() + record.waiting_order();
+        let longest = record.takeover_wait() + record.order_wait();
         self.acquire(now, row.version, record.fence, now + longest)
     }
 
     fn on_row(&mut self, now: Instant, row: Option<StoredRow>) -> LeaseAction {
-        self.unsure = false;
+        self.needs_read = false;
         let Some(row) = row else {
-            return self.acquire(now, 0, NO_FENCE, now);
+            return self.acquire(now, 0, NO_TOKEN, now);
         };
         let Some(record) = LeaseRecord::from_value(&row.value) else {
             return self.step_down();
@@ -270,14 +275,14 @@
                 self.phase = LeasePhase::Following(None);
                 self.acquire(now, row.version, record.fence, now)
             }
-            Some(holder) if *holder == self.settings.holder => self.on_own(now, &row, &record),
-            Some(_) => self.on_other(now, &row, &record),
+            Some(holder) if *holder == self.settings.holder => self.on_own_row(now, &row, &record),
+            Some(_) => self.on_foreign_row(now, &row, &record),
         }
     }
 
     fn on_tick(&mut self, now: Instant) -> LeaseAction {
         let holds = matches!(self.phase, LeasePhase::Holding(_));
-        if self.unsure || !holds {
+        if self.needs_read || !holds {
             return LeaseAction::Get(self.settings.key.clone());
         }
         self.renew(now)
@@ -320,7 +325,7 @@
         if now < held.renewed + self.settings.renew_after {
             return LeaseAction::Wait;
         }
-        self.write_hold(now, version, hold.fence, hold.unchecked_from)
+        self.write_lease(now, version, hold.fence, hold.unchecked_from)
     }
 
     fn step_down(&mut self) -> LeaseAction {
--- a/crates/lease/src/lease_keeper.rs
+++ b/crates/lease/src/lease_keeper.rs
@@ -18,7 +18,7 @@
 };
 
 /// Calls to the platform in one beat: a read, a write, and once more of each after a conflict.
-const BEAT_CALLS: usize = 4;
+const MAX_CALLS_PER_TICK: usize = 4;
 
 #[derive(Debug)]
 struct KeeperState {
@@ -26,7 +26,7 @@
     gate: OrderGate,
 }
 
-/// Holds one lease, and sends orders under it. Call [`Self::beat`] from one task only.
+/// Holds one lease, and sends orders under it. Call [`Self::tick`] from one task only.
 #[derive(Debug)]
 pub struct LeaseKeeper<S> {
     state: RankedLock<KeeperState>,
@@ -35,13 +35,13 @@
 
 impl<S: RowStore> LeaseKeeper<S> {
     /// Acquires or renews the lease if it is due; call it a few times in each life.
-    pub async fn beat(&self) {
+    pub async fn tick(&self) {
         self.drive(LeaseEvent::Tick).await;
     }
 
     /// Releases the lease if no order can be at work; otherwise it lapses by itself.
     pub async fn close(self) {
-        if self.state.lock().gate.is_quiet(steady_clock::now()) {
+        if self.state.lock().gate.is_idle(steady_clock::now()) {
             self.drive(LeaseEvent::Release).await;
         }
     }
@@ -104,7 +104,7 @@
 
     async fn drive(&self, first: LeaseEvent) {
         let mut event = first;
-        for _ in 0..BEAT_CALLS {
+        for _ in 0..MAX_CALLS_PER_TICK {
             let action = self.step(event);
             event = match action {
                 LeaseAction::Commit(transaction) => {
--- a/crates/lease/src/lease_record.rs
+++ b/crates/lease/src/lease_record.rs
@@ -1,7 +1,7 @@
 //! What the platform keeps of a lease.
 
 use {
-    crate::clock_drift::stretched,
+    crate::clock_drift::add_drift_margin,
     kernel::FencingToken,
     serde::{Deserialize, Serialize},
     serde_with::{DurationMilliSeconds, serde_as},
@@ -39,12 +39,12 @@
     }
 
     /// How long others wait, by their own clocks, from when they first saw the row unchanged.
-    pub fn waiting_life(&self) -> Duration {
-        stretched(self.life)
+    pub fn takeover_wait(&self) -> Duration {
+        add_drift_margin(self.life)
     }
 
     /// How long after that an order of this holder may still be at work.
-    pub fn waiting_order(&self) -> Duration {
-        stretched(self.longest_order)
+    pub fn order_wait(&self) -> Duration {
+        add_drift_margin(self.longest_order)
     }
 }
--- a/crates/lease/src/lease_settings.rs
+++ b/crates/lease/src/lease_settings.rs
@@ -1,7 +1,7 @@
 //! What shapes a lease.
 
 use {
-    crate::clock_drift::shortened,
+    crate::clock_drift::subtract_drift_margin,
     bon::Builder,
     std::{sync::Arc, time::Duration},
 };
@@ -28,7 +28,7 @@
 
 impl LeaseSettings {
     /// How long a holder counts on its lease from before it sent the write.
-    pub fn usable_life(&self) -> Duration {
-        shortened(self.life)
+    pub fn usable_duration(&self) -> Duration {
+        subtract_drift_margin(self.life)
     }
 }
--- a/crates/lease/src/order_gate.rs
+++ b/crates/lease/src/order_gate.rs
@@ -1,7 +1,7 @@
 //! Whether an order may be sent now.
 
 use {
-    crate::{clock_drift::stretched, lease_hold::LeaseHold},
+    crate::{clock_drift::add_drift_margin, lease_hold::LeaseHold},
     kernel::{FencingToken, UpstreamId},
     std::{
         collections::BTreeMap,
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct OrderGate {
     longest_order: Duration,
-    working: BTreeMap<UpstreamId, Instant>,
+    in_flight: BTreeMap<UpstreamId, Instant>,
 }
 
 impl OrderGate {
@@ -42,33 +42,33 @@
         let Some(hold) = hold.filter(|hold| now < hold.until) else {
             return GateVerdict::Lost;
         };
-        let own = self.working.get(upstream).copied();
+        let own = self.in_flight.get(upstream).copied();
         let others = (!checks_fence).then_some(hold.unchecked_from);
-        let free = own.max(others).unwrap_or(now);
-        if now < free {
-            return GateVerdict::Wait(free);
+        let earliest = own.max(others).unwrap_or(now);
+        if now < earliest {
+            return GateVerdict::Wait(earliest);
         }
-        let done = now + stretched(self.longest_order);
-        self.working.insert(upstream.clone(), done);
+        let done = now + add_drift_margin(self.longest_order);
+        self.in_flight.insert(upstream.clone(), done);
         GateVerdict::Send(hold.fence)
     }
 
     /// Whether no order of this process can be at work.
-    pub fn is_quiet(&self, now: Instant) -> bool {
-        self.working.values().all(|done| *done <= now)
+    pub fn is_idle(&self, now: Instant) -> bool {
+        self.in_flight.values().all(|done| *done <= now)
     }
 
     /// A gate for orders that take `longest_order` at most from their sending to their last effect.
     pub fn new(longest_order: Duration) -> Self {
         Self {
             longest_order,
-            working: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
         }
     }
 
     /// An upstream answered: its order is done, or was refused. An order without an answer counts as at work for
     /// the longest time.
     pub fn on_answer(&mut self, upstream: &UpstreamId) {
-        self.working.remove(upstream);
+        self.in_flight.remove(upstream);
     }
 }
--- a/crates/lease/src/weight_budget.rs
+++ b/crates/lease/src/weight_budget.rs
@@ -6,9 +6,9 @@
 #[derive(Debug)]
 pub struct WeightBudget {
     burst: f64,
-    left: f64,
+    available: f64,
     rate: f64,
-    then: Instant,
+    updated_at: Instant,
 }
 
 impl WeightBudget {
@@ -16,9 +16,9 @@
     pub fn new(now: Instant, rate: f64, burst: f64) -> Self {
         Self {
             burst,
-            left: burst,
+            available: burst,
             rate,
-            then: now,
+            updated_at: now,
         }
     }
 
@@ -28,16 +28,16 @@
     ///
     /// # Errors
     ///
-    /// How long to wait when there is too little left; nothing is spent then.
+    /// How long to wait when there is too little available; nothing is spent updated_at.
     pub fn spend(&mut self, now: Instant, bytes: f64) -> Result<(), Duration> {
-        let passed = now.saturating_duration_since(self.then);
-        self.then = self.then.max(now);
-        self.left = (self.left + passed.as_secs_f64() * self.rate).min(self.burst);
-        let missing = bytes.min(self.burst) - self.left;
+        let passed = now.saturating_duration_since(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        self.available = (self.available + passed.as_secs_f64() * self.rate).min(self.burst);
+        let missing = bytes.min(self.burst) - self.available;
         if missing > 0.0 {
             return Err(Duration::from_secs_f64(missing / self.rate));
         }
-        self.left -= bytes;
+        self.available -= bytes;
         Ok(())
     }
 }
--- a/crates/lease/tests/lease_keeper.rs
+++ b/crates/lease/tests/lease_keeper.rs
@@ -61,8 +61,8 @@
 async fn the_first_holds_and_the_second_follows() {
     let test = Test::new(&[]);
     let (first, second) = (test.keeper("one"), test.keeper("two"));
-    first.beat().await;
-    second.beat().await;
+    first.tick().await;
+    second.tick().await;
     assert_eq!(first.hold().map(|hold| hold.fence), Some(1));
     assert_eq!(second.hold(), None);
     assert_eq!(order(&first, OrderReply::Done, false).await, Ok(true));
@@ -74,9 +74,9 @@
 async fn a_write_whose_reply_was_lost_is_recognised() {
     let test = Test::new(&[CallFault::None, CallFault::LostReply]);
     let keeper = test.keeper("one");
-    keeper.beat().await;
+    keeper.tick().await;
     assert_eq!(keeper.hold(), None);
-    keeper.beat().await;
+    keeper.tick().await;
     assert_eq!(keeper.hold().map(|hold| hold.fence), Some(1));
     assert_eq!(test.record().write, 1);
 }
@@ -85,11 +85,11 @@
 async fn a_released_lease_goes_on_with_a_greater_fence() {
     let test = Test::new(&[]);
     let first = test.keeper("one");
-    first.beat().await;
+    first.tick().await;
     first.close().await;
     assert_eq!(test.record().holder, None);
     let second = test.keeper("two");
-    second.beat().await;
+    second.tick().await;
     assert_eq!(second.hold().map(|hold| hold.fence), Some(2));
     assert_eq!(order(&second, OrderReply::Done, false).await, Ok(true));
 }
@@ -98,7 +98,7 @@
 async fn a_lease_with_an_order_at_work_is_not_released() {
     let test = Test::new(&[]);
     let first = test.keeper("one");
-    first.beat().await;
+    first.tick().await;
     let unknown = order(&first, OrderReply::Unknown, false).await;
     assert!(matches!(unknown, Err(LeaseError::OutcomeUnknown { .. })));
     let early = order(&first, OrderReply::Done, true).await;
@@ -111,14 +111,14 @@
 async fn a_fenced_holder_steps_down_and_comes_back_above() {
     let test = Test::new(&[]);
     let keeper = test.keeper("one");
-    keeper.beat().await;
+    keeper.tick().await;
     let fenced = order(&keeper, OrderReply::Fenced(9), true).await;
     assert!(matches!(
         fenced,
         Err(LeaseError::FenceRefused { seen: 9, .. })
     ));
     assert_eq!(keeper.hold(), None);
-    keeper.beat().await;
+    keeper.tick().await;
     assert_eq!(keeper.hold().map(|hold| hold.fence), Some(10));
 }
 
@@ -128,8 +128,8 @@
     faults.extend([CallFault::LostCall; 4]);
     let test = Test::new(&faults);
     let keeper = test.keeper("one");
-    keeper.beat().await;
-    keeper.beat().await;
+    keeper.tick().await;
+    keeper.tick().await;
     assert_eq!(keeper.hold().map(|hold| hold.fence), Some(1));
     assert_eq!(order(&keeper, OrderReply::Done, true).await, Ok(true));
 }
--- a/crates/lease/tests/support/lease_world.rs
+++ b/crates/lease/tests/support/lease_world.rs
@@ -144,7 +144,7 @@
             } => self.order(process, checks_fence, answered, works_ms),
             LeaseStep::Release(process) => {
                 let now = self.clock(process);
-                if self.processes[process].gate.is_quiet(now) {
+                if self.processes[process].gate.is_idle(now) {
                     self.hear(process, LeaseEvent::Release, CallFate::Done);
                 }
             }
--- a/crates/plat/src/budget_platform.rs
+++ b/crates/plat/src/budget_platform.rs
@@ -21,7 +21,7 @@
 };
 
 /// How long a call may wait for its turn; after it the call is refused without having been sent.
-pub const DEFER_LIMIT: Duration = Duration::from_secs(1);
+pub const DEFER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A client whose calls wait while they are over the budget. Clones share the budget.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
 
     /// Waits for the call's turn.
     async fn admit(&self, kind: CallKind) -> Result<(), PlatError> {
-        let end = Instant::now() + DEFER_LIMIT;
+        let end = Instant::now() + DEFER_TIMEOUT;
         let mut is_counted = false;
         loop {
             let now = Instant::now();
--- a/crates/plat/src/open_tries.rs
+++ b/crates/plat/src/edit_attempts.rs
@@ -1,4 +1,4 @@
-//! The tries of one write to the platform.
+//! The attempts of one write to the platform.
 
 use {
     crate::{edit_origin::EditOrigin, plat_error::PlatError},
@@ -6,18 +6,18 @@
     table::TableMerge,
 };
 
-/// The tries of one edit whose replies were lost.
+/// The attempts of one edit whose replies were lost.
 #[derive(Default)]
-pub(crate) struct OpenTries {
+pub(crate) struct EditAttempts {
     pub(crate) last_error: Option<String>,
-    pub(crate) losses: u32,
+    pub(crate) lost_replies: u32,
     pub(crate) merge: Option<TableMerge>,
-    pub(crate) tries: u32,
+    pub(crate) count: u32,
     pub(crate) versions: Vec<TableVersion>,
 }
 
-impl OpenTries {
-    /// The error to report: a plain one says that nothing was done, which open tries can't promise.
+impl EditAttempts {
+    /// The error to report: a plain one says that nothing was done, which open attempts can't promise.
     pub(crate) fn close(self, error: PlatError, origin: &EditOrigin) -> PlatError {
         if self.versions.is_empty() {
             return error;
@@ -33,14 +33,14 @@
             Some(detail) => PlatError::Unreachable { detail },
             None => PlatError::Overtaken {
                 edit: origin.id.clone(),
-                tries: self.tries,
+                attempts: self.count,
             },
         };
         self.close(error, origin)
     }
 
-    pub(crate) fn note_loss(&mut self, error: &PlatError) {
+    pub(crate) fn record_lost_reply(&mut self, error: &PlatError) {
         self.last_error = Some(error.to_string());
-        self.losses += 1;
+        self.lost_replies += 1;
     }
 }
--- a/crates/plat/src/http_platform.rs
+++ b/crates/plat/src/http_platform.rs
@@ -20,13 +20,13 @@
 };
 
 /// The largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// How long a call may take, connecting included, unless the builder says otherwise.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a connection is kept for the next call.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The characters of a key that stand for themselves in a path or a query.
-const KEY_MARKS: AsciiSet = NON_ALPHANUMERIC
+const KEY_ESCAPE_SET: AsciiSet = NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
@@ -71,7 +71,12 @@
         })
     }
 
-    async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, PlatError> {
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<HttpResponse, PlatError> {
         let request = Request::builder()
             .method(method)
             .uri(format!("{}{path}", self.address))
@@ -86,14 +91,14 @@
         answer
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, PlatError> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, PlatError> {
         let response = self.client.request(request).await;
         let response = response.map_err(|error| unreachable(&error))?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_LIMIT);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = body.collect().await;
         let body = body.map_err(|error| unreachable(&*error))?;
-        Ok(Answer {
+        Ok(HttpResponse {
             body: body.to_bytes(),
             status,
         })
@@ -169,7 +174,7 @@
     }
 }
 
-struct Answer {
+struct HttpResponse {
     body: Bytes,
     status: StatusCode,
 }
@@ -196,7 +201,7 @@
 }
 
 fn encode(key: &str) -> String {
-    utf8_percent_encode(key, &KEY_MARKS).to_string()
+    utf8_percent_encode(key, &KEY_ESCAPE_SET).to_string()
 }
 
 fn garbled(error: &dyn Error) -> PlatError {
--- a/crates/plat/src/keyed_rows.rs
+++ b/crates/plat/src/keyed_rows.rs
@@ -6,7 +6,7 @@
 };
 
 /// How often an insert is tried when its reply is lost.
-const INSERT_TRIES: u32 = 3;
+const MAX_INSERT_ATTEMPTS: u32 = 3;
 
 /// What became of a conditional insert.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -39,11 +39,11 @@
         }],
     };
     let mut last = None;
-    for _ in 0..INSERT_TRIES {
+    for _ in 0..MAX_INSERT_ATTEMPTS {
         match store.commit(&transaction).await {
             Ok(TransactionReply::Committed) => return Ok(InsertOutcome::Inserted),
-            Ok(TransactionReply::Conflict { rows }) => return judge(rows, key, value),
-            Err(error) if error.leaves_open() => last = Some(error),
+            Ok(TransactionReply::Conflict { rows }) => return classify_conflict(rows, key, value),
+            Err(error) if error.is_outcome_unknown() => last = Some(error),
             Err(error) => return Err(error),
         }
     }
@@ -52,7 +52,11 @@
     }))
 }
 
-fn judge(rows: Vec<StoredRow>, key: &str, value: &str) -> Result<InsertOutcome, PlatError> {
+fn classify_conflict(
+    rows: Vec<StoredRow>,
+    key: &str,
+    value: &str,
+) -> Result<InsertOutcome, PlatError> {
     for row in rows {
         if &*row.key != key {
             continue;
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod budget_platform;
 pub mod call_budget;
+mod edit_attempts;
 pub mod edit_origin;
 pub mod edit_record;
 pub mod edit_request;
@@ -14,7 +15,6 @@
 pub mod instance_record;
 pub mod keyed_rows;
 pub mod object_store;
-mod open_tries;
 pub mod plat_error;
 pub mod poll_plan;
 pub mod row_store;
--- a/crates/plat/src/plat_error.rs
+++ b/crates/plat/src/plat_error.rs
@@ -76,12 +76,12 @@
         kind: CallKind,
     },
     /// Other edits came first at every try.
-    #[snafu(display("edit {edit} was overtaken by others {tries} times and is not done"))]
+    #[snafu(display("edit {edit} was overtaken by others {attempts} times and is not done"))]
     Overtaken {
         /// The edit's id.
         edit: Arc<str>,
-        /// The tries.
-        tries: u32,
+        /// The attempts.
+        attempts: u32,
     },
     /// No answer came: a write may have taken effect.
     #[snafu(display("the platform can't be reached: {detail}"))]
@@ -93,7 +93,7 @@
 
 impl PlatError {
     /// Whether a write may have taken effect all the same.
-    pub fn leaves_open(&self) -> bool {
+    pub fn is_outcome_unknown(&self) -> bool {
         matches!(
             self,
             Self::Garbled { .. } | Self::OutcomeUnknown { .. } | Self::Unreachable { .. }
--- a/crates/plat/src/poll_plan.rs
+++ b/crates/plat/src/poll_plan.rs
@@ -12,13 +12,13 @@
 pub struct PollSettings {
     /// The longest pause after failures.
     #[builder(default = Duration::from_secs(30))]
-    pub backoff_limit: Duration,
+    pub max_backoff: Duration,
     /// The pause between two polls that succeed, before jitter.
     #[builder(default = Duration::from_secs(1))]
     pub interval: Duration,
     /// How long a poll may take before it counts as failed.
     #[builder(default = Duration::from_secs(5))]
-    pub poll_limit: Duration,
+    pub poll_timeout: Duration,
     /// How many instances of an availability zone poll.
     #[builder(default = 2)]
     pub pollers: usize,
@@ -98,7 +98,7 @@
 
     fn advance(&mut self, now: Instant, actions: &mut Vec<PollAction>) {
         if let Some(started) = self.started {
-            let limit = started + self.settings.poll_limit;
+            let limit = started + self.settings.poll_timeout;
             if now < limit {
                 actions.push(PollAction::WakeAt(limit));
                 return;
@@ -114,7 +114,7 @@
         }
         self.started = Some(now);
         actions.push(PollAction::Poll);
-        actions.push(PollAction::WakeAt(now + self.settings.poll_limit));
+        actions.push(PollAction::WakeAt(now + self.settings.poll_timeout));
     }
 
     /// An even draw from half of a pause to the whole.
@@ -132,7 +132,7 @@
         };
         let factor = 2_u32.saturating_pow(self.failures);
         let pause = self.settings.interval.saturating_mul(factor);
-        let limit = self.settings.backoff_limit.max(self.settings.interval);
+        let limit = self.settings.max_backoff.max(self.settings.interval);
         self.next = now + self.jitter(pause.min(limit));
     }
 
--- a/crates/plat/src/stored_table.rs
+++ b/crates/plat/src/stored_table.rs
@@ -46,18 +46,18 @@
     rows: &[StoredRow],
 ) -> Result<TableSnapshot, PlatError> {
     let head: Option<HeadRow> = head_row.map(decode_row).transpose()?;
-    let mut row_counts = BTreeMap::new();
+    let mut row_versions = BTreeMap::new();
     let mut stamped = BTreeMap::new();
     for row in rows {
         let work: WorkId = row.key.trim_start_matches(ROW_PREFIX).into();
-        row_counts.insert(work.clone(), row.version);
+        row_versions.insert(work.clone(), row.version);
         stamped.insert(work, decode_row(row)?);
     }
     let version = head.as_ref().map_or(0, |head| head.version);
     Ok(TableSnapshot {
         head,
-        head_count: head_row.map_or(0, |row| row.version),
-        row_counts,
+        head_row_version: head_row.map_or(0, |row| row.version),
+        row_versions,
         table: StampedTable::from_rows(version, stamped),
     })
 }
--- a/crates/plat/src/table_repository.rs
+++ b/crates/plat/src/table_repository.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
+        edit_attempts::EditAttempts,
         edit_origin::EditOrigin,
         edit_record::EditRecord,
         edit_request::{EditOutcome, EditRequest},
         head_row::HeadRow,
-        open_tries::OpenTries,
         plat_error::PlatError,
         row_store::{RowStore, Transaction, TransactionReply},
         stored_table::{decode_row, matches, read_snapshot, undo},
@@ -20,22 +20,22 @@
 };
 
 /// How often a snapshot is read again when an edit came between its two reads.
-const SNAPSHOT_TRIES: u32 = 8;
+const MAX_SNAPSHOT_READS: u32 = 8;
 /// How often a write is tried when replies are lost.
-const LOSS_TRIES: u32 = 8;
+const MAX_LOST_REPLIES: u32 = 8;
 /// How often a write is tried when others come first.
-const WRITE_TRIES: u32 = 64;
+const MAX_WRITE_ATTEMPTS: u32 = 64;
 /// The most edits that a file may be behind.
-const HISTORY_LIMIT: usize = 10_000;
+const MAX_FILE_LAG: usize = 10_000;
 /// The most edits that a patch is gathered from.
-const PATCH_LIMIT: usize = 32;
+const MAX_PATCH_EDITS: usize = 32;
 /// The pause after a lost reply; the n-th pause is n times as long.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(100);
+pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Reads and edits the table through any [`RowStore`].
 #[derive(Clone, Debug)]
 pub struct TableRepository<S> {
-    pause: Duration,
+    retry_delay: Duration,
     store: S,
 }
 
@@ -49,17 +49,17 @@
     /// again is safe. [`PlatError::BaseUnknown`] and its kin when the file's version can't be found. Any other error
     /// says that nothing was done.
     pub async fn commit_edit(&self, edit: &EditRequest) -> Result<EditOutcome, PlatError> {
-        let mut open = OpenTries::default();
-        while open.tries < WRITE_TRIES && open.losses < LOSS_TRIES {
-            self.pause_before(&mut open).await;
-            match self.try_edit(edit, &mut open).await {
+        let mut attempts = EditAttempts::default();
+        while attempts.count < MAX_WRITE_ATTEMPTS && attempts.lost_replies < MAX_LOST_REPLIES {
+            self.delay_before(&mut attempts).await;
+            match self.try_edit(edit, &mut attempts).await {
                 Ok(Some(outcome)) => return Ok(outcome),
                 Ok(None) => {}
-                Err(error) if error.leaves_open() => open.note_loss(&error),
-                Err(error) => return Err(open.close(error, &edit.origin)),
+                Err(error) if error.is_outcome_unknown() => attempts.record_lost_reply(&error),
+                Err(error) => return Err(attempts.close(error, &edit.origin)),
             }
         }
-        Err(open.into_error(&edit.origin))
+        Err(attempts.into_error(&edit.origin))
     }
 
     /// The head row; none before the first edit.
@@ -91,7 +91,7 @@
     /// A repository over a store.
     pub fn new(store: S) -> Self {
         Self {
-            pause: RETRY_PAUSE,
+            retry_delay: RETRY_DELAY,
             store,
         }
     }
@@ -137,17 +137,17 @@
         held: &StampedTable,
         origin: &EditOrigin,
     ) -> Result<TableVersion, PlatError> {
-        let mut open = OpenTries::default();
-        while open.tries < WRITE_TRIES && open.losses < LOSS_TRIES {
-            self.pause_before(&mut open).await;
-            match self.try_restore(held, origin, &mut open).await {
+        let mut attempts = EditAttempts::default();
+        while attempts.count < MAX_WRITE_ATTEMPTS && attempts.lost_replies < MAX_LOST_REPLIES {
+            self.delay_before(&mut attempts).await;
+            match self.try_restore(held, origin, &mut attempts).await {
                 Ok(Some(version)) => return Ok(version),
                 Ok(None) => {}
-                Err(error) if error.leaves_open() => open.note_loss(&error),
-                Err(error) => return Err(open.close(error, origin)),
+                Err(error) if error.is_outcome_unknown() => attempts.record_lost_reply(&error),
+                Err(error) => return Err(attempts.close(error, origin)),
             }
         }
-        Err(open.into_error(origin))
+        Err(attempts.into_error(origin))
     }
 
     /// The rows at the version that a file was taken from, by undoing the edits since.
@@ -163,7 +163,7 @@
     ) -> Result<BTreeMap<WorkId, WorkRow>, PlatError> {
         let mut rows = snapshot.table.live_rows();
         let mut version = snapshot.version();
-        for _ in 0..HISTORY_LIMIT {
+        for _ in 0..MAX_FILE_LAG {
             if matches(base, version, &rows) {
                 return Ok(rows);
             }
@@ -189,7 +189,7 @@
     /// [`PlatError::Inconsistent`] when they never do, or a read's own error.
     pub async fn snapshot(&self) -> Result<TableSnapshot, PlatError> {
         let mut version = 0;
-        for _ in 0..SNAPSHOT_TRIES {
+        for _ in 0..MAX_SNAPSHOT_READS {
             let head_row = self.store.get(HEAD_KEY).await?;
             let rows = self.store.scan(ROW_PREFIX).await?;
             let snapshot = read_snapshot(head_row.as_ref(), &rows)?;
@@ -208,8 +208,11 @@
     }
 
     /// The same repository with another pause after a lost reply.
-    pub fn with_pause(self, pause: Duration) -> Self {
-        Self { pause, ..self }
+    pub fn with_retry_delay(self, retry_delay: Duration) -> Self {
+        Self {
+            retry_delay,
+            ..self
+        }
     }
 
     async fn find_record(&self, version: TableVersion) -> Result<Option<EditRecord>, PlatError> {
@@ -218,12 +221,12 @@
     }
 
     /// The version that an earlier try of this edit made after all.
-    async fn find_done(
+    async fn find_committed(
         &self,
         origin: &EditOrigin,
-        open: &OpenTries,
+        attempts: &EditAttempts,
     ) -> Result<Option<TableVersion>, PlatError> {
-        for version in &open.versions {
+        for version in &attempts.versions {
             let record = self.find_record(*version).await?;
             if record.is_some_and(|record| record.id == origin.id) {
                 return Ok(Some(*version));
@@ -232,11 +235,11 @@
         Ok(None)
     }
 
-    async fn pause_before(&self, open: &mut OpenTries) {
-        if open.losses > 0 {
-            tokio::time::sleep(self.pause * open.losses).await;
+    async fn delay_before(&self, attempts: &mut EditAttempts) {
+        if attempts.lost_replies > 0 {
+            tokio::time::sleep(self.retry_delay * attempts.lost_replies).await;
         }
-        open.tries += 1;
+        attempts.count += 1;
     }
 
     /// The rows that the edits after `since` made, up to `version`; none when the log does not lead there.
@@ -246,7 +249,7 @@
         since: TableVersion,
     ) -> Result<Option<BTreeMap<WorkId, StampedRow>>, PlatError> {
         let mut rows = BTreeMap::new();
-        for _ in 0..PATCH_LIMIT {
+        for _ in 0..MAX_PATCH_EDITS {
             if version <= since {
                 return Ok((version == since).then_some(rows));
             }
@@ -275,14 +278,14 @@
         &self,
         transaction: &Transaction,
         version: TableVersion,
-        open: &mut OpenTries,
+        attempts: &mut EditAttempts,
     ) -> Result<bool, PlatError> {
         match self.store.commit(transaction).await {
             Ok(TransactionReply::Committed) => Ok(true),
             Ok(TransactionReply::Conflict { .. }) => Ok(false),
             Err(error) => {
-                if error.leaves_open() {
-                    open.versions.push(version);
+                if error.is_outcome_unknown() {
+                    attempts.versions.push(version);
                 }
                 Err(error)
             }
@@ -292,10 +295,10 @@
     async fn try_edit(
         &self,
         edit: &EditRequest,
-        open: &mut OpenTries,
+        attempts: &mut EditAttempts,
     ) -> Result<Option<EditOutcome>, PlatError> {
-        if let Some(version) = self.find_done(&edit.origin, open).await? {
-            let merge = open.merge.take().unwrap_or_default();
+        if let Some(version) = self.find_committed(&edit.origin, attempts).await? {
+            let merge = attempts.merge.take().unwrap_or_default();
             return Ok(Some(EditOutcome::Committed { merge, version }));
         }
         let snapshot = self.snapshot().await?;
@@ -314,18 +317,18 @@
         table.edit(version, &merge.changes);
         let transaction = TableTransaction::new(&snapshot, &table, version);
         let transaction = transaction.build(&edit.origin, &merge.changes)?;
-        open.merge = Some(merge.clone());
-        let is_done = self.send(&transaction, version, open).await?;
-        Ok(is_done.then_some(EditOutcome::Committed { merge, version }))
+        attempts.merge = Some(merge.clone());
+        let is_committed = self.send(&transaction, version, attempts).await?;
+        Ok(is_committed.then_some(EditOutcome::Committed { merge, version }))
     }
 
     async fn try_restore(
         &self,
         held: &StampedTable,
         origin: &EditOrigin,
-        open: &mut OpenTries,
+        attempts: &mut EditAttempts,
     ) -> Result<Option<TableVersion>, PlatError> {
-        if let Some(version) = self.find_done(origin, open).await? {
+        if let Some(version) = self.find_committed(origin, attempts).await? {
             return Ok(Some(version));
         }
         let snapshot = self.snapshot().await?;
@@ -338,7 +341,7 @@
         let changes = table::diff_rows(&snapshot.table.live_rows(), &table.live_rows());
         let transaction = TableTransaction::new(&snapshot, &table, version);
         let transaction = transaction.write_back().build(origin, &changes)?;
-        let is_done = self.send(&transaction, version, open).await?;
-        Ok(is_done.then_some(version))
+        let is_committed = self.send(&transaction, version, attempts).await?;
+        Ok(is_committed.then_some(version))
     }
 }
--- a/crates/plat/src/table_snapshot.rs
+++ b/crates/plat/src/table_snapshot.rs
@@ -13,9 +13,9 @@
     /// The head row; none before the first edit.
     pub head: Option<HeadRow>,
     /// The store's count of the head row; 0 when it is not there.
-    pub head_count: u64,
+    pub head_row_version: u64,
     /// The store's counts of the rows.
-    pub row_counts: BTreeMap<WorkId, u64>,
+    pub row_versions: BTreeMap<WorkId, u64>,
     /// The table.
     pub table: StampedTable,
 }
--- a/crates/plat/src/table_transaction.rs
+++ b/crates/plat/src/table_transaction.rs
@@ -45,14 +45,14 @@
             edit: origin.id.clone(),
             version: self.version,
         };
-        self.put(HEAD_KEY, self.snapshot.head_count, &head)?;
+        self.put(HEAD_KEY, self.snapshot.head_row_version, &head)?;
         self.put(&edit_key(self.version), 0, &record)?;
         for (work, stamped) in self.table.rows() {
             let stored = self.snapshot.table.rows().get(work);
             if stored.is_some_and(|stored| stored.is_same_edit(stamped)) {
                 continue;
             }
-            let counts = &self.snapshot.row_counts;
+            let counts = &self.snapshot.row_versions;
             let count = counts.get(work).copied().unwrap_or_default();
             self.put(&row_key(work), count, stamped)?;
         }
--- a/crates/plat/tests/budget_platform.rs
+++ b/crates/plat/tests/budget_platform.rs
@@ -68,7 +68,7 @@
     }
     let error = platform.commit(&Transaction::default()).await.unwrap_err();
     assert!(matches!(error, PlatError::OverBudget { .. }), "{error}");
-    assert!(!error.leaves_open());
+    assert!(!error.is_outcome_unknown());
     assert_eq!(calls.count(), BURST);
     assert_eq!(platform.counts().get(CallKind::Write), 1);
 }
--- a/crates/plat/tests/common/mod.rs
+++ b/crates/plat/tests/common/mod.rs
@@ -61,7 +61,7 @@
     }
 
     pub(crate) fn repository(&self) -> TableRepository<Self> {
-        TableRepository::new(self.clone()).with_pause(Duration::ZERO)
+        TableRepository::new(self.clone()).with_retry_delay(Duration::ZERO)
     }
 
     async fn call(&self) -> Result<(), PlatError> {
--- a/crates/plat/tests/http_platform.rs
+++ b/crates/plat/tests/http_platform.rs
@@ -159,7 +159,7 @@
     let address = "http://127.0.0.1:1";
     for (key, open) in [("busy", true), ("garbled", true), ("refused", false)] {
         let error = platform.commit(&write(key)).await.unwrap_err();
-        assert_eq!(error.leaves_open(), open, "{key}: {error}");
+        assert_eq!(error.is_outcome_unknown(), open, "{key}: {error}");
     }
     assert_eq!(shared.lock().unwrap().writes, 3);
     let platform = HttpPlatform::builder().address(address).timeout(quick);
--- a/crates/plat/tests/keyed_rows.rs
+++ b/crates/plat/tests/keyed_rows.rs
@@ -35,7 +35,7 @@
     let error = insert_once(&store, "claims/k", "ticket-1")
         .await
         .unwrap_err();
-    assert!(error.leaves_open());
+    assert!(error.is_outcome_unknown());
     assert_eq!(store.inside().calls, 3);
     let store = MemoryStore::default();
     store.lose(&[Fault::Refuse]);
--- a/crates/relay/src/stage_controller.rs
+++ b/crates/relay/src/stage_controller.rs
@@ -165,7 +165,7 @@
             None => tracing::info!(upstream = %engine.id, "the engine did not report its orders"),
         }
     }
-    lease.beat().await;
+    lease.tick().await;
     if lease.hold().is_none() {
         tracing::info!(service = %plan.service, "another instance gives the orders");
         return;
--- a/crates/trestlewalk/src/entry/control_tasks.rs
+++ b/crates/trestlewalk/src/entry/control_tasks.rs
@@ -104,7 +104,7 @@
     let identity = &parts.identity;
     let polling = PollSettings::builder()
         .interval(settings.poll)
-        .poll_limit(settings.timeout * 2)
+        .poll_timeout(settings.timeout * 2)
         .seed(identity.incarnation)
         .build();
     let plan = PollPlan::new(
--- a/crates/trestlewalk/src/entry/entry_tickets.rs
+++ b/crates/trestlewalk/src/entry/entry_tickets.rs
@@ -7,7 +7,7 @@
         entry::{EntryParts, EntryPlatform, PathComponents},
         run_error::{MetricsSnafu, TicketsSnafu},
     },
-    claim::{ClaimKeeper, LifeKey, TicketSettings, claim_sweep},
+    claim::{ClaimKeeper, IncarnationKey, TicketSettings, claim_sweep},
     door::{AdmissionGate, TICKET_TAG, TicketDesk, TicketDoor, TicketMetrics},
     kernel::{InstanceId, seeded_rng},
     peer::PeerDriver,
@@ -62,7 +62,7 @@
 
 fn make_desk(parts: &EntryParts) -> Result<TicketDesk, RunError> {
     let identity = &parts.identity;
-    let life = LifeKey {
+    let life = IncarnationKey {
         incarnation: identity.incarnation,
         instance: identity.instance.clone(),
     };
