--- a/crates/claim/src/answer_cache.rs
+++ b/crates/claim/src/answer_cache.rs
@@ -1,11 +1,11 @@
-//! Answers kept for replays, within a limit.
+//! Cache of answers for replays, bounded by size.
 
 use {
     crate::{answer_size::AnswerSize, incarnation_key::IncarnationKey, ticket::TicketSerial},
     std::collections::BTreeMap,
 };
 
-/// Names a ticket among all lives that an instance holds.
+/// Identifies a ticket across all incarnations that an instance holds.
 pub type TicketKey = (IncarnationKey, TicketSerial);
 
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     order: u64,
 }
 
-/// Answers by ticket. The oldest goes first when the limit is reached.
+/// Answers by ticket. The oldest is evicted first when the limit is reached.
 #[derive(Debug)]
 pub struct AnswerCache<A> {
     answers: BTreeMap<TicketKey, CachedAnswer<A>>,
@@ -25,17 +25,17 @@
 }
 
 impl<A: AnswerSize> AnswerCache<A> {
-    /// The bytes of all answers.
+    /// The total size of all cached answers, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The answer of a ticket.
+    /// The cached answer of a ticket.
     pub fn get(&self, key: &TicketKey) -> Option<&A> {
         self.answers.get(key).map(|kept| &kept.answer)
     }
 
-    /// Keeps an answer, and drops the oldest ones while all are larger than the limit.
+    /// Caches an answer, and evicts the oldest ones while the total size is over the limit.
     pub fn insert(&mut self, key: TicketKey, answer: A) {
         self.remove(&key);
         self.bytes += answer.size();
@@ -46,7 +46,7 @@
         self.shrink();
     }
 
-    /// No answers, and the most bytes of all.
+    /// An empty cache with a limit in bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             answers: BTreeMap::new(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Drops a ticket's answer, if there is one.
+    /// Removes the answer of a ticket, if there is one.
     pub fn remove(&mut self, key: &TicketKey) {
         let Some(kept) = self.answers.remove(key) else {
             return;
--- a/crates/claim/src/answer_size.rs
+++ b/crates/claim/src/answer_size.rs
@@ -1,8 +1,8 @@
-//! What an answer has to tell so that it can be kept within a limit.
+//! The size of an answer, for the limit on cached answers.
 
-/// An answer that can be kept for a replay.
+/// An answer that can be cached and replayed.
 pub trait AnswerSize: Clone {
-    /// The bytes that keeping it costs.
+    /// The bytes that the cached answer takes.
     fn size(&self) -> usize;
 }
 
--- a/crates/claim/src/claim_error.rs
+++ b/crates/claim/src/claim_error.rs
@@ -1,8 +1,8 @@
-//! Why a ticket can't be read or minted.
+//! Errors in minting and parsing tickets.
 
 use {snafu::Snafu, std::num::ParseIntError, std::sync::Arc};
 
-/// An error of this crate.
+/// Why a ticket was not minted or parsed.
 #[derive(Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ClaimError {
@@ -12,7 +12,7 @@
         /// The limit.
         limit: usize,
     },
-    /// A name has a character that a ticket can't carry, or none at all.
+    /// A name is empty, too long, or has a character that tickets do not allow.
     #[snafu(display("the ticket's {field} `{name}` has to be 1 to 64 of `a-z A-Z 0-9 . _ -`"))]
     NameInvalid {
         /// Which part of the ticket.
@@ -20,12 +20,12 @@
         /// The name.
         name: Arc<str>,
     },
-    /// A number of a ticket can't be read.
+    /// A numeric part is not hexadecimal.
     #[snafu(display("the ticket's {field} `{text}` is no hexadecimal number: {source}"))]
     NumberInvalid {
         /// Which part of the ticket.
         field: &'static str,
-        /// What the number's parser said.
+        /// The parser's error.
         source: ParseIntError,
         /// The text of the part.
         text: Arc<str>,
@@ -33,15 +33,15 @@
     /// The text has too few or too many parts.
     #[snafu(display("a ticket has {expected} parts with `~` between them, this text has {found}"))]
     PartsWrong {
-        /// How many there have to be.
+        /// The required number of parts.
         expected: usize,
-        /// How many there are.
+        /// The number of parts found.
         found: usize,
     },
-    /// The text starts with something else than the mark of a ticket.
+    /// The text does not start with the ticket prefix.
     #[snafu(display("a ticket starts with `{expected}`, this text with `{found}`"))]
     PrefixWrong {
-        /// The mark.
+        /// The required prefix.
         expected: &'static str,
         /// The first part of the text.
         found: Arc<str>,
--- a/crates/claim/src/claim_keeper.rs
+++ b/crates/claim/src/claim_keeper.rs
@@ -1,4 +1,4 @@
-//! The driver of keyed claims: it talks to the platform for them.
+//! Drives keyed claims against the platform's table service.
 
 use {
     crate::{
@@ -16,13 +16,13 @@
     },
 };
 
-/// Rows watched for their end by requests, and by the sweep.
+/// Rows whose expiry is watched, for requests and for the sweep each.
 const WATCH_LIMIT: usize = 4096;
 
-/// What a submission with a key has to do.
+/// How to handle a submission with an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimVerdict {
-    /// Pass it on to the origin of this ticket.
+    /// Forward it to the origin of this ticket.
     Forward(Ticket),
     /// Refuse it as not run.
     Refuse(ResultCode),
@@ -30,7 +30,7 @@
     Run,
 }
 
-/// Settles keyed claims at the platform.
+/// Resolves keyed claims against the platform.
 #[derive(Debug)]
 pub struct ClaimKeeper<S> {
     store: Arc<S>,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Settles a claim, from [`ClaimEvent::Start`], or from [`ClaimEvent::OriginRefused`] after a forward that was
-    /// refused as not run. It ends after a bounded number of calls to the platform.
+    /// Resolves a claim, from [`ClaimEvent::Start`], or from [`ClaimEvent::OriginRefused`] after a forward that was
+    /// refused as not run. It returns after a bounded number of calls to the platform.
     pub async fn settle(&self, claim: &mut KeyedClaim, first: ClaimEvent) -> ClaimVerdict {
         let mut event = first;
         loop {
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Removes claims that have ended; whether any were due. Only the instance that
-    /// [`is_sweeper`](crate::claim_sweep::is_sweeper) names does this, at a slow beat.
+    /// Removes expired claims; returns whether any were due. Only the instance that
+    /// [`is_sweeper`](crate::claim_sweep::is_sweeper) names does this, at a long interval.
     ///
     /// # Errors
     ///
-    /// The platform's, when it gave no answer. The next sweep goes on from there.
+    /// The platform's error when a call gets no answer. The next sweep continues the work.
     pub async fn sweep(&self) -> Result<bool, PlatError> {
         let epoch = self.store.get(EPOCH_KEY).await?;
         let epoch = epoch.map_or(0, |row| row.version);
--- a/crates/claim/src/claim_record.rs
+++ b/crates/claim/src/claim_record.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps of a claim.
+//! The stored record of a claim.
 
 use {
     crate::{
@@ -13,33 +13,34 @@
     },
 };
 
-/// The grain of the durations in a record: a life is rounded up to it.
+/// The resolution of durations in a record; the lifetime is rounded up to it.
 const RECORD_GRAIN: Duration = Duration::from_millis(1);
 
-/// One claim: the ticket that the key stands for. The ticket is unique, and so names the claim too.
+/// One claim: the ticket that an idempotency key maps to. The ticket is unique, so it also identifies the claim.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRecord {
-    /// The request that made it.
+    /// The digest of the request that made the claim.
     pub digest: RequestDigest,
-    /// When it ends by the wall clock of whoever made it. A hint for when to start watching it, no more.
+    /// When it expires by its maker's wall clock. This is only a hint for when to start watching the row.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub ends: SystemTime,
-    /// How long its maker may dispatch, from before the row was written.
+    /// How long its maker may dispatch, counted from before the row was written.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub life: Duration,
-    /// The ticket.
+    /// The ticket that the request runs under.
     pub ticket: Ticket,
 }
 
 impl ClaimRecord {
-    /// The record from a row's value; none if it can't be read.
+    /// Parses a row's value; `None` if it is malformed.
     pub fn from_value(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 
-    /// The record of a claim whose permit is out already. Read the clock after the ticket was minted and before the
-    /// row is written: then nobody who waits for the record's life from seeing the row ends before the permit does.
+    /// The record of a claim whose permit has been issued. The clock must be read after the ticket was minted and before
+    /// the row is written: then an instance that waits for `life` from when it saw the row never finishes before the
+    /// permit expires.
     pub fn under_permit(
         clock: ClockReading,
         permit: &RunPermit,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The record as a row's value.
+    /// Serialises the record as a row's value.
     pub fn to_value(&self) -> Arc<str> {
         let text = serde_json::to_string(self).unwrap_or_default();
         Arc::from(text)
--- a/crates/claim/src/claim_sweep.rs
+++ b/crates/claim/src/claim_sweep.rs
@@ -1,4 +1,4 @@
-//! Removing claims that have ended.
+//! Removal of expired claims.
 
 use {
     crate::{
@@ -11,16 +11,16 @@
     std::collections::BTreeSet,
 };
 
-/// Rows removed by one sweep: the platform's writes are scarce.
+/// Rows removed by one sweep; writes to the platform are rate limited.
 const SWEEP_BATCH: usize = 32;
 
-/// Whether this instance is the one that sweeps, among the live ones. Two at a time do no harm.
+/// Whether this instance is the sweeper among the live ones. Two concurrent sweepers are harmless.
 pub fn is_sweeper(own: &InstanceId, live: &[InstanceId]) -> bool {
     seeded_rng::rendezvous(CLAIM_PREFIX, live) == Some(own)
 }
 
-/// The removals that are due, in one transaction; none if nothing is due. `epoch` is the version of the
-/// [`EPOCH_KEY`] row, read before `rows`, which are all rows of claims.
+/// The removals that are due, in one transaction; `None` if nothing is due. `epoch` is the version of the
+/// [`EPOCH_KEY`] row, read before `rows`, which must be all claim rows.
 pub fn due_removals(
     clock: ClockReading,
     watch: &mut ClaimWatch,
--- a/crates/claim/src/claim_watch.rs
+++ b/crates/claim/src/claim_watch.rs
@@ -1,4 +1,4 @@
-//! Which claims have ended, judged by this process's monotonic clock.
+//! Detects expired claims by this process's monotonic clock.
 
 use {
     crate::claim_record::ClaimRecord,
@@ -10,11 +10,11 @@
     },
 };
 
-/// Parts in a million by which two monotonic clocks may run apart.
+/// The assumed drift between two monotonic clocks, in parts per million.
 const DRIFT_PPM: u32 = 10_000;
 const MILLION: u32 = 1_000_000;
 
-/// The two clocks of a process, read at one moment.
+/// Both clocks of a process, read at the same moment.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReading {
     /// The monotonic clock.
@@ -30,10 +30,10 @@
     version: u64,
 }
 
-/// Rows of claims that look ended by the wall clock, and since when each is seen unchanged.
+/// Claim rows that have expired by the wall clock, and since when each has been seen unchanged.
 ///
-/// Wall clocks may be wrong, so that a claim counts as ended only after it was seen unchanged for its whole life
-/// from here: its maker saw it earlier, and dispatches nothing after that life by its own monotonic clock.
+/// Wall clocks may be wrong, so a claim counts as expired only after this process has seen it unchanged for its whole
+/// lifetime. Its maker started counting earlier, and dispatches nothing after that lifetime by its own monotonic clock.
 #[derive(Debug)]
 pub struct ClaimWatch {
     limit: usize,
@@ -41,7 +41,7 @@
 }
 
 impl ClaimWatch {
-    /// Whether a claim has been seen unchanged for its whole life.
+    /// Whether a claim has been seen unchanged for its whole lifetime.
     pub fn has_ended(
         &mut self,
         clock: ClockReading,
@@ -56,7 +56,7 @@
         clock.now.saturating_duration_since(since) >= add_drift_margin(record.life)
     }
 
-    /// Watches nothing, and at most `limit` rows.
+    /// An empty watch for at most `limit` rows.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Forgets rows that are no longer there.
+    /// Drops rows for which `exists` is false.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.rows.retain(|key, _| exists(key));
     }
@@ -87,7 +87,7 @@
         now
     }
 
-    /// Drops the row seen last, so that the older ones come to their end.
+    /// Evicts the newest row when the limit is reached, so that older rows still reach their expiry.
     fn evict_newest(&mut self, key: &str) {
         if self.rows.len() < self.limit || self.rows.contains_key(key) {
             return;
@@ -100,7 +100,7 @@
     }
 }
 
-/// The time by this clock in which `duration` has passed by any clock within the drift.
+/// How long to wait by this clock so that `duration` has passed by any clock within the drift.
 fn add_drift_margin(duration: Duration) -> Duration {
     duration + duration * DRIFT_PPM / MILLION
 }
--- a/crates/claim/src/closed_table.rs
+++ b/crates/claim/src/closed_table.rs
@@ -1,4 +1,4 @@
-//! The tickets of an instance that has handed them over.
+//! The ticket table of an instance after its hand-over.
 
 use {
     crate::{
@@ -20,10 +20,10 @@
     std::{collections::BTreeSet, time::Instant},
 };
 
-/// What the successor knows of a run that went on at the hand-over, until it hears how that ended.
+/// The state that the successor records for a run in flight at the hand-over, until its outcome is reported.
 const HANDED_OVER_RUN: TicketState = TicketState::Unknown(ResultCode::OriginGone);
 
-/// What is left of a [`TicketTable`] after its hand-over: it answers, and gives out no permit ever again.
+/// A [`TicketTable`] after its hand-over: it still answers submissions but never issues a permit again.
 #[derive(Debug)]
 pub struct ClosedTable<A> {
     reply: Option<HandOverReply>,
@@ -32,8 +32,8 @@
 }
 
 impl<A: AnswerSize> ClosedTable<A> {
-    /// Answers a hand-over that comes while this instance closes: it takes none, and says so for good, but for a
-    /// copy of one that it took before.
+    /// Answers a hand-over that arrives while this instance closes. It is refused permanently, unless it is a copy of
+    /// one that was accepted before.
     pub fn accept_hand_over(&self, message: &HandOver<A>) -> HandOverReply {
         let taken = message.successor == self.table.life
             && message
@@ -46,22 +46,22 @@
         }
     }
 
-    /// Whether this instance held the tickets of a life, and handed them over.
+    /// Whether this instance held the tickets of an incarnation and handed them over.
     pub fn holds(&self, life: &IncarnationKey) -> bool {
         self.table.holds(life)
     }
 
-    /// Whether the successor said that it holds the tickets.
+    /// Whether the successor has accepted the tickets.
     pub fn is_accepted(&self) -> bool {
         self.reply == Some(HandOverReply::Accepted)
     }
 
-    /// Records the whole answer of a run that was going on at the hand-over.
+    /// Records the complete answer of a run that was in flight at the hand-over.
     pub fn finish(&mut self, run: RunTicket, sent: SentRequest, answer: A) -> RequestOutcome<A> {
         self.table.finish(run, sent, answer)
     }
 
-    /// Records that nobody knows what became of a run that was going on at the hand-over.
+    /// Records an unknown outcome for a run that was in flight at the hand-over.
     pub fn finish_unknown(
         &mut self,
         run: RunTicket,
@@ -71,15 +71,15 @@
         self.table.finish_unknown(run, sent, code)
     }
 
-    /// Hears a reply to the hand-over. Only the named successor's counts: its later life can't know what the
-    /// earlier one did.
+    /// Handles a reply to the hand-over. Only the named successor's reply counts: a later incarnation cannot know what
+    /// the earlier one did.
     pub fn on_reply(&mut self, from: &IncarnationKey, reply: HandOverReply) {
         if *from == self.successor {
             self.reply.get_or_insert(reply);
         }
     }
 
-    /// Refuses a request whose permit was out at the hand-over. The successor never runs it.
+    /// Refuses a request whose permit had been issued at the hand-over. The successor never runs it.
     pub fn refuse<T>(
         &mut self,
         permit: RunPermit,
@@ -89,15 +89,16 @@
         self.table.refuse(permit, unsent, code)
     }
 
-    /// Seals a ticket as refused, as [`TicketTable::mark_refused`] does.
+    /// Records a ticket as refused, like [`TicketTable::mark_refused`].
     pub fn mark_refused(&mut self, permit: RunPermit, code: ResultCode) {
         self.table.mark_refused(permit, code);
     }
 
-    /// Decides on a request that comes with a ticket. `Elsewhere` means: pass it on to [`Self::successor`], and
-    /// answer [`OriginGone`](ResultCode::OriginGone) when that gives no answer. It is never `Run`.
+    /// Decides how to handle a submitted ticket. `Elsewhere` means that the request is forwarded to
+    /// [`Self::successor`], and answered with [`OriginGone`](ResultCode::OriginGone) when that does not answer. The
+    /// verdict is never `Run`.
     ///
-    /// Whether an unused ticket has ended is the successor's to judge, since its clock for the life may be behind.
+    /// Only the successor decides whether an unused ticket has expired, since its clock for the incarnation may be behind.
     pub fn submit(&self, ticket: &Ticket, digest: RequestDigest) -> SubmitVerdict<A> {
         let Some(life) = self.table.lives.get(&ticket.life) else {
             return SubmitVerdict::Elsewhere;
@@ -117,20 +118,20 @@
         }
     }
 
-    /// The records as they are now, for the successor: what ran at the hand-over may have ended since.
+    /// The current records, for the successor: runs in flight at the hand-over may have finished since.
     pub fn final_records(&self, now: Instant) -> HandOver<A> {
         self.table.message(now, self.successor.clone())
     }
 
-    /// Whom the tickets were handed over to.
+    /// The incarnation that the tickets were handed over to.
     pub fn successor(&self) -> &IncarnationKey {
         &self.successor
     }
 }
 
 impl<A: AnswerSize> TicketTable<A> {
-    /// Takes over the tickets of a closing instance, if they are meant for this life. A repeated message changes
-    /// nothing: what ran here since the first stays known.
+    /// Takes over the tickets of a closing instance, if the message names this incarnation. A repeated message changes
+    /// nothing, so runs recorded here since the first copy are kept.
     pub fn accept_hand_over(&mut self, now: Instant, message: HandOver<A>) -> HandOverReply {
         if message.successor != self.life {
             return HandOverReply::Refused;
@@ -139,13 +140,13 @@
             if self.holds(&life.life) {
                 continue;
             }
-            self.take_life(now, life);
+            self.take_incarnation(now, life);
         }
         HandOverReply::Accepted
     }
 
-    /// Gives all tickets to one successor. From here on this instance gives out no permit; send the message, and
-    /// send it again to the same successor, as often as needed.
+    /// Hands all tickets over to one successor. From here on this instance issues no permit. The message may be sent to
+    /// the same successor any number of times.
     pub fn hand_over(
         mut self,
         now: Instant,
@@ -161,7 +162,7 @@
         (message, closed)
     }
 
-    /// Learns how runs ended that went on at their instance when it handed its tickets over. Nothing else changes.
+    /// Records the outcomes of runs that were in flight at their origin at the hand-over. Nothing else changes.
     pub fn record_outcomes(&mut self, message: HandOver<A>) {
         if message.successor != self.life {
             return;
@@ -176,14 +177,14 @@
             return;
         };
         let mut ended = BTreeSet::new();
-        for (serial, told) in message.records {
+        for (serial, reported) in message.records {
             let Some(record) = life.records.get_mut(&serial) else {
                 continue;
             };
-            if record.state != HANDED_OVER_RUN || told.digest != record.digest {
+            if record.state != HANDED_OVER_RUN || reported.digest != record.digest {
                 continue;
             }
-            record.state = told.state;
+            record.state = reported.state;
             ended.insert(serial);
         }
         for (serial, answer) in message.answers {
@@ -196,7 +197,7 @@
     fn message(&self, now: Instant, successor: IncarnationKey) -> HandOver<A> {
         let mut lives = Vec::with_capacity(self.lives.len());
         for (key, life) in &self.lives {
-            lives.push(self.life_message(now, key, life));
+            lives.push(self.incarnation_message(now, key, life));
         }
         HandOver {
             from: self.life.clone(),
@@ -205,7 +206,7 @@
         }
     }
 
-    fn life_message(
+    fn incarnation_message(
         &self,
         now: Instant,
         key: &IncarnationKey,
@@ -229,7 +230,7 @@
         }
     }
 
-    fn take_life(&mut self, now: Instant, message: IncarnationHandOver<A>) {
+    fn take_incarnation(&mut self, now: Instant, message: IncarnationHandOver<A>) {
         let mut life =
             IncarnationTickets::new(now, message.age, message.check_key, message.swept_ms);
         life.records.extend(message.records);
@@ -240,7 +241,7 @@
     }
 }
 
-/// A record as the successor has to take it: what runs at the sender stays the sender's.
+/// A record as sent to the successor. A run in flight at the sender is sent as unknown, because the sender finishes it.
 fn handed_over(record: &TicketRecord) -> TicketRecord {
     let state = match record.state {
         TicketState::Running => HANDED_OVER_RUN,
--- a/crates/claim/src/forward_table.rs
+++ b/crates/claim/src/forward_table.rs
@@ -1,4 +1,4 @@
-//! Where a request with a ticket goes.
+//! Routes requests with a ticket to its origin or successor.
 
 use {
     crate::incarnation_key::IncarnationKey,
@@ -8,14 +8,14 @@
     },
 };
 
-/// Where to pass a request on to.
+/// Where to forward a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ForwardRoute {
-    /// The origin is gone: [`OriginGone`](kernel::ResultCode::OriginGone). Nothing but that is true here.
+    /// Neither the origin nor a successor is live: answer [`OriginGone`](kernel::ResultCode::OriginGone).
     Gone,
-    /// This instance holds the ticket's life.
+    /// This instance holds the tickets of that incarnation.
     Local,
-    /// That life holds it, or may.
+    /// That incarnation holds the ticket, or may hold it.
     Remote(IncarnationKey),
 }
 
@@ -25,7 +25,7 @@
     successor: IncarnationKey,
 }
 
-/// The successors of closed lives, as far as this instance has heard.
+/// The known successors of closed incarnations.
 #[derive(Debug)]
 pub struct ForwardTable {
     retention: Duration,
@@ -33,7 +33,7 @@
 }
 
 impl ForwardTable {
-    /// Learns that a life was handed over. The first word stands: a life has one successor.
+    /// Records the successor of an incarnation. The first report wins, since an incarnation has only one successor.
     pub fn add_successor(&mut self, now: Instant, life: IncarnationKey, successor: IncarnationKey) {
         self.sweep(now);
         self.successors.entry(life).or_insert(SuccessorRecord {
@@ -42,7 +42,7 @@
         });
     }
 
-    /// No successors; each is forgotten after `retention`, which ought to be the longest expiry of a ticket.
+    /// An empty table. Entries are dropped after `retention`, which should be the maximum expiry of a ticket.
     pub fn new(retention: Duration) -> Self {
         Self {
             retention,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Where a ticket of `life` goes. `holds` tells what this instance holds, `is_live` which lives still answer.
+    /// Where a ticket of `life` goes. `holds` tells which incarnations this instance holds, `is_live` which still answer.
     pub fn route(
         &self,
         life: &IncarnationKey,
@@ -58,7 +58,7 @@
         is_live: impl Fn(&IncarnationKey) -> bool,
     ) -> ForwardRoute {
         let mut at = life;
-        // Each step goes to another successor; more steps than there are would be a circle.
+        // Following more links than there are successors would mean a cycle.
         for _ in 0..=self.successors.len() {
             if holds(at) {
                 return ForwardRoute::Local;
@@ -77,14 +77,14 @@
         ForwardRoute::Gone
     }
 
-    /// The successors, by life.
+    /// All pairs of incarnation and successor.
     pub fn successors(&self) -> impl Iterator<Item = (&IncarnationKey, &IncarnationKey)> {
         self.successors
             .iter()
             .map(|(life, record)| (life, &record.successor))
     }
 
-    /// Forgets what is older than the retention.
+    /// Drops entries that are older than the retention.
     pub fn sweep(&mut self, now: Instant) {
         let retention = self.retention;
         self.successors
--- a/crates/claim/src/hand_over.rs
+++ b/crates/claim/src/hand_over.rs
@@ -1,4 +1,4 @@
-//! The message by which a closing instance gives its tickets to a successor.
+//! The message that hands the tickets of a closing instance over to a successor.
 
 use {
     crate::{
@@ -11,44 +11,44 @@
     std::time::Duration,
 };
 
-/// All tickets of an instance. Only the successor that it names may take them, so that a repeated or late copy
-/// of the message can't let two instances run one ticket.
+/// All tickets of an instance. Only the named successor may take them, so that a duplicated or late message cannot
+/// let two instances run the same ticket.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HandOver<A> {
     /// The sender.
     pub from: IncarnationKey,
-    /// The sender's own life and those that it took over.
+    /// The tickets of the sender's own incarnation and of those that it took over.
     pub lives: Vec<IncarnationHandOver<A>>,
-    /// The one life that may take them.
+    /// The only incarnation that may take them.
     pub successor: IncarnationKey,
 }
 
-/// One life's tickets.
+/// The tickets of one incarnation.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct IncarnationHandOver<A> {
-    /// The age of the life when the message was made: the successor's clock for it starts here, and so is never
-    /// ahead of what the sender judged by.
+    /// The age of the incarnation when the message was created. The successor's clock for it starts at this value, so it
+    /// is never ahead of the sender's.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// The kept answers.
+    /// The cached answers.
     pub answers: Vec<(TicketSerial, A)>,
-    /// Checks the tickets of the life.
+    /// The key for the check of these tickets.
     pub check_key: CheckKey,
-    /// The life.
+    /// The incarnation that minted the tickets.
     pub life: IncarnationKey,
-    /// The used tickets. Those that were running are told as unknown.
+    /// The used tickets. Runs in flight are reported as unknown.
     pub records: Vec<(TicketSerial, TicketRecord)>,
-    /// Records with an expiry below this one are gone, milliseconds of the life's age.
+    /// Records with an expiry below this age of the incarnation, in milliseconds, have been removed.
     pub swept_ms: u64,
 }
 
-/// What the addressee says to a hand-over.
+/// The reply to a hand-over.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HandOverReply {
-    /// It holds the tickets, from this message or an earlier copy.
+    /// The replying instance holds the tickets, from this message or an earlier copy.
     Accepted,
-    /// It does not hold them, and never will by this message.
+    /// The replying instance does not hold them, and never will because of this message.
     Refused,
 }
--- a/crates/claim/src/incarnation_key.rs
+++ b/crates/claim/src/incarnation_key.rs
@@ -1,4 +1,4 @@
-//! One life of one entry instance.
+//! Identifies one incarnation of an entry instance.
 
 use {
     kernel::{Incarnation, InstanceId},
@@ -6,10 +6,10 @@
     std::fmt,
 };
 
-/// Names an entry instance and its incarnation: a restarted process has another life.
+/// An entry instance and its incarnation, which changes with each restart of the process.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct IncarnationKey {
-    /// The incarnation.
+    /// The number of the incarnation.
     pub incarnation: Incarnation,
     /// The entry instance.
     pub instance: InstanceId,
--- a/crates/claim/src/incarnation_tickets.rs
+++ b/crates/claim/src/incarnation_tickets.rs
@@ -1,4 +1,4 @@
-//! The used tickets of one life: this instance's own, or one that was handed over to it.
+//! The used tickets of one incarnation: this instance's own, or one that was handed over to it.
 
 use {
     crate::{
@@ -11,18 +11,18 @@
     },
 };
 
-/// What is known of a ticket that has no record.
+/// The state of a ticket without a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum UnusedTicket {
-    /// Its end has passed, and it never ran.
+    /// It has expired and never ran.
     Expired,
-    /// Its end has passed so long ago that a record, had there been one, would be gone.
+    /// It expired so long ago that a record of it would have been removed.
     Forgotten,
     /// It may run.
     Usable,
 }
 
-/// The clock and the records of one life.
+/// The clock and the ticket records of one incarnation.
 #[derive(Debug)]
 pub(crate) struct IncarnationTickets {
     start_age: Duration,
@@ -33,18 +33,18 @@
 }
 
 impl IncarnationTickets {
-    /// The age of the life, by this process's monotonic clock.
+    /// The age of the incarnation, by this process's monotonic clock.
     pub(crate) fn age(&self, now: Instant) -> Duration {
         self.start_age + now.saturating_duration_since(self.started)
     }
 
-    /// When a ticket ends, by this process's monotonic clock.
+    /// When a ticket expires, by this process's monotonic clock.
     pub(crate) fn deadline(&self, ticket: &Ticket) -> Instant {
         let left = ticket.expiry.saturating_sub(self.start_age);
         self.started + left
     }
 
-    /// A life of the given age.
+    /// An incarnation of the given age without records.
     pub(crate) fn new(now: Instant, age: Duration, check_key: CheckKey, swept_ms: u64) -> Self {
         Self {
             start_age: age,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes the records that are past their retention.
+    /// Removes the records that are past their retention and returns their serials.
     pub(crate) fn sweep(&mut self, now: Instant, retention: Duration) -> Vec<TicketSerial> {
         let swept_ms = millis(self.age(now).saturating_sub(retention));
         self.swept_ms = self.swept_ms.max(swept_ms);
@@ -70,12 +70,12 @@
         swept
     }
 
-    /// Records with an expiry below this one are gone, milliseconds of the life's age.
+    /// Records with an expiry below this age of the incarnation, in milliseconds, have been removed.
     pub(crate) fn swept_ms(&self) -> u64 {
         self.swept_ms
     }
 
-    /// What is known of a ticket that has no record.
+    /// The state of a ticket without a record.
     pub(crate) fn unused(&self, now: Instant, ticket: &Ticket) -> UnusedTicket {
         if ticket.serial().expiry_ms < self.swept_ms {
             return UnusedTicket::Forgotten;
--- a/crates/claim/src/keyed_claim.rs
+++ b/crates/claim/src/keyed_claim.rs
@@ -1,4 +1,4 @@
-//! Turning a caller's idempotency key into a ticket.
+//! Maps a caller's idempotency key to a ticket.
 
 use {
     crate::{
@@ -15,42 +15,43 @@
 /// How many further calls to the platform a claim may need before the request is refused.
 const MAX_ATTEMPTS: u8 = 5;
 
-/// What the claim hears.
+/// An input to a claim.
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
     /// The platform gave no answer; a write may have taken effect.
     NoAnswer,
-    /// The origin of the ticket that the request was passed on to refused it as not run: that ticket never runs.
+    /// The origin that the request was forwarded to refused it as not run: that ticket never runs.
     OriginRefused,
     /// The row was read.
     Read(Option<StoredRow>),
     /// The platform answered a write.
     Reply(TransactionReply),
-    /// The request came in.
+    /// The request was submitted.
     Start,
 }
 
-/// What to do for the claim.
+/// The next action for a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-#[must_use = "a claim goes on by its action"]
+#[must_use = "a claim makes progress only by its action"]
 pub enum ClaimAction {
-    /// Commit this.
+    /// Commit this transaction.
     Commit(Transaction),
-    /// Pass the request on to the origin of this ticket. When it answers "not run", come back with
+    /// Forward the request to the origin of this ticket. If the origin answers "not run", continue with
     /// [`ClaimEvent::OriginRefused`].
     Forward(Ticket),
     /// Read this row.
     Get(Arc<str>),
-    /// Refuse this submission as not run, and seal the claim's own ticket.
+    /// Refuse this submission as not run, and record the claim's own ticket as refused.
     Refuse(ResultCode),
-    /// The key stands for the claim's own ticket: run it under its permit.
+    /// The key maps to the claim's own ticket: run it under its permit.
     Run,
 }
 
 /// One submission of a request with an idempotency key.
 ///
-/// Take the permit of its ticket before the first write: the ticket's life counts from there, and whoever finds the
-/// row attaches to this run. Each write carries the same ticket, so that one whose reply was lost is recognised.
+/// The permit of its ticket must be taken before the first write: the ticket's lifetime starts there, and instances that
+/// find the row attach to this run. Each write carries the same ticket, so that a write whose reply was lost is
+/// recognised.
 #[derive(Debug)]
 pub struct KeyedClaim {
     key: Arc<str>,
@@ -60,7 +61,7 @@
     attempts_left: u8,
 }
 
-/// A claim that never runs again is being replaced: the epoch is read first, then the row once more.
+/// The replacement of a claim that never runs again: the epoch is read first, then the row is read again.
 #[derive(Debug)]
 struct ClaimReplacement {
     ended: Ticket,
@@ -73,7 +74,7 @@
         &self.record.ticket
     }
 
-    /// A claim of the row `key` by the request that `record` names.
+    /// A claim on the row `key` by the request in `record`.
     pub fn new(key: Arc<str>, record: ClaimRecord) -> Self {
         Self {
             key,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Decides what comes next.
+    /// Handles one event and returns the next action.
     pub fn on_event(
         &mut self,
         clock: ClockReading,
@@ -191,7 +192,7 @@
         self.retry(ClaimAction::Get(self.key.clone()))
     }
 
-    /// Puts this claim in the place of one that never runs again.
+    /// Starts to replace a claim that never runs again.
     fn replace(&mut self, ended: Ticket) -> ClaimAction {
         self.replacement = Some(ClaimReplacement { ended, epoch: None });
         self.retry(ClaimAction::Get(EPOCH_KEY.into()))
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,8 +1,8 @@
-//! At most once: tickets, keyed claims, and requests that know whether they were sent.
+//! At-most-once execution: tickets, keyed claims, and request types that track whether a request was dispatched.
 //!
-//! An [`UnsentRequest`] request is consumed by its dispatch, and only an unsent one can be answered as not run. A
-//! [`TicketTable`] decides whether a ticket may run here; a [`KeyedClaim`] binds a caller's own key to a ticket. The
-//! decisions have no I/O and take the time as an argument; [`ClaimKeeper`] reads and writes the platform's rows.
+//! An [`UnsentRequest`] request is consumed by its dispatch, and only an undispatched one can be answered as not run. A
+//! [`TicketTable`] decides whether a ticket may run here; a [`KeyedClaim`] maps a caller's idempotency key to a ticket.
+//! They do no I/O and take the time as an argument; [`ClaimKeeper`] reads and writes the platform's rows.
 
 pub mod answer_cache;
 pub mod answer_size;
--- a/crates/claim/src/not_run.rs
+++ b/crates/claim/src/not_run.rs
@@ -1,17 +1,17 @@
-//! The answer that a request did not run.
+//! The guarantee that a request did not run.
 
 use {kernel::ResultCode, serde::Serialize};
 
-/// The promise that a request did not run. Only [`UnsentRequest::into_not_run`](crate::UnsentRequest::into_not_run) and the
-/// origin of a ticket give it.
+/// The guarantee that a request did not run. Only [`UnsentRequest::into_not_run`](crate::UnsentRequest::into_not_run) and the
+/// origin of a ticket create it.
 ///
-/// It can't be made up, since its field is private:
+/// It cannot be constructed elsewhere, since its field is private:
 ///
 /// ```compile_fail,E0451
 /// let forged = claim::NotRun { code: kernel::ResultCode::Closing };
 /// ```
 ///
-/// nor read from text:
+/// nor deserialised:
 ///
 /// ```compile_fail,E0277
 /// let forged: claim::NotRun = serde_json::from_str("{}").unwrap();
@@ -27,7 +27,7 @@
         self.code
     }
 
-    /// The caller of this function vouches that the request did not run and never will.
+    /// The caller of this function must ensure that the request did not run and never will.
     pub(crate) fn from_code(code: ResultCode) -> Self {
         debug_assert!(code.not_run(), "{code:?} does not say that nothing ran");
         Self { code }
--- a/crates/claim/src/not_run_evidence.rs
+++ b/crates/claim/src/not_run_evidence.rs
@@ -1,10 +1,11 @@
-//! The evidence that a dispatched request did not run after all.
+//! Evidence that a dispatched request did not run.
 
 use {crate::request_outcome::OriginReply, kernel::ResultCode};
 
-/// Evidence that nothing of a dispatched request ran: the upstream's own word, or a connection that never was.
+/// Evidence that nothing of a dispatched request ran: the upstream's statement, or a connection that was never
+/// established.
 ///
-/// It can't be made up without either:
+/// It cannot be constructed without either:
 ///
 /// ```compile_fail,E0423
 /// let forged = claim::NotRunEvidence(());
@@ -12,18 +13,18 @@
 #[derive(Debug)]
 pub struct NotRunEvidence(());
 
-/// The status of an upstream that refuses before it runs anything.
+/// The statuses by which an upstream refuses before it runs anything.
 const REFUSAL_STATUSES: [u16; 2] = [429, 503];
 
 impl NotRunEvidence {
-    /// The upstream's whole refusal: evidence when its status is 429 or 503 and its body says that it did not run.
+    /// From an upstream's complete refusal: evidence if its status is 429 or 503 and its body states that nothing ran.
     pub fn from_refusal(status: u16, ran: Option<bool>) -> Option<Self> {
-        let said = ran == Some(false);
+        let is_not_run = ran == Some(false);
         let refused = REFUSAL_STATUSES.contains(&status);
-        (said && refused).then_some(Self(()))
+        (is_not_run && refused).then_some(Self(()))
     }
 
-    /// The origin of the request's ticket said that it did not run, and never will by that ticket.
+    /// From the reply of the ticket's origin: evidence if it did not run and never will by that ticket.
     pub fn from_origin<A>(reply: &OriginReply<A>) -> Option<Self> {
         match reply {
             OriginReply::NotRun(code) if code.not_run() => Some(Self(())),
@@ -31,12 +32,12 @@
         }
     }
 
-    /// The request's own flow, which ends here, said that nothing of it ran: evidence when its code says so.
+    /// From the final result of the request's flow in this instance: evidence if its code means that nothing ran.
     pub fn from_verdict(code: ResultCode) -> Option<Self> {
         code.not_run().then_some(Self(()))
     }
 
-    /// The instance that the request was passed on to does not hold its ticket, and so ran nothing of it.
+    /// The instance that the request was forwarded to does not hold its ticket, so it ran nothing.
     pub fn not_held() -> Self {
         Self(())
     }
--- a/crates/claim/src/outstanding_count.rs
+++ b/crates/claim/src/outstanding_count.rs
@@ -1,4 +1,4 @@
-//! How many minted tickets may still have, or get, a record.
+//! Counts minted tickets that have a record or may still get one.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,13 +12,13 @@
 }
 
 impl OutstandingCount {
-    /// Counts one more ticket.
+    /// Adds a ticket with this expiry.
     pub(crate) fn add(&mut self, expiry: Duration) {
         *self.seconds.entry(expiry.as_secs()).or_default() += 1;
         self.total += 1;
     }
 
-    /// Drops the tickets whose records are gone, all of whose expiries are below `swept_ms`.
+    /// Removes the tickets with an expiry below `swept_ms`, whose records have been removed.
     pub(crate) fn sweep(&mut self, swept_ms: u64) {
         while let Some(entry) = self.seconds.first_entry() {
             if (entry.key() + 1) * SECOND_MS > swept_ms {
--- a/crates/claim/src/request_outcome.rs
+++ b/crates/claim/src/request_outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request.
+//! The outcome of a request.
 
 use {
     crate::not_run::NotRun,
@@ -6,20 +6,20 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The one answer that a request gets.
+/// The final answer to a request.
 #[derive(Debug, Eq, PartialEq)]
 pub enum RequestOutcome<A> {
     /// The whole answer.
     Answered(A),
     /// It did not run.
     NotRun(NotRun),
-    /// Nobody knows whether it ran; a code from 3001 to 3999.
+    /// It is unknown whether it ran; a code from 3001 to 3999.
     Unknown(ResultCode),
-    /// Its ticket was used before, and that answer is not kept: [`ResultCode::TicketUsed`].
+    /// Its ticket was used before, and that answer is not cached: [`ResultCode::TicketUsed`].
     Used,
 }
 
-/// What the origin of a ticket answers the instance that passed the request on.
+/// The reply of the origin of a ticket to the instance that forwarded the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OriginReply<A> {
@@ -27,9 +27,9 @@
     Answered(A),
     /// It did not run, and never will.
     NotRun(ResultCode),
-    /// Nobody knows whether it ran.
+    /// It is unknown whether it ran.
     Unknown(ResultCode),
-    /// The ticket was used before, and that answer is not kept.
+    /// The ticket was used before, and that answer is not cached.
     Used,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl<A> RequestOutcome<A> {
-    /// The code that the caller sees.
+    /// The result code that is returned to the caller.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::Answered(_) => ResultCode::Answered,
--- a/crates/claim/src/run_permit.rs
+++ b/crates/claim/src/run_permit.rs
@@ -1,4 +1,4 @@
-//! The right to run a ticket's request, and what is left of it afterwards.
+//! The permit to run the request of a ticket, and its state after the dispatch.
 
 use {
     crate::{
@@ -8,9 +8,9 @@
     std::time::Instant,
 };
 
-/// The one right to run a ticket's request. It is not `Clone`; the origin gives one out for each ticket.
+/// The only permit to run the request of a ticket. It is not `Clone`; the origin issues one per ticket.
 #[derive(Debug)]
-#[must_use = "a permit ends in a dispatch or in a refusal"]
+#[must_use = "a permit must end in a dispatch or in a refusal"]
 pub struct RunPermit {
     pub(crate) deadline: Instant,
     pub(crate) life: IncarnationKey,
@@ -19,27 +19,27 @@
 
 /// A ticket whose request was dispatched.
 #[derive(Debug)]
-#[must_use = "the table has to hear what became of a run"]
+#[must_use = "the outcome of a run must be recorded in the table"]
 pub struct RunTicket {
     permit: RunPermit,
 }
 
-/// What a dispatch under a permit came to.
+/// The result of a dispatch under a permit.
 #[derive(Debug)]
 pub enum PermitDispatch<T> {
-    /// It may be sent now.
+    /// The request may be sent now.
     Started {
-        /// The request, to be written at once.
+        /// The request, to be written immediately.
         request: T,
-        /// The run, for the table.
+        /// The run, whose outcome the table records.
         run: RunTicket,
-        /// The duty to answer.
+        /// The obligation to answer.
         sent: SentRequest,
     },
-    /// The ticket ended first, such as while the process was frozen: refuse it as
+    /// The ticket expired first, for example while the process was suspended: refuse it as
     /// [`TicketExpired`](kernel::ResultCode::TicketExpired).
     Expired {
-        /// The permit, for the table.
+        /// The permit, to be recorded as refused.
         permit: RunPermit,
         /// The request.
         unsent: UnsentRequest<T>,
@@ -47,13 +47,13 @@
 }
 
 impl RunPermit {
-    /// When the ticket ends, by this process's monotonic clock.
+    /// When the ticket expires, by this process's monotonic clock.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Dispatches the request, if its ticket has not ended. `now` is read right before the call: whoever was
-    /// frozen must not run what others may take for ended.
+    /// Dispatches the request, unless its ticket has expired. `now` must be read right before the call: a process that
+    /// was suspended must not run a request that others may already regard as expired.
     pub fn dispatch<T>(self, now: Instant, unsent: UnsentRequest<T>) -> PermitDispatch<T> {
         if now >= self.deadline {
             return PermitDispatch::Expired {
@@ -71,12 +71,12 @@
 }
 
 impl RunTicket {
-    /// The life and serial that the table knows it by.
+    /// The key of the ticket in the table.
     pub(crate) fn key(&self) -> (&IncarnationKey, TicketSerial) {
         (&self.permit.life, self.permit.serial)
     }
 
-    /// The dispatch came to nothing: the ticket may be dispatched again, the request with it.
+    /// Reverts a dispatch that ran nothing: the request may be dispatched again with the same ticket.
     pub fn into_unsent<T>(
         self,
         sent: SentRequest,
--- a/crates/claim/src/sent_request.rs
+++ b/crates/claim/src/sent_request.rs
@@ -1,4 +1,4 @@
-//! What is left of a request after its dispatch.
+//! A request that was dispatched.
 
 use {
     crate::{
@@ -10,9 +10,9 @@
     kernel::ResultCode,
 };
 
-/// The duty to answer a request that was dispatched: with the whole answer, or that the outcome is unknown.
+/// The obligation to answer a dispatched request: with the complete answer, or that its outcome is unknown.
 ///
-/// It has no way to "not run" by itself:
+/// It cannot be turned into "not run" without evidence:
 ///
 /// ```compile_fail,E0599
 /// let (_request, sent) = claim::UnsentRequest::from_caller("a request").dispatch();
@@ -23,12 +23,12 @@
 pub struct SentRequest(());
 
 impl SentRequest {
-    /// The whole answer came.
+    /// The complete answer was received.
     pub fn answered<A>(self, answer: A) -> RequestOutcome<A> {
         RequestOutcome::Answered(answer)
     }
 
-    /// Passes on what the origin of the request's ticket said.
+    /// Converts the reply of the ticket's origin.
     pub fn relay<A>(self, reply: OriginReply<A>) -> RequestOutcome<A> {
         match reply {
             OriginReply::Answered(answer) => RequestOutcome::Answered(answer),
@@ -40,18 +40,18 @@
         }
     }
 
-    /// The dispatch came to nothing, and there is evidence: the request is unsent again.
+    /// Reverts the dispatch, given evidence that nothing ran.
     pub fn into_unsent<T>(self, _evidence: NotRunEvidence, request: T) -> UnsentRequest<T> {
         UnsentRequest::from_dispatch(request)
     }
 
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     pub fn unknown<A>(self, code: ResultCode) -> RequestOutcome<A> {
         debug_assert!(!code.not_run(), "{code:?} says that nothing ran");
         RequestOutcome::Unknown(code)
     }
 
-    /// A dispatch that has just begun.
+    /// A dispatch that has just started.
     pub(crate) fn new() -> Self {
         Self(())
     }
--- a/crates/claim/src/ticket.rs
+++ b/crates/claim/src/ticket.rs
@@ -1,4 +1,4 @@
-//! The ticket: an id that names where it may run and until when.
+//! Tickets: ids that state where and until when a request may run.
 
 use {
     crate::{
@@ -12,18 +12,18 @@
     std::{fmt, str::FromStr, sync::Arc, time::Duration},
 };
 
-/// The mark that a ticket's text starts with; the digit is the version of the form.
+/// The prefix of a ticket's text; the digit is the version of the format.
 const TICKET_PREFIX: &str = "tw1";
 const TICKET_PARTS: usize = 7;
 const NAME_LIMIT: usize = 64;
 
-/// Checks a ticket against damage. See [`Ticket::expected_check`] for what it is not.
+/// The key of the hash that detects damaged tickets; see [`Ticket::expected_check`] for its limits.
 pub type CheckKey = u64;
 
-/// One permission to run one request at one life of one entry instance.
+/// Permission to run one request at one incarnation of an entry instance.
 ///
-/// Its text is `tw1~zone~instance~incarnation~expiry~random~check`, the numbers in hexadecimal. Like the job id
-/// of the Disque paper it names its node and its own expiry, so that any instance can pass it on without a table.
+/// Its text is `tw1~zone~instance~incarnation~expiry~random~check`, the numbers in hexadecimal. Like a
+/// Disque job id it contains its node and its expiry, so that any instance can forward it without a table.
 ///
 /// # Examples
 ///
@@ -38,31 +38,31 @@
 pub struct Ticket {
     /// A keyed hash over the other parts.
     pub check: u64,
-    /// The age of the origin's life at which the ticket ends, in whole milliseconds. The origin judges it by its
-    /// own monotonic clock alone, so that no wall clock has a say.
+    /// The age of the origin's incarnation at which the ticket expires, in whole milliseconds. The origin checks it by its
+    /// own monotonic clock only, so wall clocks do not matter.
     pub expiry: Duration,
-    /// Where it may run.
+    /// The incarnation at which it may run.
     pub life: IncarnationKey,
-    /// Tells apart the tickets of one life with one expiry.
+    /// Distinguishes tickets of the same incarnation and expiry.
     pub random: u64,
     /// The availability zone of its origin.
     pub zone: ZoneId,
 }
 
-/// What tells the tickets of one life apart, by expiry first.
+/// Identifies a ticket within its incarnation; ordered by expiry first.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TicketSerial {
-    /// The expiry, milliseconds of the origin's age.
+    /// The expiry, as the origin's age in milliseconds.
     pub expiry_ms: u64,
     /// The random part.
     pub random: u64,
 }
 
 impl Ticket {
-    /// The check that the other parts ought to carry.
+    /// The correct check for the other parts.
     ///
-    /// It is `xxh3` seeded with the life's key: it finds damaged and misdelivered tickets, and is not
-    /// cryptographic. A forged ticket gains nothing: it runs once at most, as a request without a ticket would.
+    /// It is `xxh3` seeded with the incarnation's key: it detects damaged and misdelivered tickets and is not
+    /// cryptographic. A forged ticket gains nothing: it runs at most once, like a request without a ticket.
     pub fn expected_check(&self, key: CheckKey) -> u64 {
         seeded_rng::mix(key, self.body().as_bytes())
     }
@@ -72,7 +72,7 @@
         Arc::from(self.to_string())
     }
 
-    /// What tells the ticket apart within its life.
+    /// The identity of the ticket within its incarnation.
     pub fn serial(&self) -> TicketSerial {
         TicketSerial {
             expiry_ms: millis(self.expiry),
@@ -131,11 +131,11 @@
     }
 }
 
-/// The name, if a ticket can carry it.
+/// Checks that a ticket can contain the name.
 ///
 /// # Errors
 ///
-/// [`ClaimError::NameInvalid`] for an empty or long one, or one with other characters than `a-z A-Z 0-9 . _ -`.
+/// [`ClaimError::NameInvalid`] for an empty name, one over 64 bytes, or one with characters other than `a-z A-Z 0-9 . _ -`.
 pub fn checked_name(field: &'static str, name: &str) -> Result<Arc<str>, ClaimError> {
     let fits = (1..=NAME_LIMIT).contains(&name.len()) && name.bytes().all(is_name_byte);
     ensure!(fits, NameInvalidSnafu { field, name });
--- a/crates/claim/src/ticket_table.rs
+++ b/crates/claim/src/ticket_table.rs
@@ -1,4 +1,4 @@
-//! The tickets that one entry instance is the origin of.
+//! The tickets of which an entry instance is the origin.
 
 use {
     crate::{
@@ -26,10 +26,10 @@
     },
 };
 
-/// The tickets of this life, and of those that were handed over to it.
+/// The tickets of this incarnation, and of those that were handed over to it.
 ///
-/// A minted ticket costs no record until it is used, since its text says all; a used one is remembered until its
-/// expiry and the retention have passed. The number of both is bounded where tickets are minted.
+/// A minted ticket needs no record until it is used, since its text contains everything needed. A used ticket is
+/// remembered until its expiry and the retention have passed. Minting bounds the number of both.
 #[derive(Debug)]
 pub struct TicketTable<A> {
     pub(crate) kept: AnswerCache<A>,
@@ -41,21 +41,21 @@
     zone: ZoneId,
 }
 
-/// How much a table holds.
+/// The current size of a table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TicketCounts {
-    /// Bytes of kept answers.
+    /// The total size of cached answers, in bytes.
     pub kept_bytes: usize,
-    /// Lives, with this one.
+    /// The number of incarnations held, including this one.
     pub lives: usize,
-    /// Tickets minted, and not yet past expiry and retention.
+    /// The number of minted tickets that are not yet past expiry and retention.
     pub outstanding: usize,
-    /// Used tickets.
+    /// The number of used tickets.
     pub records: usize,
 }
 
 impl<A: AnswerSize> TicketTable<A> {
-    /// How much the table holds.
+    /// The current size of the table.
     pub fn counts(&self) -> TicketCounts {
         TicketCounts {
             kept_bytes: self.kept.bytes(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Records the whole answer of a run, and keeps it for replays if it is small enough.
+    /// Records the complete answer of a run, and caches it for replays if it is small enough.
     pub fn finish(&mut self, run: RunTicket, sent: SentRequest, answer: A) -> RequestOutcome<A> {
         let known = self.set_state(&run, TicketState::Answered);
         let small = answer.size() <= self.settings.answer_limit;
@@ -76,17 +76,17 @@
         sent.answered(answer)
     }
 
-    /// Whether this instance holds the tickets of a life.
+    /// Whether this instance holds the tickets of an incarnation.
     pub fn holds(&self, life: &IncarnationKey) -> bool {
         self.lives.contains_key(life)
     }
 
-    /// This instance's own life.
+    /// This instance's own incarnation.
     pub fn life(&self) -> &IncarnationKey {
         &self.life
     }
 
-    /// Records that nobody knows what became of a run.
+    /// Records an unknown outcome for a run.
     pub fn finish_unknown(
         &mut self,
         run: RunTicket,
@@ -97,11 +97,11 @@
         sent.unknown(code)
     }
 
-    /// Mints a ticket that is good for `lifetime`, or the longest that the settings allow.
+    /// Mints a ticket that expires after `lifetime`, or after the maximum in the settings if that is shorter.
     ///
     /// # Errors
     ///
-    /// [`ClaimError::MintLimit`] when as many are outstanding as the settings allow.
+    /// [`ClaimError::MintLimit`] when the limit of outstanding tickets is reached.
     pub fn mint(&mut self, now: Instant, lifetime: Duration) -> Result<Ticket, ClaimError> {
         self.sweep(now);
         let limit = self.settings.ticket_limit;
@@ -122,11 +122,11 @@
         Ok(ticket)
     }
 
-    /// A table of a life that starts now.
+    /// The table of an incarnation that starts now.
     ///
     /// # Errors
     ///
-    /// [`ClaimError::NameInvalid`] when a ticket can't carry the names.
+    /// [`ClaimError::NameInvalid`] when a ticket cannot contain the names.
     pub fn new(
         now: Instant,
         life: IncarnationKey,
@@ -149,7 +149,7 @@
         })
     }
 
-    /// Seals a ticket as refused, and gives the answer that its request did not run.
+    /// Records a ticket as refused, and returns the answer that its request did not run.
     pub fn refuse<T>(
         &mut self,
         permit: RunPermit,
@@ -160,14 +160,14 @@
         unsent.into_not_run(code)
     }
 
-    /// Seals a ticket as refused, when its request goes on by another ticket: its caller's key stands for that one.
+    /// Records a ticket as refused. Used when the caller's key maps to another ticket, by which the request continues.
     pub fn mark_refused(&mut self, permit: RunPermit, code: ResultCode) {
         if let Some(record) = self.record_mut(&permit) {
             record.state = TicketState::Refused(code);
         }
     }
 
-    /// Decides on a request that comes with a ticket.
+    /// Decides how to handle a request with a ticket.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Drops what is past its expiry and the retention. Minting and submitting do it too.
+    /// Removes records that are past expiry and retention. Minting and submitting do this too.
     pub fn sweep(&mut self, now: Instant) {
         let retention = self.settings.retention;
         for (key, life) in &mut self.lives {
@@ -220,7 +220,7 @@
             .get_mut(&permit.serial)
     }
 
-    /// Whether the record was still there.
+    /// Sets the state of a run; returns whether its record still exists.
     fn set_state(&mut self, run: &RunTicket, state: TicketState) -> bool {
         let (life, serial) = run.key();
         let records = self.lives.get_mut(life).map(|life| &mut life.records);
@@ -252,7 +252,7 @@
     }
 }
 
-/// The verdict on a ticket that did not run, and never will.
+/// The verdict on a ticket that did not run and never will.
 pub(crate) fn refused<A>(code: ResultCode) -> SubmitVerdict<A> {
     SubmitVerdict::Decided(RequestOutcome::NotRun(NotRun::from_code(code)))
 }
--- a/crates/claim/src/unsent_request.rs
+++ b/crates/claim/src/unsent_request.rs
@@ -5,7 +5,7 @@
     kernel::ResultCode,
 };
 
-/// A request that was never dispatched. Dispatching consumes it, and only it can become the answer "not run".
+/// A request that was never dispatched. Dispatching consumes it, and only this type can become the answer "not run".
 ///
 /// ```
 /// use {claim::UnsentRequest, kernel::ResultCode};
@@ -15,7 +15,7 @@
 /// assert_eq!(answer.code(), ResultCode::QueueFull);
 /// ```
 ///
-/// What was dispatched can't be refused as not run:
+/// A dispatched request cannot be refused as not run:
 ///
 /// ```compile_fail,E0382
 /// use {claim::UnsentRequest, kernel::ResultCode};
@@ -25,7 +25,7 @@
 /// let answer = unsent.into_not_run(ResultCode::QueueFull);
 /// ```
 ///
-/// nor dispatched twice:
+/// nor be dispatched twice:
 ///
 /// ```compile_fail,E0382
 /// let unsent = claim::UnsentRequest::from_caller("a request");
@@ -33,14 +33,14 @@
 /// let second = unsent.dispatch();
 /// ```
 ///
-/// It can't be copied before it is dispatched:
+/// It cannot be cloned before it is dispatched:
 ///
 /// ```compile_fail,E0599
 /// let unsent = claim::UnsentRequest::from_caller("a request");
 /// let copy = unsent.clone();
 /// ```
 ///
-/// nor built without its constructor:
+/// nor be built without its constructor:
 ///
 /// ```compile_fail,E0451
 /// let forged = claim::UnsentRequest { request: "a request" };
@@ -52,39 +52,39 @@
 }
 
 impl<T> UnsentRequest<T> {
-    /// The request.
+    /// Borrows the request.
     pub fn as_request(&self) -> &T {
         &self.request
     }
 
-    /// Dispatches the request: from here on its outcome is a whole answer or unknown. Call it right before the
-    /// first byte is written.
+    /// Dispatches the request: from here on its outcome is a complete answer or unknown. Call it right before the first
+    /// byte is written.
     pub fn dispatch(self) -> (T, SentRequest) {
         (self.request, SentRequest::new())
     }
 
-    /// The request as it came in from its caller. The door calls this once for each request; no one else does.
+    /// Wraps a request received from its caller. Only the HTTP server calls this, once per request.
     pub fn from_caller(request: T) -> Self {
         Self { request }
     }
 
-    /// The answer that it did not run.
+    /// Turns the request into the answer that it did not run.
     ///
     /// # Panics
     ///
-    /// In debug builds, when the code does not say that nothing ran.
+    /// In debug builds, if the code does not mean that nothing ran.
     pub fn into_not_run(self, code: ResultCode) -> NotRun {
         NotRun::from_code(code)
     }
 
-    /// The same request in another form.
+    /// Converts the request.
     pub fn map<U>(self, change: impl FnOnce(T) -> U) -> UnsentRequest<U> {
         UnsentRequest {
             request: change(self.request),
         }
     }
 
-    /// A request that came back undone.
+    /// A request whose dispatch was reverted.
     pub(crate) fn from_dispatch(request: T) -> Self {
         Self { request }
     }
--- a/crates/claim/tests/hand_over.rs
+++ b/crates/claim/tests/hand_over.rs
@@ -1,4 +1,4 @@
-//! Tickets of a closing instance.
+//! Hand-over of the tickets of a closing instance: an unused ticket still runs at most once, at the successor.
 
 use {
     claim::{
@@ -12,7 +12,7 @@
 const DIGEST: u64 = 5;
 const MINUTE: Duration = Duration::from_secs(60);
 
-fn life(instance: &str, incarnation: u64) -> IncarnationKey {
+fn incarnation_key(instance: &str, incarnation: u64) -> IncarnationKey {
     IncarnationKey {
         incarnation,
         instance: instance.into(),
@@ -37,8 +37,8 @@
 impl Test {
     fn new() -> Self {
         let now = Instant::now();
-        let mut origin = table(now, life("entry-1", 7));
-        let successor = table(now, life("entry-2", 9));
+        let mut origin = table(now, incarnation_key("entry-1", 7));
+        let successor = table(now, incarnation_key("entry-2", 9));
         let mut mint = || origin.mint(now, MINUTE).unwrap();
         let (running, unused, used) = (mint(), mint(), mint());
         assert!(matches!(
@@ -54,7 +54,7 @@
             panic!("late");
         };
         origin.finish(run, sent, b"answer".to_vec());
-        let (message, closed) = origin.hand_over(now, life("entry-2", 9));
+        let (message, closed) = origin.hand_over(now, incarnation_key("entry-2", 9));
         Self {
             closed,
             message,
@@ -105,7 +105,7 @@
     let mut test = Test::new();
     let before = test.closed.submit(&test.unused, DIGEST);
     assert!(matches!(before, SubmitVerdict::Elsewhere));
-    let successor = life("entry-2", 9);
+    let successor = incarnation_key("entry-2", 9);
     test.closed.on_reply(&successor, HandOverReply::Accepted);
     let after = test.closed.submit(&test.unused, DIGEST);
     assert!(matches!(after, SubmitVerdict::Elsewhere));
@@ -116,11 +116,12 @@
 #[test]
 fn the_closer_denies_what_the_successor_refused_for_good() {
     let mut test = Test::new();
-    let later_life = life("entry-2", 10);
-    test.closed.on_reply(&later_life, HandOverReply::Refused);
+    let later_incarnation = incarnation_key("entry-2", 10);
+    test.closed
+        .on_reply(&later_incarnation, HandOverReply::Refused);
     let verdict = test.closed.submit(&test.unused, DIGEST);
     assert!(matches!(verdict, SubmitVerdict::Elsewhere));
-    let successor = life("entry-2", 9);
+    let successor = incarnation_key("entry-2", 9);
     test.closed.on_reply(&successor, HandOverReply::Refused);
     let verdict = test.closed.submit(&test.unused, DIGEST);
     assert_eq!(code(verdict), Some(ResultCode::Closing));
@@ -129,7 +130,7 @@
 #[test]
 fn only_the_named_life_takes_a_hand_over() {
     let test = Test::new();
-    let mut other = table(test.now, life("entry-2", 10));
+    let mut other = table(test.now, incarnation_key("entry-2", 10));
     let reply = other.accept_hand_over(test.now, test.message);
     assert_eq!(reply, HandOverReply::Refused);
 }
@@ -137,13 +138,13 @@
 #[test]
 fn what_the_closer_took_for_ended_is_ended_at_the_successor() {
     let now = Instant::now();
-    let mut origin = table(now, life("entry-1", 7));
+    let mut origin = table(now, incarnation_key("entry-1", 7));
     let ticket = origin.mint(now, MINUTE).unwrap();
     let ended = now + MINUTE;
     let verdict = origin.submit(ended, &ticket, DIGEST);
     assert_eq!(code(verdict), Some(ResultCode::TicketExpired));
-    let (message, _) = origin.hand_over(ended, life("entry-2", 9));
-    let mut successor = table(now, life("entry-2", 9));
+    let (message, _) = origin.hand_over(ended, incarnation_key("entry-2", 9));
+    let mut successor = table(now, incarnation_key("entry-2", 9));
     successor.accept_hand_over(ended + MINUTE, message);
     let verdict = successor.submit(ended + MINUTE, &ticket, DIGEST);
     assert_eq!(code(verdict), Some(ResultCode::TicketExpired));
@@ -153,12 +154,15 @@
 fn a_closed_instance_takes_no_hand_over_but_owns_up_to_an_earlier_one() {
     let mut test = Test::new();
     test.accept();
-    let (_, closed) = test.successor.hand_over(test.now, life("entry-3", 1));
+    let (_, closed) = test
+        .successor
+        .hand_over(test.now, incarnation_key("entry-3", 1));
     assert_eq!(
         closed.accept_hand_over(&test.message),
         HandOverReply::Accepted
     );
-    let (_, closed) = table(test.now, life("entry-2", 9)).hand_over(test.now, life("entry-3", 1));
+    let (_, closed) = table(test.now, incarnation_key("entry-2", 9))
+        .hand_over(test.now, incarnation_key("entry-3", 1));
     assert_eq!(
         closed.accept_hand_over(&test.message),
         HandOverReply::Refused
@@ -168,7 +172,7 @@
 #[test]
 fn requests_follow_the_tickets() {
     let now = Instant::now();
-    let (first, second) = (life("entry-1", 7), life("entry-2", 9));
+    let (first, second) = (incarnation_key("entry-1", 7), incarnation_key("entry-2", 9));
     let mut table = ForwardTable::new(MINUTE);
     let none = |_: &IncarnationKey| false;
     assert_eq!(table.route(&first, none, none), ForwardRoute::Gone);
--- a/crates/claim/tests/keyed_claim.rs
+++ b/crates/claim/tests/keyed_claim.rs
@@ -1,4 +1,4 @@
-//! Callers' idempotency keys.
+//! Callers' idempotency keys: concurrent submissions, lost replies, expiry and sweeps of claims.
 
 #[path = "support/flaky_rows.rs"]
 mod flaky_rows;
--- a/crates/claim/tests/once_fuzz.rs
+++ b/crates/claim/tests/once_fuzz.rs
@@ -1,21 +1,21 @@
-//! Random faults against tickets, hand-overs and keyed claims, with an oracle of a few lines.
+//! Fuzzes tickets, hand-overs and keyed claims with random faults against an oracle of at-most-once execution.
 
 mod support;
 
 use {
     proptest::prelude::*,
-    support::{fuzz, once_step::OnceStep, once_world::OnceWorld},
+    support::{fuzz, once_simulation::OnceSimulation, once_step::OnceStep},
 };
 
-const LONGEST_RUN: usize = 100;
+const MAX_STEPS: usize = 100;
 
 #[test]
 fn nothing_runs_twice_and_not_run_is_true() {
-    fuzz::check(OnceStep::sequences(1..LONGEST_RUN), |steps| {
-        let mut world = OnceWorld::new();
+    fuzz::check(OnceStep::sequences(1..MAX_STEPS), |steps| {
+        let mut simulation = OnceSimulation::new();
         for step in steps {
-            world.apply(step);
-            let fault = world.oracle.fault();
+            simulation.apply(step);
+            let fault = simulation.oracle.fault();
             prop_assert!(fault.is_none(), "{fault:?}");
         }
         Ok(())
@@ -25,15 +25,15 @@
 #[test]
 fn the_faults_leave_room_for_answers() {
     let sum = std::cell::Cell::new([0; 3]);
-    fuzz::check(OnceStep::sequences(LONGEST_RUN..LONGEST_RUN + 1), |steps| {
-        let mut world = OnceWorld::new();
-        steps.into_iter().for_each(|step| world.apply(step));
+    fuzz::check(OnceStep::sequences(MAX_STEPS..MAX_STEPS + 1), |steps| {
+        let mut simulation = OnceSimulation::new();
+        steps.into_iter().for_each(|step| simulation.apply(step));
         let [runs, denied, replayed] = sum.get();
-        let tally = &world.oracle;
+        let oracle = &simulation.oracle;
         sum.set([
-            runs + tally.runs.len(),
-            denied + tally.denied.len(),
-            replayed + tally.replayed,
+            runs + oracle.runs.len(),
+            denied + oracle.denied.len(),
+            replayed + oracle.replayed,
         ]);
         Ok(())
     });
--- a/crates/claim/tests/run_ends.rs
+++ b/crates/claim/tests/run_ends.rs
@@ -1,4 +1,4 @@
-//! How runs ended that went on at the hand-over.
+//! Outcomes of runs in flight at the hand-over, as reported to the successor afterwards.
 
 use {
     claim::{
--- a/crates/claim/tests/support/flaky_rows.rs
+++ b/crates/claim/tests/support/flaky_rows.rs
@@ -1,4 +1,4 @@
-//! A platform in memory, whose calls and replies can be lost.
+//! An in-memory platform whose calls and replies can be lost.
 
 use {
     plat::{PlatError, RowStore, StoredRow, Transaction, TransactionReply},
@@ -8,7 +8,7 @@
     },
 };
 
-/// What happens to one call.
+/// The fault that is injected into one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CallFault {
     LostCall,
@@ -16,7 +16,7 @@
     None,
 }
 
-/// The rows by key, and what happens to the next calls.
+/// The rows by key, and the faults of the next calls.
 #[derive(Debug, Default)]
 pub(crate) struct FlakyRows {
     pub(crate) faults: Mutex<VecDeque<CallFault>>,
--- a/crates/claim/tests/support/fuzz.rs
+++ b/crates/claim/tests/support/fuzz.rs
@@ -1,4 +1,4 @@
-//! Runs a property with a fixed seed; `PROPTEST_CASES` asks for more cases, `FUZZ_SEED` for others.
+//! Runs a property with a fixed seed; `PROPTEST_CASES` sets the number of cases, `FUZZ_SEED` another seed.
 
 use proptest::{
     strategy::Strategy,
@@ -10,7 +10,7 @@
 
 const DEFAULT_SEED: u64 = 20;
 
-/// Checks the property over sequences of steps, and tells the seed and the smallest sequence that breaks it.
+/// Checks the property over sequences of steps; panics with the seed and the smallest failing sequence.
 pub(crate) fn check<S: Strategy>(steps: S, property: impl Fn(S::Value) -> TestCaseResult) {
     let config = Config {
         failure_persistence: Some(Box::new(FileFailurePersistence::Off)),
--- a/crates/claim/tests/support/once_oracle.rs
+++ b/crates/claim/tests/support/once_oracle.rs
@@ -1,8 +1,8 @@
-//! What must hold, in a few lines.
+//! The invariants of at-most-once execution.
 
 use claim::Ticket;
 
-/// One dispatch: a run, unless the upstream refused it unrun.
+/// One dispatch that ran.
 #[derive(Debug)]
 pub(crate) struct DoneRun {
     pub(crate) at_ms: u64,
@@ -13,16 +13,17 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct OnceOracle {
-    /// Submissions that were answered "not run", and the ticket they came with, if any.
+    /// Submissions that were answered "not run", with their ticket if the caller sent one.
     pub(crate) denied: Vec<(usize, Option<Ticket>)>,
-    /// How long a key is remembered at least.
+    /// The minimum time for which a key is remembered.
     pub(crate) key_life_ms: u64,
     pub(crate) replayed: usize,
     pub(crate) runs: Vec<DoneRun>,
 }
 
 impl OnceOracle {
-    /// Which rule is broken: a ticket runs once; a key runs once in its life; what was "not run" has no run.
+    /// The first violated invariant. A ticket runs at most once, a key runs at most once within its lifetime, and a
+    /// submission answered "not run" never ran.
     pub(crate) fn fault(&self) -> Option<String> {
         for (index, run) in self.runs.iter().enumerate() {
             for other in &self.runs[..index] {
--- a/crates/claim/tests/support/once_request.rs
+++ b/crates/claim/tests/support/once_request.rs
@@ -1,11 +1,11 @@
-//! How one request goes on.
+//! The progress of one request.
 
 use {
     super::{
         flaky_rows::CallFault,
         once_oracle::DoneRun,
-        once_world::{
-            DIGEST, OnceWorld, OwnClaim, Phase, Request, SlotState, TICKET_LIFE, open_table,
+        once_simulation::{
+            DIGEST, OnceSimulation, OwnClaim, Phase, Request, SlotState, TICKET_LIFE, open_table,
         },
     },
     claim::{
@@ -16,7 +16,7 @@
     std::mem,
 };
 
-impl OnceWorld {
+impl OnceSimulation {
     pub(super) fn progress(&mut self, from_last: usize, pick: u8, fault: CallFault, late: bool) {
         let Some(index) = self.requests.len().checked_sub(from_last + 1) else {
             return;
--- a/crates/claim/tests/support/once_world.rs
+++ b/crates/claim/tests/support/once_simulation.rs
@@ -1,4 +1,4 @@
-//! Three entry instances, a network and the platform's rows, in virtual time.
+//! Simulates three entry instances, a network and the platform's rows in virtual time.
 
 use {
     super::{
@@ -23,7 +23,7 @@
 
 const INSTANCES: usize = 3;
 const RATES: [u64; INSTANCES] = [996_000, 1_000_000, 1_004_000];
-/// The middle clock is far ahead, so that it takes every claim for ended.
+/// The second wall clock is far ahead, so that every claim looks expired by it.
 const WALL_STARTS_MS: [u64; INSTANCES] = [0, 9_000, 500];
 const MILLION: u64 = 1_000_000;
 pub(super) const TICKET_LIFE: Duration = Duration::from_millis(1000);
@@ -31,7 +31,7 @@
 const KEY_LIFE_MS: u64 = 990;
 pub(super) const DIGEST: u64 = 5;
 const FINISH_STEPS: usize = 4;
-/// Makes a permit a dispatch.
+/// A pick for which a permit is dispatched.
 const DISPATCH_PICK: u8 = 2;
 
 pub(super) type Answer = Vec<u8>;
@@ -61,7 +61,7 @@
     Running(RunTicket, SentRequest),
 }
 
-/// One request at one instance; a forwarded submission is one request at each.
+/// One request at one instance; a forwarded submission has one request at each instance.
 pub(super) struct Request {
     pub(super) at: usize,
     pub(super) by_ticket: bool,
@@ -81,11 +81,11 @@
     Reply(usize, OriginReply<Answer>),
 }
 
-pub(crate) struct OnceWorld {
+pub(crate) struct OnceSimulation {
     pub(super) base: Instant,
     pub(super) hand_overs: Vec<(IncarnationKey, IncarnationKey)>,
     pub(super) late: Vec<Transaction>,
-    pub(super) lives: u64,
+    pub(super) incarnations: u64,
     pub(super) network: Vec<(IncarnationKey, Message)>,
     pub(super) now_ms: u64,
     pub(crate) oracle: OnceOracle,
@@ -103,13 +103,13 @@
     }
 }
 
-impl OnceWorld {
+impl OnceSimulation {
     pub(crate) fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             base: Instant::now(),
             hand_overs: Vec::new(),
             late: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             network: Vec::new(),
             now_ms: 0,
             oracle: OnceOracle {
@@ -123,10 +123,10 @@
             tickets: Vec::new(),
         };
         for at in 0..INSTANCES {
-            let slot = world.start(at);
-            world.slots.push(slot);
+            let slot = simulation.start(at);
+            simulation.slots.push(slot);
         }
-        world
+        simulation
     }
 
     pub(crate) fn apply(&mut self, step: OnceStep) {
@@ -145,12 +145,12 @@
                 }
             }
             OnceStep::HandOver { from, to } => self.hand_over(from, to),
-            OnceStep::Land(index) => {
+            OnceStep::ApplyLateWrite(index) => {
                 if index < self.late.len() {
                     self.platform.apply(&self.late.remove(index));
                 }
             }
-            OnceStep::Learn { at, hand_over } => {
+            OnceStep::LearnSuccessor { at, hand_over } => {
                 let now = self.clock(at).now;
                 if let Some((life, successor)) = self.hand_overs.get(hand_over).cloned() {
                     self.slots[at].forward.add_successor(now, life, successor);
@@ -170,7 +170,7 @@
             } => self.progress(request, pick, fault, late),
             OnceStep::SubmitKey { at, key } => self.submit_key(at, key),
             OnceStep::SubmitTicket { at, ticket } => {
-                // The youngest tickets are of most interest.
+                // Tickets are counted from the newest.
                 let index = self.tickets.len().checked_sub(ticket + 1);
                 if let Some(ticket) = index.map(|index| self.tickets[index].clone()) {
                     let mut request = self.request(at, ticket);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Ends a request with its answer.
+    /// Completes a request with its answer.
     pub(super) fn answer(&mut self, index: usize, reply: OriginReply<Answer>) {
         let request = &mut self.requests[index];
         request.phase = Phase::Done;
@@ -265,9 +265,9 @@
         if from == to || open_table(&mut self.slots[from]).is_none() {
             return;
         }
-        // A restarted table stands in while the real one is consumed.
-        let stand_in = self.start(from).state;
-        let SlotState::Open(table) = mem::replace(&mut self.slots[from].state, stand_in) else {
+        // A placeholder table, since `hand_over` consumes the real one.
+        let placeholder = self.start(from).state;
+        let SlotState::Open(table) = mem::replace(&mut self.slots[from].state, placeholder) else {
             return;
         };
         let (message, closed) = table.hand_over(now, successor.clone());
@@ -306,14 +306,14 @@
     pub(super) fn route(&self, at: usize, life: &IncarnationKey) -> Option<IncarnationKey> {
         let is_live = |life: &IncarnationKey| self.slots.iter().any(|slot| slot.life == *life);
         let slot = &self.slots[at];
-        let course = match &slot.state {
+        let route = match &slot.state {
             SlotState::Closed(closed) if closed.holds(life) => {
                 return Some(closed.successor().clone());
             }
             SlotState::Closed(_) => slot.forward.route(life, |_| false, is_live),
             SlotState::Open(table) => slot.forward.route(life, |life| table.holds(life), is_live),
         };
-        match course {
+        match route {
             ForwardRoute::Gone => None,
             ForwardRoute::Local => Some(slot.life.clone()),
             ForwardRoute::Remote(life) => Some(life),
@@ -321,9 +321,9 @@
     }
 
     fn start(&mut self, at: usize) -> Slot {
-        self.lives += 1;
+        self.incarnations += 1;
         let life = IncarnationKey {
-            incarnation: self.lives,
+            incarnation: self.incarnations,
             instance: format!("entry-{at}").into(),
         };
         let settings = TicketSettings::builder().secret(3).retention(RETENTION);
--- a/crates/claim/tests/support/once_step.rs
+++ b/crates/claim/tests/support/once_step.rs
@@ -1,4 +1,4 @@
-//! What can happen.
+//! The steps of the at-most-once simulation.
 
 use {
     super::flaky_rows::CallFault,
@@ -8,32 +8,32 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum OnceStep {
-    /// Time passes; whoever is between two steps is frozen for it.
+    /// Time passes; requests between two steps are suspended meanwhile.
     Advance(u64),
-    /// A life ends without a word, and the instance starts again.
+    /// An instance crashes and restarts with a new incarnation.
     Crash(usize),
-    /// The next message arrives; `copy` leaves it in the network.
+    /// A message arrives; `copy` also leaves it in the network.
     Deliver {
         copy: bool,
         message: usize,
     },
     DropMessage(usize),
-    /// A request goes on by some steps without a fault, and is dispatched if it may be.
+    /// A request progresses by several steps without a fault, and is dispatched if permitted.
     Finish(usize),
-    /// A life hands its tickets over, and starts to close.
+    /// An instance hands its tickets over and starts to close.
     HandOver {
         from: usize,
         to: usize,
     },
     /// A late write takes effect.
-    Land(usize),
-    /// An instance hears who took over from whom.
-    Learn {
+    ApplyLateWrite(usize),
+    /// An instance learns the successor of a closed incarnation.
+    LearnSuccessor {
         at: usize,
         hand_over: usize,
     },
     Mint(usize),
-    /// A request goes on by one step.
+    /// A request progresses by one step.
     Progress {
         fault: CallFault,
         late: bool,
@@ -52,7 +52,7 @@
         at: usize,
         late: bool,
     },
-    /// An instance's wall clock is set.
+    /// The wall clock of an instance is set to another time.
     WallJump {
         at: usize,
         ms: u64,
@@ -68,7 +68,7 @@
             1 => Just(CallFault::LostCall),
             1 => Just(CallFault::LostReply),
         ];
-        // Near the ends of tickets, claims and their retention is where faults show.
+        // Most faults show close to the expiry of tickets and claims and to the end of their retention.
         let pauses = vec![1, 1, 200, 200, 900, 999, 1001, 1100, 2100];
         let late = proptest::bool::weighted(0.1);
         prop_oneof![
@@ -79,8 +79,8 @@
             1 => some().prop_map(Self::DropMessage),
             10 => some().prop_map(Self::Finish),
             2 => (at(), at()).prop_map(|(from, to)| Self::HandOver { from, to }),
-            1 => some().prop_map(Self::Land),
-            2 => (at(), some()).prop_map(|(at, hand_over)| Self::Learn { at, hand_over }),
+            1 => some().prop_map(Self::ApplyLateWrite),
+            2 => (at(), some()).prop_map(|(at, hand_over)| Self::LearnSuccessor { at, hand_over }),
             5 => at().prop_map(Self::Mint),
             14 => (some(), fault, late, any::<u8>()).prop_map(|(request, fault, late, pick)| {
                 Self::Progress { fault, late, pick, request }
@@ -92,7 +92,7 @@
         ]
     }
 
-    /// Steps around one hand-over: few tickets, copies of messages, submissions everywhere.
+    /// Steps around one hand-over: few tickets, duplicated messages, submissions at all instances.
     fn around_hand_overs() -> impl Strategy<Value = Self> {
         let at = || 0..3_usize;
         let two = || 0..2_usize;
@@ -103,13 +103,13 @@
                 .prop_map(|(message, copy)| Self::Deliver { copy, message }),
             4 => two().prop_map(Self::Finish),
             2 => (at(), at()).prop_map(|(from, to)| Self::HandOver { from, to }),
-            2 => (at(), two()).prop_map(|(at, hand_over)| Self::Learn { at, hand_over }),
+            2 => (at(), two()).prop_map(|(at, hand_over)| Self::LearnSuccessor { at, hand_over }),
             1 => at().prop_map(Self::Mint),
             6 => (at(), two()).prop_map(|(at, ticket)| Self::SubmitTicket { at, ticket }),
         ]
     }
 
-    /// Steps around one key: late writes, sweeps, wall clocks that are wrong.
+    /// Steps around one key: late writes, sweeps and wrong wall clocks.
     fn around_keys() -> impl Strategy<Value = Self> {
         let at = || 0..3_usize;
         let late = || proptest::bool::weighted(0.3);
@@ -117,7 +117,7 @@
             3 => proptest::sample::select(vec![1, 500, 1001, 1030]).prop_map(Self::Advance),
             2 => (0..3_usize).prop_map(|message| Self::Deliver { copy: false, message }),
             4 => (0..3_usize).prop_map(Self::Finish),
-            2 => (0..2_usize).prop_map(Self::Land),
+            2 => (0..2_usize).prop_map(Self::ApplyLateWrite),
             6 => (0..3_usize, late(), 1..4_u8).prop_map(|(request, late, pick)| Self::Progress {
                 fault: CallFault::None, late, pick, request,
             }),
@@ -127,7 +127,7 @@
         ]
     }
 
-    /// Sequences of all steps, or of those around one matter.
+    /// Sequences of all steps, or of the steps around hand-overs or keys only.
     pub(crate) fn sequences(length: Range<usize>) -> impl Strategy<Value = Vec<Self>> {
         prop_oneof![
             vec(Self::any(), length.clone()),
--- a/crates/claim/tests/ticket.rs
+++ b/crates/claim/tests/ticket.rs
@@ -1,4 +1,4 @@
-//! The text of tickets.
+//! The text format of tickets and its parse errors.
 
 use {
     claim::{ClaimError, IncarnationKey, Ticket, TicketSettings, TicketTable},
--- a/crates/claim/tests/ticket_table.rs
+++ b/crates/claim/tests/ticket_table.rs
@@ -1,4 +1,4 @@
-//! One use a ticket, at its origin.
+//! At its origin a ticket runs at most once.
 
 use {
     claim::{
@@ -128,8 +128,8 @@
     let SubmitVerdict::Run(permit) = test.table.submit(test.now, &test.ticket, DIGEST) else {
         panic!("no permit");
     };
-    let thawed = test.now + MINUTE;
-    let dispatch = permit.dispatch(thawed, UnsentRequest::from_caller(()));
+    let resumed = test.now + MINUTE;
+    let dispatch = permit.dispatch(resumed, UnsentRequest::from_caller(()));
     assert!(matches!(dispatch, PermitDispatch::Expired { .. }));
 }
 
--- a/crates/lease/src/clock_drift.rs
+++ b/crates/lease/src/clock_drift.rs
@@ -2,16 +2,17 @@
 
 use std::time::Duration;
 
-/// The most that a monotonic clock may run fast or slow, parts in a million.
+/// The assumed maximum drift of a monotonic clock, in parts per million.
 pub const DRIFT_PPM: u32 = 10_000;
 const MILLION: u32 = 1_000_000;
 
-/// What a holder may use of a duration: by any other clock it is then no longer than the [`add_drift_margin`] one.
+/// The part of a duration that a lease holder may use. By any other clock it is no longer than the same duration with
+/// [`add_drift_margin`].
 pub fn subtract_drift_margin(duration: Duration) -> Duration {
     duration - margin(duration)
 }
 
-/// What whoever waits for the end of another's duration has to wait by its own clock.
+/// How long a process must wait by its own clock for a duration that another process measures.
 pub fn add_drift_margin(duration: Duration) -> Duration {
     duration + margin(duration)
 }
--- a/crates/lease/src/lease_core.rs
+++ b/crates/lease/src/lease_core.rs
@@ -7,35 +7,35 @@
     std::{sync::Arc, time::Instant},
 };
 
-/// Below the first fencing number of a lease.
+/// Lower than the first fencing token of a lease.
 const NO_TOKEN: FencingToken = 0;
-/// Writes without an answer that are remembered, the youngest ones.
+/// The maximum number of unanswered writes that are remembered; the oldest are dropped first.
 const PENDING_LIMIT: usize = 8;
 
-/// What the lease hears.
+/// An input to the lease.
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
-    /// An upstream refused an order: it has seen this greater fencing number.
+    /// An upstream refused an order because it has seen this greater fencing token.
     FenceRefused(FencingToken),
-    /// The platform gave no answer; a write may have taken effect, or may still.
+    /// The platform gave no answer; a write may have taken effect or may still do so.
     NoAnswer,
     /// The row was read.
     Read(Option<StoredRow>),
-    /// Give the lease up. Ask only when no order may be at work.
+    /// Release the lease. Only allowed when no order can be in progress.
     Release,
     /// The platform answered a write.
     Reply(TransactionReply),
-    /// Time passed: acquire or renew, if it is due.
+    /// Time passed: acquire or renew the lease if that is due.
     Tick,
 }
 
-/// What to do for the lease.
+/// The next action for the lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
-#[must_use = "a lease goes on by its action"]
+#[must_use = "a lease makes progress only by its action"]
 pub enum LeaseAction {
-    /// Commit this, and bring the answer back.
+    /// Commit this transaction and pass the reply to `on_event`.
     Commit(Transaction),
-    /// Read this row, and bring it back.
+    /// Read this row and pass it to `on_event`.
     Get(Arc<str>),
     /// Wait for the next tick.
     Wait,
@@ -69,10 +69,11 @@
     Holding(HeldLease),
 }
 
-/// One lease, as one process sees it.
+/// The state machine of one lease in one process.
 ///
-/// A holder counts its lease from before it sent the write, by its own monotonic clock, and a little short; others
-/// wait for its whole life, and a little more, from when they first saw the row as it is. No wall clock has a say.
+/// A holder counts its lease from before it sent the write, by its own monotonic clock and minus a drift margin. Other
+/// processes wait for the whole duration plus a drift margin, from when they first saw the row in its current version.
+/// Wall clocks are not used.
 #[derive(Debug)]
 pub struct LeaseCore {
     fence_floor: FencingToken,
@@ -84,8 +85,8 @@
 }
 
 impl LeaseCore {
-    /// What this process may do by the lease now; none if it does not hold it, or if it ended by its own clock.
-    /// Read the clock right before the order is sent.
+    /// What the lease allows now; `None` if this process does not hold it, or if it has expired by its own clock. The
+    /// clock must be read right before an order is sent.
     pub fn hold(&self, now: Instant) -> Option<LeaseHold> {
         let LeasePhase::Holding(held) = &self.phase else {
             return None;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Decides what comes next.
+    /// Handles one event and returns the next action.
     pub fn on_event(&mut self, now: Instant, event: LeaseEvent) -> LeaseAction {
         match event {
             LeaseEvent::FenceRefused(seen) => {
@@ -133,7 +134,7 @@
         &self.settings
     }
 
-    /// Takes the lease with a fencing number above `fence`, and above all that upstreams have seen.
+    /// Takes the lease with a fencing token greater than `fence` and than all that upstreams have reported.
     fn acquire(
         &mut self,
         now: Instant,
@@ -191,7 +192,7 @@
         })
     }
 
-    /// Holds the lease by a write that took effect.
+    /// Becomes the holder by a write that took effect.
     fn become_holder(&mut self, pending: PendingWrite) {
         self.pending.clear();
         self.needs_read = false;
@@ -218,7 +219,7 @@
         LeaseAction::Wait
     }
 
-    /// The row says that another process holds the lease.
+    /// Handles a row that names another process as the holder.
     fn on_foreign_row(
         &mut self,
         now: Instant,
@@ -241,7 +242,7 @@
         self.acquire(now, row.version, record.fence, unchecked_from)
     }
 
-    /// The row says that this process holds the lease.
+    /// Handles a row that names this process as the holder.
     fn on_own_row(&mut self, now: Instant, row: &StoredRow, record: &LeaseRecord) -> LeaseAction {
         let written = self
             .pending
@@ -257,7 +258,7 @@
             held.version = row.version;
             return self.renew(now);
         }
-        // A write that was given up took effect after all. What it waited for is no longer known.
+        // A forgotten write took effect after all. Its waiting time is no longer known, so the longest one applies.
         let longest = record.takeover_wait() + record.order_wait();
         self.acquire(now, row.version, record.fence, now + longest)
     }
@@ -294,7 +295,7 @@
         };
         let (hold, version) = (held.hold, held.version);
         let ended = now >= hold.until;
-        // An earlier holder's order may be at work: whoever comes next has to see a lease that lapsed.
+        // An earlier holder's order may be in progress, so the next holder must wait for this lease to expire.
         let waits = now < hold.unchecked_from;
         self.phase = LeasePhase::Following(None);
         if ended || waits {
@@ -312,7 +313,7 @@
         self.pending.push(pending);
     }
 
-    /// Renews the lease when it is due, with the same fencing number; takes it anew when it ended.
+    /// Renews the lease with the same fencing token if that is due; acquires it again if it has expired.
     fn renew(&mut self, now: Instant) -> LeaseAction {
         let LeasePhase::Holding(held) = &self.phase else {
             return LeaseAction::Wait;
--- a/crates/lease/src/lease_hold.rs
+++ b/crates/lease/src/lease_hold.rs
@@ -1,14 +1,15 @@
-//! What holding a lease allows.
+//! The rights of a lease holder.
 
 use {kernel::FencingToken, std::time::Instant};
 
-/// A lease as its holder knows it. All times are by the holder's monotonic clock.
+/// A held lease. All times are by the holder's monotonic clock.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseHold {
-    /// The fencing number for every order.
+    /// The fencing token for every order.
     pub fence: FencingToken,
-    /// From when on orders may go to upstreams that ignore the number: no earlier holder's order is at work then.
+    /// From when orders may be sent to upstreams that do not check the token: no order of an earlier holder is in progress
+    /// by then.
     pub unchecked_from: Instant,
-    /// No order may be sent from here on.
+    /// When the lease expires: no order may be sent from then on.
     pub until: Instant,
 }
--- a/crates/lease/src/lease_keeper.rs
+++ b/crates/lease/src/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! The driver of one lease: it talks to the platform and to upstreams.
+//! Drives one lease against the platform, and sends orders to upstreams.
 
 use {
     crate::{
@@ -17,7 +17,7 @@
     std::sync::Arc,
 };
 
-/// Calls to the platform in one beat: a read, a write, and once more of each after a conflict.
+/// The maximum calls to the platform per tick: a read and a write, and both again after a conflict.
 const MAX_CALLS_PER_TICK: usize = 4;
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     gate: OrderGate,
 }
 
-/// Holds one lease, and sends orders under it. Call [`Self::tick`] from one task only.
+/// Holds one lease, and sends orders under it. [`Self::tick`] must be called from one task only.
 #[derive(Debug)]
 pub struct LeaseKeeper<S> {
     state: RankedLock<KeeperState>,
@@ -34,24 +34,24 @@
 }
 
 impl<S: RowStore> LeaseKeeper<S> {
-    /// Acquires or renews the lease if it is due; call it a few times in each life.
+    /// Acquires or renews the lease if that is due. It must be called a few times per lease duration.
     pub async fn tick(&self) {
         self.drive(LeaseEvent::Tick).await;
     }
 
-    /// Releases the lease if no order can be at work; otherwise it lapses by itself.
+    /// Releases the lease if no order can be in progress; otherwise the lease expires.
     pub async fn close(self) {
         if self.state.lock().gate.is_idle(steady_clock::now()) {
             self.drive(LeaseEvent::Release).await;
         }
     }
 
-    /// What the lease allows now.
+    /// What the lease allows now; `None` if it is not held.
     pub fn hold(&self) -> Option<LeaseHold> {
         self.state.lock().core.hold(steady_clock::now())
     }
 
-    /// A keeper that holds nothing yet.
+    /// A keeper that does not hold the lease yet.
     pub fn new(store: Arc<S>, settings: LeaseSettings) -> Self {
         let gate = OrderGate::new(settings.longest_order);
         let core = LeaseCore::new(settings);
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Sends an order under the lease. `checks_fence` tells whether the upstream refuses old fencing numbers.
+    /// Sends an order under the lease. `checks_fence` tells whether the upstream refuses old fencing tokens.
     ///
     /// # Errors
     ///
-    /// [`LeaseError`]: the lease is not held, an earlier order may be at work, the upstream refused the number, or
-    /// gave no answer. An order that the upstream refused for a reason of its own is `Ok(false)`.
+    /// [`LeaseError`]: the lease is not held, an earlier order may be in progress, the upstream refused the token, or
+    /// gave no answer. An order that the upstream refused for another reason is `Ok(false)`.
     pub async fn order<O: OrderSender>(
         &self,
         sender: &O,
@@ -118,7 +118,7 @@
                 LeaseAction::Wait => return,
             };
         }
-        // The last answer has to be heard; what it asks for waits for the next beat.
+        // The last reply must be handled; the action that follows from it waits for the next tick.
         if let LeaseAction::Commit(_) = self.step(event) {
             let _wait = self.step(LeaseEvent::NoAnswer);
         }
--- a/crates/lease/src/lease_settings.rs
+++ b/crates/lease/src/lease_settings.rs
@@ -1,4 +1,4 @@
-//! What shapes a lease.
+//! The settings of a lease.
 
 use {
     crate::clock_drift::subtract_drift_margin,
@@ -6,10 +6,10 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// A lease's name, its holder's name and its times.
+/// The key, holder and durations of a lease.
 #[derive(Builder, Clone, Debug)]
 pub struct LeaseSettings {
-    /// The name of this process's life: an instance and its incarnation. A restarted process has another.
+    /// This process: an instance and its incarnation. A restarted process has another name.
     #[builder(into)]
     pub holder: Arc<str>,
     /// The row of the lease, such as `leases/riga-a/glaze`. The row is never removed.
@@ -18,16 +18,16 @@
     /// How long a lease lasts from its last write.
     #[builder(default = Duration::from_secs(10))]
     pub life: Duration,
-    /// The longest that an order may take from its sending to its last effect.
+    /// The maximum time from sending an order to its last effect.
     #[builder(default = Duration::from_secs(60))]
     pub longest_order: Duration,
-    /// How long after a write the next one is sent.
+    /// The time from one write to the next renewal.
     #[builder(default = Duration::from_secs(3))]
     pub renew_after: Duration,
 }
 
 impl LeaseSettings {
-    /// How long a holder counts on its lease from before it sent the write.
+    /// How long a holder uses its lease, counted from before it sent the write.
     pub fn usable_duration(&self) -> Duration {
         subtract_drift_margin(self.life)
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,6 +1,6 @@
-//! Orders to engines: leases with fencing numbers, the gate before each order, and the choice of orders.
+//! Orders to engines: leases with fencing tokens, the gate before each order, and the rate limit on model loads.
 //!
-//! [`LeaseCore`] and [`OrderGate`] decide without I/O and take the time as an argument.
+//! [`LeaseCore`] and [`OrderGate`] do no I/O and take the time as an argument.
 //! [`LeaseKeeper`] reads and writes the lease's row at the platform and sends the orders.
 
 pub mod clock_drift;
--- a/crates/lease/src/order_gate.rs
+++ b/crates/lease/src/order_gate.rs
@@ -1,4 +1,4 @@
-//! Whether an order may be sent now.
+//! Decides whether an order may be sent now.
 
 use {
     crate::{clock_drift::add_drift_margin, lease_hold::LeaseHold},
@@ -9,18 +9,18 @@
     },
 };
 
-/// What the gate says of an order.
+/// The decision of the gate on an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GateVerdict {
     /// The lease is not held: [`LeaseLost`](kernel::ResultCode::LeaseLost).
     Lost,
-    /// Send it now, with this number, and tell the gate what became of it.
+    /// Send it now with this fencing token, and report an answer to [`OrderGate::on_answer`].
     Send(FencingToken),
-    /// An earlier order may be at work until then.
+    /// An earlier order may be in progress until then.
     Wait(Instant),
 }
 
-/// The gate before each order of one process. One order an upstream is at work at a time.
+/// Checks each order of a process before it is sent. At most one order per upstream is in flight at a time.
 #[derive(Debug)]
 pub struct OrderGate {
     longest_order: Duration,
@@ -28,10 +28,11 @@
 }
 
 impl OrderGate {
-    /// Decides on an order, and takes it for sent if it says so. `now` is read right before the order is sent.
+    /// Decides on an order, and records it as sent if the verdict is to send it. `now` must be read right before the order
+    /// is sent.
     ///
-    /// An upstream that checks fencing numbers refuses an earlier holder by itself. For one that doesn't, the gate
-    /// waits until no earlier holder's order can be at work.
+    /// An upstream that checks fencing tokens refuses earlier holders itself. For one that does not, the gate waits until
+    /// no order of an earlier holder can be in progress.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -53,12 +54,12 @@
         GateVerdict::Send(hold.fence)
     }
 
-    /// Whether no order of this process can be at work.
+    /// Whether no order of this process can be in progress.
     pub fn is_idle(&self, now: Instant) -> bool {
         self.in_flight.values().all(|done| *done <= now)
     }
 
-    /// A gate for orders that take `longest_order` at most from their sending to their last effect.
+    /// A gate for orders that take at most `longest_order` from sending to their last effect.
     pub fn new(longest_order: Duration) -> Self {
         Self {
             longest_order,
@@ -66,8 +67,8 @@
         }
     }
 
-    /// An upstream answered: its order is done, or was refused. An order without an answer counts as at work for
-    /// the longest time.
+    /// Records that an upstream answered: its order is done or was refused. An order without an answer counts as in flight
+    /// for the longest time.
     pub fn on_answer(&mut self, upstream: &UpstreamId) {
         self.in_flight.remove(upstream);
     }
--- a/crates/lease/src/order_sender.rs
+++ b/crates/lease/src/order_sender.rs
@@ -1,4 +1,4 @@
-//! How orders reach upstreams.
+//! Transport of orders to upstreams.
 
 use {
     engine::wire::EngineOrder,
@@ -6,22 +6,22 @@
     std::future::Future,
 };
 
-/// What an upstream says to an order.
+/// The reply of an upstream to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderReply {
-    /// It is carried out, all its effects included.
+    /// The order and all its effects are complete.
     Done,
-    /// It was refused: the upstream has seen this greater fencing number.
+    /// The order was refused: the upstream has seen this greater fencing token.
     Fenced(FencingToken),
-    /// It was refused for another reason, and has no effect.
+    /// The order was refused for another reason and has no effect.
     Refused,
-    /// No answer: it may take effect yet, for as long as the longest order.
+    /// No answer: the order may still take effect, within the time of the longest order.
     Unknown,
 }
 
 /// Sends orders to upstreams.
 pub trait OrderSender: Send + Sync {
-    /// Sends one order, once. It returns when the order is carried out, refused, or given up.
+    /// Sends one order, once. Returns when the order is carried out, refused or abandoned.
     fn send_order(
         &self,
         upstream: &UpstreamId,
--- a/crates/lease/src/weight_budget.rs
+++ b/crates/lease/src/weight_budget.rs
@@ -1,8 +1,8 @@
-//! The rate-limited weight store.
+//! Rate limit on loads from the weight store.
 
 use std::time::{Duration, Instant};
 
-/// A share of the weight store's rate: loads spend it, and time brings it back.
+/// Token bucket, in bytes, for this instance's share of the weight store's rate.
 #[derive(Debug)]
 pub struct WeightBudget {
     burst: f64,
@@ -12,7 +12,7 @@
 }
 
 impl WeightBudget {
-    /// A full budget of `rate` bytes a second, over 0, that holds at most `burst` bytes.
+    /// A full bucket of `burst` bytes, refilled at `rate` bytes per second. `rate` must be positive.
     pub fn new(now: Instant, rate: f64, burst: f64) -> Self {
         Self {
             burst,
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Spends the bytes of one load.
+    /// Takes the bytes of one load.
     ///
-    /// A load larger than the burst goes when the budget is full, and leaves a debt behind.
+    /// A load larger than the burst is allowed when the bucket is full, and leaves a negative balance.
     ///
     /// # Errors
     ///
-    /// How long to wait when there is too little available; nothing is spent updated_at.
+    /// How long to wait if the balance is too low; nothing is taken then.
     pub fn spend(&mut self, now: Instant, bytes: f64) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.updated_at);
         self.updated_at = self.updated_at.max(now);
--- a/crates/lease/tests/lease_core.rs
+++ b/crates/lease/tests/lease_core.rs
@@ -1,4 +1,4 @@
-//! Who may give orders, and when, by each process's own clock.
+//! Which process may send orders, and when, by each process's own monotonic clock.
 
 use {
     lease::{GateVerdict, LeaseAction, LeaseCore, LeaseEvent, LeaseSettings, OrderGate},
@@ -15,7 +15,7 @@
     LeaseCore::new(settings.life(LIFE).longest_order(LONGEST_ORDER).build())
 }
 
-/// The row that an action writes.
+/// The row that an action writes, with the expected version.
 fn written(action: LeaseAction, version: u64) -> StoredRow {
     let LeaseAction::Commit(transaction) = action else {
         panic!("{action:?} writes nothing");
@@ -29,7 +29,7 @@
     }
 }
 
-/// A holder that wrote its row at `now`, and the row.
+/// A holder that wrote its row at `now`, together with the row.
 fn holder(now: Instant) -> (LeaseCore, StoredRow) {
     let mut core = core("one");
     let row = written(core.on_event(now, LeaseEvent::Read(None)), 1);
@@ -52,10 +52,10 @@
     let (_, row) = holder(now);
     let mut next = core("two");
     let read = || LeaseEvent::Read(Some(row.clone()));
-    let looked = now + LIFE * 3;
-    assert_eq!(next.on_event(looked, read()), LeaseAction::Wait);
-    assert_eq!(next.on_event(looked + LIFE, read()), LeaseAction::Wait);
-    let taken = looked + LIFE + SECOND / 10;
+    let first_read = now + LIFE * 3;
+    assert_eq!(next.on_event(first_read, read()), LeaseAction::Wait);
+    assert_eq!(next.on_event(first_read + LIFE, read()), LeaseAction::Wait);
+    let taken = first_read + LIFE + SECOND / 10;
     let row = written(next.on_event(taken, read()), 2);
     assert!(row.value.contains(r#""fence":2"#));
 }
@@ -84,12 +84,12 @@
 fn a_holder_that_was_frozen_past_its_lease_sends_nothing() {
     let now = Instant::now();
     let (core, _) = holder(now);
-    let thawed = now + LIFE;
+    let resumed = now + LIFE;
     let mut gate = OrderGate::new(LONGEST_ORDER);
-    let verdict = gate.decide(thawed, core.hold(thawed), &"checks".into(), true);
+    let verdict = gate.decide(resumed, core.hold(resumed), &"checks".into(), true);
     assert_eq!(verdict, GateVerdict::Lost);
     let stale = core.hold(now + SECOND);
-    let verdict = gate.decide(thawed, stale, &"checks".into(), true);
+    let verdict = gate.decide(resumed, stale, &"checks".into(), true);
     assert_eq!(verdict, GateVerdict::Lost);
 }
 
--- a/crates/lease/tests/lease_fuzz.rs
+++ b/crates/lease/tests/lease_fuzz.rs
@@ -1,4 +1,4 @@
-//! Random faults against leases and the order gate, with an oracle of a few lines.
+//! Fuzzes leases and the order gate with random faults against an oracle.
 
 #[path = "../../claim/tests/support/fuzz.rs"]
 mod fuzz;
@@ -6,18 +6,18 @@
 
 use {
     proptest::{collection::vec, prelude::*},
-    support::lease_world::{LeaseStep, LeaseWorld},
+    support::lease_simulation::{LeaseSimulation, LeaseStep},
 };
 
-const LONGEST_RUN: usize = 120;
+const MAX_STEPS: usize = 120;
 
 #[test]
 fn no_two_orders_overlap_and_fences_only_grow() {
-    fuzz::check(vec(LeaseStep::any(), 1..LONGEST_RUN), |steps| {
-        let mut world = LeaseWorld::new();
+    fuzz::check(vec(LeaseStep::any(), 1..MAX_STEPS), |steps| {
+        let mut simulation = LeaseSimulation::new();
         for step in steps {
-            world.apply(step);
-            prop_assert!(world.fault.is_none(), "{:?}", world.fault);
+            simulation.apply(step);
+            prop_assert!(simulation.fault.is_none(), "{:?}", simulation.fault);
         }
         Ok(())
     });
@@ -26,10 +26,10 @@
 #[test]
 fn the_faults_leave_room_for_orders() {
     let orders = std::cell::Cell::new(0);
-    fuzz::check(vec(LeaseStep::any(), LONGEST_RUN), |steps| {
-        let mut world = LeaseWorld::new();
-        steps.into_iter().for_each(|step| world.apply(step));
-        orders.set(orders.get() + world.orders.len());
+    fuzz::check(vec(LeaseStep::any(), MAX_STEPS), |steps| {
+        let mut simulation = LeaseSimulation::new();
+        steps.into_iter().for_each(|step| simulation.apply(step));
+        orders.set(orders.get() + simulation.orders.len());
         Ok(())
     });
     assert!(orders.get() > 100, "{} orders", orders.get());
--- a/crates/lease/tests/lease_keeper.rs
+++ b/crates/lease/tests/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! One lease at the platform, and orders under it.
+//! A lease at the platform, and orders sent under it.
 
 #[path = "../../claim/tests/support/flaky_rows.rs"]
 mod flaky_rows;
--- a/crates/lease/tests/order_choice.rs
+++ b/crates/lease/tests/order_choice.rs
@@ -1,4 +1,4 @@
-//! Which orders to give: loads within the weight store's rate.
+//! Model loads stay within the rate of the weight store.
 
 use {
     lease::WeightBudget,
--- a/crates/lease/tests/support/lease_world.rs
+++ b/crates/lease/tests/support/lease_simulation.rs
@@ -1,4 +1,4 @@
-//! Three processes, one lease row and two engines, in virtual time.
+//! Simulates three processes, one lease row and two engines in virtual time.
 
 use {
     kernel::UpstreamId,
@@ -13,11 +13,11 @@
 const LIFE_MS: u64 = 1000;
 const ORDER_MS: u64 = 2500;
 const MILLION: u64 = 1_000_000;
-const BEAT_STEPS: usize = 3;
+const STEPS_PER_TICK: usize = 3;
 /// Each process's clock: where it starts, milliseconds, and its rate.
 const CLOCKS: [(u64, u64); 3] = [(0, 991_000), (90_000, 1_000_000), (7, 1_009_000)];
 
-/// What becomes of one call to the platform.
+/// The fate of one call to the platform.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CallFate {
     Done,
@@ -28,21 +28,21 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum LeaseStep {
-    /// Time passes; whoever is between two steps is frozen for it.
+    /// Time passes; processes between two steps are suspended meanwhile.
     Advance(u64),
     /// The process ticks until it waits, and every call is answered.
-    Beat(usize),
+    TickUntilIdle(usize),
     Crash(usize),
     /// A late write takes effect.
-    Land(usize),
+    ApplyLateWrite(usize),
     Order {
         answered: bool,
         checks_fence: bool,
         process: usize,
-        works_ms: u64,
+        duration_ms: u64,
     },
     Release(usize),
-    /// The process hears its answer, or ticks, and makes its next call.
+    /// The process handles its pending reply, or ticks, and makes its next call.
     Step(usize, CallFate),
 }
 
@@ -54,19 +54,19 @@
             1 => Just(CallFate::LostCall),
             1 => Just(CallFate::LostReply),
         ];
-        let mostly = || prop_oneof![2 => Just(false), 1 => Just(true)];
-        let works_ms = prop_oneof![1 => 1..ORDER_MS, 2 => Just(ORDER_MS)];
-        let order = (mostly(), mostly(), 0..3_usize, works_ms);
-        // Near the ends of leases and orders is where faults show.
-        let pauses = [1_u64, 20, 335, 500, 950, 985, 1000, 1012, 1030, 2500];
-        let pause = prop_oneof![4 => proptest::sample::select(pauses.to_vec()), 1 => 0..1100_u64];
+        let rarely = || prop_oneof![2 => Just(false), 1 => Just(true)];
+        let duration_ms = prop_oneof![1 => 1..ORDER_MS, 2 => Just(ORDER_MS)];
+        let order = (rarely(), rarely(), 0..3_usize, duration_ms);
+        // Most faults show close to the ends of leases and orders.
+        let delays = [1_u64, 20, 335, 500, 950, 985, 1000, 1012, 1030, 2500];
+        let delay = prop_oneof![4 => proptest::sample::select(delays.to_vec()), 1 => 0..1100_u64];
         prop_oneof![
-            5 => pause.prop_map(Self::Advance),
-            6 => (0..3_usize).prop_map(Self::Beat),
+            5 => delay.prop_map(Self::Advance),
+            6 => (0..3_usize).prop_map(Self::TickUntilIdle),
             1 => (0..3_usize).prop_map(Self::Crash),
-            1 => (0..4_usize).prop_map(Self::Land),
-            5 => order.prop_map(|(answered, checks_fence, process, works_ms)| Self::Order {
-                answered, checks_fence, process, works_ms,
+            1 => (0..4_usize).prop_map(Self::ApplyLateWrite),
+            5 => order.prop_map(|(answered, checks_fence, process, duration_ms)| Self::Order {
+                answered, checks_fence, process, duration_ms,
             }),
             1 => (0..3_usize).prop_map(Self::Release),
             6 => (0..3_usize, fate).prop_map(|(process, fate)| Self::Step(process, fate)),
@@ -87,50 +87,50 @@
 struct Process {
     core: LeaseCore,
     gate: OrderGate,
-    heard: Option<LeaseEvent>,
+    pending: Option<LeaseEvent>,
     holder: String,
 }
 
-pub(crate) struct LeaseWorld {
+pub(crate) struct LeaseSimulation {
     base: Instant,
     pub(crate) fault: Option<String>,
     late: Vec<Transaction>,
-    lives: u64,
+    incarnations: u64,
     now_ms: u64,
     pub(crate) orders: Vec<DoneOrder>,
     processes: Vec<Process>,
     row: Option<StoredRow>,
 }
 
-impl LeaseWorld {
+impl LeaseSimulation {
     pub(crate) fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             base: Instant::now(),
             fault: None,
             late: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             now_ms: 0,
             orders: Vec::new(),
             processes: Vec::new(),
             row: None,
         };
         for _ in CLOCKS {
-            let process = world.start();
-            world.processes.push(process);
+            let process = simulation.start();
+            simulation.processes.push(process);
         }
-        world
+        simulation
     }
 
     pub(crate) fn apply(&mut self, step: LeaseStep) {
         match step {
             LeaseStep::Advance(ms) => self.now_ms += ms,
-            LeaseStep::Beat(process) => {
-                for _ in 0..BEAT_STEPS {
+            LeaseStep::TickUntilIdle(process) => {
+                for _ in 0..STEPS_PER_TICK {
                     self.apply(LeaseStep::Step(process, CallFate::Done));
                 }
             }
             LeaseStep::Crash(process) => self.processes[process] = self.start(),
-            LeaseStep::Land(index) => {
+            LeaseStep::ApplyLateWrite(index) => {
                 if index < self.late.len() {
                     let transaction = self.late.swap_remove(index);
                     self.commit(&transaction);
@@ -140,20 +140,20 @@
                 answered,
                 checks_fence,
                 process,
-                works_ms,
-            } => self.order(process, checks_fence, answered, works_ms),
+                duration_ms,
+            } => self.order(process, checks_fence, answered, duration_ms),
             LeaseStep::Release(process) => {
                 let now = self.clock(process);
                 if self.processes[process].gate.is_idle(now) {
-                    self.hear(process, LeaseEvent::Release, CallFate::Done);
+                    self.handle_event(process, LeaseEvent::Release, CallFate::Done);
                 }
             }
             LeaseStep::Step(process, fate) => {
-                let heard = self.processes[process].heard.take();
-                self.hear(process, heard.unwrap_or(LeaseEvent::Tick), fate);
+                let pending = self.processes[process].pending.take();
+                self.handle_event(process, pending.unwrap_or(LeaseEvent::Tick), fate);
             }
         }
-        self.judge_holders();
+        self.check_holders();
     }
 
     fn call(&mut self, action: &LeaseAction) -> Option<LeaseEvent> {
@@ -191,13 +191,13 @@
         TransactionReply::Committed
     }
 
-    fn hear(&mut self, process: usize, event: LeaseEvent, fate: CallFate) {
+    fn handle_event(&mut self, process: usize, event: LeaseEvent, fate: CallFate) {
         let now = self.clock(process);
         let action = self.processes[process].core.on_event(now, event);
         if action == LeaseAction::Wait {
             return;
         }
-        let heard = match fate {
+        let pending = match fate {
             CallFate::Done => self.call(&action),
             CallFate::Late => {
                 if let LeaseAction::Commit(transaction) = action {
@@ -211,11 +211,11 @@
                 Some(LeaseEvent::NoAnswer)
             }
         };
-        self.processes[process].heard = heard;
+        self.processes[process].pending = pending;
     }
 
-    /// The oracle: an order that an engine carries out.
-    fn judge(&mut self, order: DoneOrder) {
+    /// Records an order that an engine carried out, and checks it against the earlier ones.
+    fn check_order(&mut self, order: DoneOrder) {
         let same_engine = |other: &&DoneOrder| other.checks_fence == order.checks_fence;
         for other in self.orders.iter().filter(same_engine) {
             let overlap = other.starts_ms < order.ends_ms && order.starts_ms < other.ends_ms;
@@ -229,8 +229,8 @@
         self.orders.push(order);
     }
 
-    /// The oracle: one process at a time takes itself for the holder.
-    fn judge_holders(&mut self) {
+    /// Checks that at most one process regards itself as the holder.
+    fn check_holders(&mut self) {
         let holds = |at: &usize| self.processes[*at].core.hold(self.clock(*at)).is_some();
         let holders: Vec<usize> = (0..CLOCKS.len()).filter(holds).collect();
         if holders.len() > 1 {
@@ -238,7 +238,7 @@
         }
     }
 
-    fn order(&mut self, process: usize, checks_fence: bool, answered: bool, works_ms: u64) {
+    fn order(&mut self, process: usize, checks_fence: bool, answered: bool, duration_ms: u64) {
         let now = self.clock(process);
         let engine = UpstreamId::from(if checks_fence { "checks" } else { "ignores" });
         let seen = self
@@ -259,24 +259,24 @@
             let _wait = core.on_event(now, LeaseEvent::FenceRefused(seen.unwrap()));
             return;
         }
-        // An answered order is done when its answer comes; here at once.
-        let works_ms = if answered { 0 } else { works_ms };
+        // An answered order is complete when its answer arrives, which is immediately in this simulation.
+        let duration_ms = if answered { 0 } else { duration_ms };
         if answered {
             gate.on_answer(&engine);
         }
         let order = DoneOrder {
             checks_fence,
-            ends_ms: self.now_ms + works_ms,
+            ends_ms: self.now_ms + duration_ms,
             fence,
             holder: holder.clone(),
             starts_ms: self.now_ms,
         };
-        self.judge(order);
+        self.check_order(order);
     }
 
     fn start(&mut self) -> Process {
-        self.lives += 1;
-        let holder = format!("life-{}", self.lives);
+        self.incarnations += 1;
+        let holder = format!("life-{}", self.incarnations);
         let longest_order = Duration::from_millis(ORDER_MS);
         let settings = LeaseSettings::builder()
             .holder(holder.clone())
@@ -288,7 +288,7 @@
         Process {
             core: LeaseCore::new(settings),
             gate: OrderGate::new(longest_order),
-            heard: None,
+            pending: None,
             holder,
         }
     }
--- a/crates/lease/tests/support/mod.rs
+++ b/crates/lease/tests/support/mod.rs
@@ -1,3 +1,3 @@
-//! What the tests of this crate share.
+//! Simulation for the fuzz test.
 
-pub(crate) mod lease_world;
+pub(crate) mod lease_simulation;
--- a/crates/plat/src/budget_platform.rs
+++ b/crates/plat/src/budget_platform.rs
@@ -1,4 +1,4 @@
-//! A platform's client whose calls keep to a budget.
+//! A platform client with rate-limited calls.
 
 use {
     crate::{
@@ -20,10 +20,10 @@
     tokio::time,
 };
 
-/// How long a call may wait for its turn; after it the call is refused without having been sent.
+/// The maximum time that a call may wait for the budget. After that it fails without having been sent.
 pub const DEFER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A client whose calls wait while they are over the budget. Clones share the budget.
+/// A platform client whose calls are deferred while they exceed the budget. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct BudgetPlatform<P> {
     budget: Arc<RankedLock<CallBudget>>,
@@ -31,7 +31,7 @@
     platform: P,
 }
 
-/// Calls that had to wait, since the start.
+/// Counts of deferred calls since the start.
 #[derive(Debug, Default)]
 pub struct DeferCounts {
     reads: AtomicU64,
@@ -39,7 +39,7 @@
 }
 
 impl DeferCounts {
-    /// How many calls of a kind had to wait or were refused for it.
+    /// The number of calls of a kind that were deferred, including those that then failed.
     pub fn get(&self, kind: CallKind) -> u64 {
         self.count(kind).load(Ordering::Relaxed)
     }
@@ -53,12 +53,12 @@
 }
 
 impl<P> BudgetPlatform<P> {
-    /// The calls that had to wait.
+    /// The counts of deferred calls.
     pub fn counts(&self) -> Arc<DeferCounts> {
         self.counts.clone()
     }
 
-    /// A client with full buckets of these rates.
+    /// A client with full token buckets of these rates.
     pub fn new(platform: P, reads: CallRate, writes: CallRate) -> Self {
         let budget = CallBudget::new(Instant::now(), reads, writes);
         Self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Waits for the call's turn.
+    /// Waits until the budget allows the call.
     async fn admit(&self, kind: CallKind) -> Result<(), PlatError> {
         let end = Instant::now() + DEFER_TIMEOUT;
         let mut is_counted = false;
--- a/crates/plat/src/call_budget.rs
+++ b/crates/plat/src/call_budget.rs
@@ -1,8 +1,8 @@
-//! How many calls a second an instance may make to the platform.
+//! Rate limit on an instance's calls to the platform.
 
 use std::time::{Duration, Instant};
 
-/// The kinds of calls, each with a rate of its own.
+/// The kinds of calls, each with its own rate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
     /// Reads rows, objects or the list of instances.
@@ -11,16 +11,16 @@
     Write,
 }
 
-/// A rate and how far it may be saved up.
+/// The rate and burst of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallRate {
-    /// The most calls at once.
+    /// The maximum number of calls at once.
     pub burst: f64,
-    /// Calls a second.
+    /// Calls per second.
     pub per_second: f64,
 }
 
-/// Token buckets for reads and writes. Pure: the caller passes the time in and waits itself.
+/// Token buckets for reads and writes. They do no I/O: the caller passes the time and does the waiting.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     reads: TokenBucket,
--- a/crates/plat/src/edit_attempts.rs
+++ b/crates/plat/src/edit_attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one write to the platform.
+//! The attempts of one edit.
 
 use {
     crate::{edit_origin::EditOrigin, plat_error::PlatError},
@@ -6,7 +6,7 @@
     table::TableMerge,
 };
 
-/// The attempts of one edit whose replies were lost.
+/// The attempts of one edit, and the versions of those whose replies were lost.
 #[derive(Default)]
 pub(crate) struct EditAttempts {
     pub(crate) last_error: Option<String>,
@@ -17,7 +17,8 @@
 }
 
 impl EditAttempts {
-    /// The error to report: a plain one says that nothing was done, which open attempts can't promise.
+    /// The final error. An error other than `OutcomeUnknown` means that nothing was written, which is not certain after an
+    /// attempt whose reply was lost.
     pub(crate) fn close(self, error: PlatError, origin: &EditOrigin) -> PlatError {
         if self.versions.is_empty() {
             return error;
--- a/crates/plat/src/edit_record.rs
+++ b/crates/plat/src/edit_record.rs
@@ -1,4 +1,4 @@
-//! One entry of the log of edits.
+//! An entry of the edit log.
 
 use {
     kernel::TableVersion,
@@ -7,27 +7,27 @@
     table::RowChange,
 };
 
-/// Names one edit; a retry of the same edit has the same id.
+/// Identifies an edit; a retry of the same edit has the same id.
 pub type EditId = Arc<str>;
 
 /// An accepted edit.
 #[serde_with::serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EditRecord {
-    /// When it was made: time since the Unix epoch, by the editor's clock.
+    /// When the edit was made: time since the Unix epoch, by the editor's clock.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub at: Duration,
-    /// Who made it.
+    /// The author of the edit.
     pub author: Arc<str>,
-    /// The rows that it changed.
+    /// The rows that the edit changed.
     pub changes: Vec<RowChange>,
-    /// The edit.
+    /// Identifies the edit.
     pub id: EditId,
-    /// Whether an instance wrote edits back that the platform had lost; their rows keep earlier stamps.
+    /// Whether this edit wrote back edits that the platform had lost; such rows keep their earlier stamps.
     #[serde(default)]
     pub is_write_back: bool,
-    /// The version before it; 0 for the first edit.
+    /// The version before the edit; 0 for the first one.
     pub parent: TableVersion,
-    /// The version that it made.
+    /// The version after the edit.
     pub version: TableVersion,
 }
--- a/crates/plat/src/edit_request.rs
+++ b/crates/plat/src/edit_request.rs
@@ -1,4 +1,4 @@
-//! An edit that an operator asks for.
+//! An edit requested by an operator.
 
 use {
     crate::edit_origin::EditOrigin,
@@ -12,32 +12,32 @@
 pub struct EditRequest {
     /// The version that the file was taken from.
     pub base: FileBase,
-    /// Who edits, when, and under which id.
+    /// The author, time and id of the edit.
     pub origin: EditOrigin,
     /// The rows of the file.
     pub rows: BTreeMap<WorkId, WorkRow>,
 }
 
-/// What became of an edit.
+/// The outcome of an edit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EditOutcome {
-    /// It is done, now or by an earlier try whose reply was lost.
+    /// The edit is committed, now or by an earlier attempt whose reply was lost.
     Committed {
-        /// What it changed.
+        /// The merged changes.
         merge: TableMerge,
-        /// The version that it made.
+        /// The version after the edit.
         version: TableVersion,
     },
-    /// Someone else changed the same rows; nothing is done.
+    /// Another edit changed the same rows; nothing was written.
     Conflict {
         /// The rows, with both values.
         conflicts: Vec<RowConflict>,
-        /// The version that has the other values.
+        /// The version that contains the other values.
         version: TableVersion,
     },
-    /// The table is already as the file says.
+    /// The table already has the content of the file.
     Unchanged {
-        /// The version that says so.
+        /// The version with that content.
         version: TableVersion,
     },
 }
--- a/crates/plat/src/head_row.rs
+++ b/crates/plat/src/head_row.rs
@@ -1,4 +1,4 @@
-//! The head row of the table in the platform.
+//! The head row of the stored table.
 
 use {
     crate::edit_record::EditId,
@@ -7,19 +7,19 @@
     table::TableHead,
 };
 
-/// What the head row has.
+/// The value of the head row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HeadRow {
     /// The digest of rows, removals and stamps.
     pub digest: TableDigest,
-    /// The edit that made the version.
+    /// The edit that created the version.
     pub edit: EditId,
-    /// The version.
+    /// The current version of the table.
     pub version: TableVersion,
 }
 
 impl HeadRow {
-    /// The head as instances know it.
+    /// The digest and version, as instances exchange them.
     pub fn head(&self) -> TableHead {
         TableHead {
             digest: self.digest,
--- a/crates/plat/src/http_platform.rs
+++ b/crates/plat/src/http_platform.rs
@@ -19,13 +19,13 @@
     std::{error::Error, sync::Arc, time::Duration},
 };
 
-/// The largest answer that is read, in bytes.
+/// The maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// How long a call may take, connecting included, unless the builder says otherwise.
+/// The default timeout of a call, including the connection setup.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection is kept for the next call.
+/// The default time that an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The characters of a key that stand for themselves in a path or a query.
+/// The characters of a key that are percent-encoded in a path or a query.
 const KEY_ESCAPE_SET: AsciiSet = NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
@@ -33,7 +33,7 @@
     .remove(b'~');
 
 /// A client of the platform's table service, object store and instance list. Clones share their connections.
-/// Every call has a timeout. A write is sent once: what becomes of a lost reply is the caller's decision.
+/// Every call has a timeout. A write is sent only once; the caller decides what to do after a lost reply.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     address: Arc<str>,
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::AddressInvalid`] when the address is no HTTP URL.
+    /// [`PlatError::AddressInvalid`] when the address is not an HTTP URL.
     #[builder]
     pub fn new(
         #[builder(into)] address: Arc<str>,
@@ -104,7 +104,7 @@
         })
     }
 
-    /// A read is sent once more when the connection that it was sent on had been closed meanwhile.
+    /// Sends a read, and once more if it fails: the pooled connection may have been closed in the meantime.
     async fn read(&self, path: &str) -> Result<Option<Bytes>, PlatError> {
         let mut answer = self.call(Method::GET, path, Bytes::new()).await;
         if matches!(answer, Err(PlatError::Unreachable { .. })) {
@@ -210,7 +210,7 @@
     }
 }
 
-/// A server error says nothing about what was done before it.
+/// After a server error the call may still have taken effect, so it counts as unreachable rather than refused.
 fn refusal(status: StatusCode) -> PlatError {
     if status.is_server_error() {
         let detail = format!("it answered with status {}", status.as_u16());
@@ -221,7 +221,7 @@
     }
 }
 
-/// The whole chain of causes in one line: the connector's own message names no cause.
+/// Joins the whole chain of causes into one line, since the connector's message does not contain its cause.
 fn unreachable(error: &dyn Error) -> PlatError {
     let mut detail = error.to_string();
     let mut cause = error.source();
--- a/crates/plat/src/instance_record.rs
+++ b/crates/plat/src/instance_record.rs
@@ -1,4 +1,4 @@
-//! One line of the platform's list of instances.
+//! An entry of the platform's instance list.
 
 use {
     kernel::{ModelId, ServiceId, ZoneId},
@@ -6,7 +6,7 @@
     std::sync::Arc,
 };
 
-/// What an instance is.
+/// The kind of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceKind {
@@ -20,25 +20,25 @@
     Prefill,
 }
 
-/// What the platform believes of an instance.
+/// The state of an instance according to the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// It is about to go.
+    /// It is shutting down.
     Leaving,
-    /// It runs.
+    /// It is running.
     Live,
 }
 
 /// One instance in the list.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct InstanceRecord {
-    /// Where it answers: `IP:port`, HTTP for upstreams, QUIC for entry instances.
+    /// The address that it listens on: `IP:port`, HTTP for upstreams, QUIC for entry instances.
     pub address: Arc<str>,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether it refuses orders with an old fencing token.
     #[serde(default)]
     pub checks_fence: bool,
-    /// What it is.
+    /// Its kind.
     pub kind: InstanceKind,
     /// The model, for engines.
     #[serde(default)]
@@ -48,8 +48,8 @@
     /// The service, for upstreams.
     #[serde(default)]
     pub service: Option<ServiceId>,
-    /// What the platform believes of it.
+    /// Its state according to the platform.
     pub state: InstanceState,
-    /// Where it runs.
+    /// Its availability zone.
     pub zone: ZoneId,
 }
--- a/crates/plat/src/keyed_rows.rs
+++ b/crates/plat/src/keyed_rows.rs
@@ -1,28 +1,28 @@
-//! Rows that are inserted once: the keyed claims.
+//! Rows that are inserted at most once.
 
 use crate::{
     plat_error::PlatError,
     row_store::{RowCondition, RowStore, RowWrite, StoredRow, Transaction, TransactionReply},
 };
 
-/// How often an insert is tried when its reply is lost.
+/// How often an insert is attempted when its reply is lost.
 const MAX_INSERT_ATTEMPTS: u32 = 3;
 
-/// What became of a conditional insert.
+/// The outcome of a conditional insert.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum InsertOutcome {
-    /// The row has the value asked for, by this insert or an earlier try of it.
+    /// The row has the requested value, by this insert or an earlier attempt.
     Inserted,
-    /// The row was there before, with another value.
+    /// The row already existed with another value.
     Taken(StoredRow),
 }
 
-/// Inserts a row if it is not there. The value has to be the asker's own, such as a ticket's id: a row found with the same
-/// value is taken for an earlier try whose reply was lost.
+/// Inserts a row if it does not exist. The value must be unique to the caller, such as a ticket's id: a row with the same
+/// value is taken for an earlier attempt whose reply was lost.
 ///
 /// # Errors
 ///
-/// The last try's error; unless it is [`PlatError::Refused`], the row may be there all the same.
+/// The error of the last attempt. Unless it is [`PlatError::Refused`], the row may have been written nevertheless.
 pub async fn insert_once<S: RowStore>(
     store: &S,
     key: &str,
@@ -48,7 +48,7 @@
         }
     }
     Err(last.unwrap_or(PlatError::Unreachable {
-        detail: "no try was made".to_owned(),
+        detail: "no attempt was made".to_owned(),
     }))
 }
 
@@ -67,6 +67,6 @@
         });
     }
     Err(PlatError::Garbled {
-        detail: format!("a conflict about {key} without the row"),
+        detail: format!("the conflict reply for {key} lacks the row"),
     })
 }
--- a/crates/plat/src/plat_error.rs
+++ b/crates/plat/src/plat_error.rs
@@ -1,4 +1,4 @@
-//! Why the platform gave no answer, or one that doesn't hold together.
+//! Errors of the platform's client.
 
 use {
     crate::call_budget::CallKind,
@@ -7,11 +7,11 @@
     std::sync::Arc,
 };
 
-/// An error of the platform's client.
+/// Why a call to the platform failed, or gave an inconsistent answer.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum PlatError {
-    /// The platform's address can't be read.
+    /// The platform's address is malformed.
     #[snafu(display("the platform's address `{address}` can't be read: {detail}"))]
     AddressInvalid {
         /// The address.
@@ -19,7 +19,7 @@
         /// What is wrong with it.
         detail: String,
     },
-    /// The version that a file names has another content.
+    /// The version that a file was taken from has another content.
     #[snafu(display(
         "the file was taken from version {version} with another content than the platform has for it"
     ))]
@@ -27,7 +27,7 @@
         /// The version.
         version: TableVersion,
     },
-    /// The version that a file names is not among the edits.
+    /// The version that a file was taken from is not in the edit log.
     #[snafu(display(
         "the file was taken from version {version}, which is not among the platform's edits"
     ))]
@@ -35,28 +35,28 @@
         /// The version.
         version: TableVersion,
     },
-    /// The platform answered what can't be read.
+    /// The platform's answer is malformed.
     #[snafu(display("the platform's answer can't be read: {detail}"))]
     Garbled {
         /// What was wrong with it.
         detail: String,
     },
-    /// The log of edits lacks an entry.
+    /// The edit log lacks an entry.
     #[snafu(display("the platform's log of edits lacks version {version}"))]
     HistoryGap {
         /// The version.
         version: TableVersion,
     },
-    /// The rows don't add up to the digest of the head.
+    /// The rows do not match the digest of the head row.
     #[snafu(display("the platform's rows don't add up to the digest of version {version}"))]
     Inconsistent {
         /// The version.
         version: TableVersion,
     },
-    /// A write got no answer, and nobody can say whether it took effect.
+    /// A write got no answer, and it is unknown whether it took effect.
     #[snafu(display("the outcome of edit {edit} is unknown: {detail}"))]
     OutcomeUnknown {
-        /// What the last call said.
+        /// The error of the last call.
         detail: String,
         /// The edit's id.
         edit: Arc<str>,
@@ -67,7 +67,7 @@
         /// Its HTTP status.
         status: u16,
     },
-    /// The call was not sent: this instance makes too many.
+    /// The call was not sent, because this instance exceeded its budget.
     #[snafu(display(
         "a {kind:?} call to the platform was not sent: it is over this instance's budget"
     ))]
@@ -75,24 +75,24 @@
         /// The kind of call.
         kind: CallKind,
     },
-    /// Other edits came first at every try.
+    /// Another edit was committed first at every attempt.
     #[snafu(display("edit {edit} was overtaken by others {attempts} times and is not done"))]
     Overtaken {
         /// The edit's id.
         edit: Arc<str>,
-        /// The attempts.
+        /// The number of attempts.
         attempts: u32,
     },
-    /// No answer came: a write may have taken effect.
+    /// No answer arrived; a write may have taken effect.
     #[snafu(display("the platform can't be reached: {detail}"))]
     Unreachable {
-        /// What the connection said.
+        /// The error of the connection.
         detail: String,
     },
 }
 
 impl PlatError {
-    /// Whether a write may have taken effect all the same.
+    /// Whether a write may have taken effect despite this error.
     pub fn is_outcome_unknown(&self) -> bool {
         matches!(
             self,
@@ -100,7 +100,7 @@
         )
     }
 
-    /// The numbered result that operators see.
+    /// The result code that is reported to operators.
     pub fn result_code(&self) -> ResultCode {
         match self {
             Self::AddressInvalid { .. } => ResultCode::SettingsInvalid,
--- a/crates/plat/src/poll_plan.rs
+++ b/crates/plat/src/poll_plan.rs
@@ -1,4 +1,4 @@
-//! Which instances poll the platform, and when.
+//! Decides which instances poll the platform, and when.
 
 use {
     kernel::{InstanceId, ZoneId, seeded_rng::rendezvous_score},
@@ -7,13 +7,13 @@
     std::time::{Duration, Instant},
 };
 
-/// How an instance polls.
+/// The polling settings of an instance.
 #[derive(Clone, Copy, Debug, bon::Builder)]
 pub struct PollSettings {
-    /// The longest pause after failures.
+    /// The maximum backoff after failures.
     #[builder(default = Duration::from_secs(30))]
     pub max_backoff: Duration,
-    /// The pause between two polls that succeed, before jitter.
+    /// The interval between successful polls, before jitter.
     #[builder(default = Duration::from_secs(1))]
     pub interval: Duration,
     /// How long a poll may take before it counts as failed.
@@ -22,11 +22,11 @@
     /// How many instances of an availability zone poll.
     #[builder(default = 2)]
     pub pollers: usize,
-    /// The seed of the jitter; each instance has its own.
+    /// The seed of the jitter, different for each instance.
     pub seed: u64,
 }
 
-/// What a plan hears.
+/// An input to a plan.
 #[derive(Clone, Debug)]
 pub enum PollEvent {
     /// A poll ended.
@@ -34,23 +34,23 @@
         /// Whether the platform answered.
         answered: bool,
     },
-    /// The instances of the own availability zone that are alive, this one included.
+    /// The live instances of the own availability zone, including this one.
     Members(Vec<InstanceId>),
     /// Time passed.
     Tick,
 }
 
-/// What a plan decides.
+/// An output of a plan.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PollAction {
-    /// Ask the platform now; answer with [`PollEvent::Done`].
+    /// Poll the platform now; report the result with [`PollEvent::Done`].
     Poll,
-    /// Send [`PollEvent::Tick`] at this time; the last one given counts.
+    /// Send [`PollEvent::Tick`] at this time; it replaces earlier ones.
     WakeAt(Instant),
 }
 
-/// Decides when this instance polls. One poll is under way at most; after failures the pause doubles, with jitter, so
-/// that the instances don't come back together after an outage.
+/// Decides when this instance polls. At most one poll is in flight. After each failure the backoff doubles, with jitter,
+/// so that the instances do not all retry at once after an outage.
 #[derive(Clone, Debug)]
 pub struct PollPlan {
     failures: u32,
@@ -69,7 +69,7 @@
         self.is_poller
     }
 
-    /// A plan for an instance that knows no others yet, and so polls.
+    /// The plan of an instance that knows no others yet, and therefore polls.
     pub fn new(now: Instant, zone: ZoneId, instance: InstanceId, settings: PollSettings) -> Self {
         let mut plan = Self {
             failures: 0,
@@ -81,12 +81,12 @@
             started: None,
             zone,
         };
-        // Instances that start together don't poll together.
+        // Jitter keeps instances that start together from polling together.
         plan.next = now + plan.jitter(settings.interval);
         plan
     }
 
-    /// Takes one event and appends what it decides to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting actions. `now` never decreases.
     pub fn on_event(&mut self, now: Instant, event: PollEvent, actions: &mut Vec<PollAction>) {
         match event {
             PollEvent::Done { answered } => self.on_done(now, answered),
@@ -117,9 +117,9 @@
         actions.push(PollAction::WakeAt(now + self.settings.poll_timeout));
     }
 
-    /// An even draw from half of a pause to the whole.
-    fn jitter(&mut self, pause: Duration) -> Duration {
-        pause.mul_f64(self.random.random_range(0.5..=1.0))
+    /// A uniformly distributed delay between half of `delay` and all of it.
+    fn jitter(&mut self, delay: Duration) -> Duration {
+        delay.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
     fn on_done(&mut self, now: Instant, answered: bool) {
@@ -131,9 +131,9 @@
             false => self.failures.saturating_add(1),
         };
         let factor = 2_u32.saturating_pow(self.failures);
-        let pause = self.settings.interval.saturating_mul(factor);
+        let delay = self.settings.interval.saturating_mul(factor);
         let limit = self.settings.max_backoff.max(self.settings.interval);
-        self.next = now + self.jitter(pause.min(limit));
+        self.next = now + self.jitter(delay.min(limit));
     }
 
     fn on_members(&mut self, now: Instant, members: &[InstanceId]) {
@@ -144,7 +144,7 @@
         });
         self.is_poller = ahead.count() < self.settings.pollers;
         if self.is_poller && !was_poller {
-            // Whoever takes over during an outage starts with a jittered pause as well.
+            // A poller that takes over during an outage also starts with a jittered delay.
             self.next = self.next.max(now + self.jitter(self.settings.interval));
         }
     }
--- a/crates/plat/src/row_store.rs
+++ b/crates/plat/src/row_store.rs
@@ -1,4 +1,4 @@
-//! The platform's table service: rows by key, read one by one or by prefix, written together under conditions.
+//! The platform's table service: rows by key, with reads by key or prefix and conditional transactions.
 
 use {
     crate::{instance_record::InstanceRecord, plat_error::PlatError},
@@ -6,51 +6,51 @@
     std::{future::Future, sync::Arc},
 };
 
-/// One row as the service keeps it.
+/// A stored row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredRow {
     /// Its key, such as `work/confirm`.
     pub key: Arc<str>,
     /// Its content.
     pub value: Arc<str>,
-    /// Counts its writes; it starts at 1, and a row written after a removal goes on counting from 1.
+    /// Counts its writes from 1; it starts again at 1 when a row is written after its removal.
     pub version: u64,
 }
 
-/// What has to hold for a transaction to commit: the row's version, 0 for a row that is not there.
+/// A condition of a transaction: the row's current version, 0 for a row that does not exist.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowCondition {
     /// The row's key.
     pub key: Arc<str>,
-    /// Its version.
+    /// The required version.
     pub version: u64,
 }
 
-/// One write of a transaction; no value removes the row.
+/// One write of a transaction.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowWrite {
     /// The row's key.
     pub key: Arc<str>,
-    /// The new content.
+    /// The new content; `None` removes the row.
     pub value: Option<Arc<str>>,
 }
 
-/// Writes that take effect together, or not at all.
+/// Writes that take effect atomically, under conditions.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Transaction {
-    /// All have to hold.
+    /// The transaction commits only if all of these hold.
     pub conditions: Vec<RowCondition>,
-    /// All are done.
+    /// The writes to apply.
     pub writes: Vec<RowWrite>,
 }
 
 impl Transaction {
-    /// Removes a row, under the condition that it is still as it was read.
+    /// Removes a row, on condition that it is unchanged since it was read.
     pub fn remove(&mut self, row: &StoredRow) {
         self.change(row.key.clone(), row.version, None);
     }
 
-    /// Writes a row, under the condition that it has this version; 0 for one that is not there.
+    /// Writes a row, on condition that it has this version; 0 for a row that does not exist.
     pub fn write(&mut self, key: Arc<str>, version: u64, value: Arc<str>) {
         self.change(key, version, Some(value));
     }
@@ -64,15 +64,15 @@
     }
 }
 
-/// What became of a transaction.
+/// The reply to a transaction.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum TransactionReply {
-    /// All writes are done.
+    /// All writes were applied.
     Committed,
-    /// A condition did not hold; nothing is done. The rows named in the conditions, as they are.
+    /// A condition did not hold, so nothing was written.
     Conflict {
-        /// The rows that exist among those named.
+        /// The current rows named in the conditions, without those that do not exist.
         rows: Vec<StoredRow>,
     },
 }
@@ -84,13 +84,13 @@
         &self,
         transaction: &Transaction,
     ) -> impl Future<Output = Result<TransactionReply, PlatError>> + Send;
-    /// Reads one row.
+    /// Reads one row; `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<StoredRow>, PlatError>> + Send;
-    /// Reads all rows whose key starts with `prefix`, by key, from one moment.
+    /// Reads all rows whose key starts with `prefix`, in key order and from one moment.
     fn scan(&self, prefix: &str) -> impl Future<Output = Result<Vec<StoredRow>, PlatError>> + Send;
 }
 
-/// The list of live and leaving instances; it lags behind reality.
+/// The list of live and leaving instances; it may be stale.
 pub trait InstanceList: Send + Sync {
     /// Reads the list.
     fn instances(&self) -> impl Future<Output = Result<Vec<InstanceRecord>, PlatError>> + Send;
--- a/crates/plat/src/stored_table.rs
+++ b/crates/plat/src/stored_table.rs
@@ -1,4 +1,4 @@
-//! How the table stands in stored rows.
+//! Conversion between the table and its stored rows.
 
 use {
     crate::{
@@ -11,15 +11,15 @@
     table::{FileBase, StampedTable, WorkRow, WorkTable},
 };
 
-/// Reads the value of a stored row.
+/// Parses the value of a stored row.
 pub(crate) fn decode_row<T: DeserializeOwned>(row: &StoredRow) -> Result<T, PlatError> {
     serde_json::from_str(&row.value).map_err(|error| PlatError::Garbled {
         detail: format!("row {}: {error}", row.key),
     })
 }
 
-/// Whether these rows are what a file was taken from. A restored platform may have the same content under a later
-/// version, so the digest counts before the version.
+/// Whether a file was taken from these rows. A restored platform may have the same content under a later version, so the
+/// digest takes precedence over the version.
 pub(crate) fn matches(
     base: FileBase,
     version: TableVersion,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The digest that a file's version line has: of the live rows alone.
+/// The digest in the version line of a file, over the live rows only.
 pub fn content_digest(rows: &BTreeMap<WorkId, WorkRow>) -> TableDigest {
     let table = WorkTable {
         rows: rows.clone(),
@@ -40,7 +40,7 @@
     table.digest()
 }
 
-/// Puts head and rows together; they may be of two versions.
+/// Combines the head and the rows, which may be from different versions.
 pub(crate) fn read_snapshot(
     head_row: Option<&StoredRow>,
     rows: &[StoredRow],
@@ -62,7 +62,7 @@
     })
 }
 
-/// Takes the rows back to what they were before an edit.
+/// Reverts the rows to their state before an edit.
 pub(crate) fn undo(rows: &mut BTreeMap<WorkId, WorkRow>, record: &EditRecord) {
     for change in &record.changes {
         match &change.before {
--- a/crates/plat/src/table_keys.rs
+++ b/crates/plat/src/table_keys.rs
@@ -1,15 +1,15 @@
-//! The keys under which the platform keeps the operators' table.
+//! The row keys of the operators' table.
 
 use kernel::TableVersion;
 
 /// The key of the head row.
 pub const HEAD_KEY: &str = "table/head";
-/// What the keys of the table's rows start with.
+/// The key prefix of the table's rows.
 pub const ROW_PREFIX: &str = "work/";
-/// What the keys of the log of edits start with.
+/// The key prefix of the edit log.
 pub const EDIT_PREFIX: &str = "table/edit/";
 
-/// The key of the log entry of a version; keys sort as versions do.
+/// The key of the log entry of a version; keys sort in the order of versions.
 pub fn edit_key(version: TableVersion) -> String {
     format!("{EDIT_PREFIX}{version:020}")
 }
--- a/crates/plat/src/table_repository.rs
+++ b/crates/plat/src/table_repository.rs
@@ -1,4 +1,4 @@
-//! The operators' table in the platform's table service: a row a kind of work, a head row, a log of edits.
+//! The operators' table in the platform's table service: one row per kind of work, a head row and an edit log.
 
 use {
     crate::{
@@ -19,17 +19,17 @@
     table::{FileBase, StampedRow, StampedTable, TablePatch, WorkRow, merge_rows},
 };
 
-/// How often a snapshot is read again when an edit came between its two reads.
+/// How often a snapshot is read when an edit is committed between its two reads.
 const MAX_SNAPSHOT_READS: u32 = 8;
-/// How often a write is tried when replies are lost.
+/// How many lost replies a write tolerates.
 const MAX_LOST_REPLIES: u32 = 8;
-/// How often a write is tried when others come first.
+/// How often a write is attempted when other edits are committed first.
 const MAX_WRITE_ATTEMPTS: u32 = 64;
-/// The most edits that a file may be behind.
+/// The maximum number of edits that a file may be behind.
 const MAX_FILE_LAG: usize = 10_000;
-/// The most edits that a patch is gathered from.
+/// The maximum number of edits that a patch is built from.
 const MAX_PATCH_EDITS: usize = 32;
-/// The pause after a lost reply; the n-th pause is n times as long.
+/// The delay after a lost reply; the n-th delay is n times as long.
 pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Reads and edits the table through any [`RowStore`].
@@ -40,14 +40,14 @@
 }
 
 impl<S: RowStore> TableRepository<S> {
-    /// Merges a file into the table: one conditional transaction of the touched rows, the head and the log. A try whose
-    /// reply was lost is recognised by its edit id and never done twice.
+    /// Merges a file into the table: one conditional transaction of the changed rows, the head and the log. An
+    /// attempt whose reply was lost is recognised by its edit id and never applied twice.
     ///
     /// # Errors
     ///
-    /// [`PlatError::OutcomeUnknown`] when the last reply was lost and the platform can't be read: applying the same file
-    /// again is safe. [`PlatError::BaseUnknown`] and its kin when the file's version can't be found. Any other error
-    /// says that nothing was done.
+    /// [`PlatError::OutcomeUnknown`] when a reply was lost and the outcome cannot be read back: applying the same file
+    /// again is safe. [`PlatError::BaseUnknown`] or [`PlatError::BaseDiffers`] when the file's version is not found. Any
+    /// other error means that nothing was written.
     pub async fn commit_edit(&self, edit: &EditRequest) -> Result<EditOutcome, PlatError> {
         let mut attempts = EditAttempts::default();
         while attempts.count < MAX_WRITE_ATTEMPTS && attempts.lost_replies < MAX_LOST_REPLIES {
@@ -62,11 +62,11 @@
         Err(attempts.into_error(&edit.origin))
     }
 
-    /// The head row; none before the first edit.
+    /// The head row; `None` before the first edit.
     ///
     /// # Errors
     ///
-    /// When the platform can't be reached or its answer can't be read.
+    /// When the platform cannot be reached or its answer is malformed.
     pub async fn head(&self) -> Result<Option<HeadRow>, PlatError> {
         let row = self.store.get(HEAD_KEY).await?;
         row.as_ref().map(decode_row).transpose()
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::HistoryGap`] when the log lacks an entry, or a read's own error.
+    /// [`PlatError::HistoryGap`] when the log lacks an entry, or the error of a read.
     pub async fn history(&self, limit: usize) -> Result<Vec<EditRecord>, PlatError> {
         let mut version = self.head().await?.map_or(0, |head| head.version);
         let mut records = Vec::new();
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The rows that changed after a version, from the log of edits; all rows when the log does not lead there in a few
-    /// steps. An instance that is one edit behind reads two rows instead of the whole table.
+    /// The rows that changed after a version, from the edit log; all rows when the log does not reach that version within
+    /// a few entries. An instance that is one edit behind reads two rows instead of the whole table.
     ///
     /// # Errors
     ///
@@ -120,14 +120,14 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::HistoryGap`] when there is none, or a read's own error.
+    /// [`PlatError::HistoryGap`] when there is none, or the error of a read.
     pub async fn record(&self, version: TableVersion) -> Result<EditRecord, PlatError> {
         let record = self.find_record(version).await?;
         record.ok_or(PlatError::HistoryGap { version })
     }
 
-    /// Writes back the accepted edits that the platform lacks, such as after it was restored from an old copy. Rows keep
-    /// their stamps; the version that this makes is greater than both. Returns the platform's version after it.
+    /// Writes back accepted edits that the platform lacks, for example after it was restored from an old copy. Rows keep
+    /// their stamps, and the new version is greater than both. Returns the platform's version afterwards.
     ///
     /// # Errors
     ///
@@ -154,8 +154,8 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::BaseUnknown`] when the version is not among the edits, [`PlatError::BaseDiffers`] when it had
-    /// another content than the file says.
+    /// [`PlatError::BaseUnknown`] when the version is not in the edit log, [`PlatError::BaseDiffers`] when its
+    /// content differs from the file's base.
     pub async fn rows_at(
         &self,
         snapshot: &TableSnapshot,
@@ -182,11 +182,11 @@
         })
     }
 
-    /// Rows and head of one version: read again until the rows add up to the head's digest.
+    /// The rows and head of one version, read again until the rows match the head's digest.
     ///
     /// # Errors
     ///
-    /// [`PlatError::Inconsistent`] when they never do, or a read's own error.
+    /// [`PlatError::Inconsistent`] when they never match, or the error of a read.
     pub async fn snapshot(&self) -> Result<TableSnapshot, PlatError> {
         let mut version = 0;
         for _ in 0..MAX_SNAPSHOT_READS {
@@ -202,12 +202,12 @@
         Err(PlatError::Inconsistent { version })
     }
 
-    /// The store.
+    /// The underlying row store.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// The same repository with another pause after a lost reply.
+    /// Sets the delay after a lost reply.
     pub fn with_retry_delay(self, retry_delay: Duration) -> Self {
         Self {
             retry_delay,
@@ -220,7 +220,7 @@
         row.as_ref().map(decode_row).transpose()
     }
 
-    /// The version that an earlier try of this edit made after all.
+    /// The version that an earlier attempt of this edit committed although its reply was lost.
     async fn find_committed(
         &self,
         origin: &EditOrigin,
@@ -242,7 +242,7 @@
         attempts.count += 1;
     }
 
-    /// The rows that the edits after `since` made, up to `version`; none when the log does not lead there.
+    /// The rows changed after `since` up to `version`; `None` when the log does not reach `since`.
     async fn rows_since(
         &self,
         mut version: TableVersion,
@@ -265,7 +265,7 @@
                     stamp: version,
                     written: version,
                 };
-                // Later edits come first.
+                // Edits are visited newest first, so the first value of a row is the current one.
                 rows.entry(change.work).or_insert(stamped);
             }
             version = record.parent;
@@ -273,7 +273,7 @@
         Ok(None)
     }
 
-    /// Whether the transaction was committed.
+    /// Sends a transaction; returns whether it was committed.
     async fn send(
         &self,
         transaction: &Transaction,
--- a/crates/plat/src/table_snapshot.rs
+++ b/crates/plat/src/table_snapshot.rs
@@ -1,4 +1,4 @@
-//! The table as the platform had it at one moment.
+//! A consistent snapshot of the stored table.
 
 use {
     crate::head_row::HeadRow,
@@ -7,21 +7,21 @@
     table::StampedTable,
 };
 
-/// Rows and head of one version, with the store's own counts for conditional writes.
+/// Rows and head of one version, with the row versions for conditional writes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableSnapshot {
-    /// The head row; none before the first edit.
+    /// The head row; `None` before the first edit.
     pub head: Option<HeadRow>,
-    /// The store's count of the head row; 0 when it is not there.
+    /// The stored version of the head row; 0 if it does not exist.
     pub head_row_version: u64,
-    /// The store's counts of the rows.
+    /// The stored versions of the rows.
     pub row_versions: BTreeMap<WorkId, u64>,
     /// The table.
     pub table: StampedTable,
 }
 
 impl TableSnapshot {
-    /// The version; 0 before the first edit.
+    /// The version of the table; 0 before the first edit.
     pub fn version(&self) -> TableVersion {
         self.table.version()
     }
--- a/crates/plat/src/table_transaction.rs
+++ b/crates/plat/src/table_transaction.rs
@@ -1,4 +1,4 @@
-//! The transaction that brings the platform's table to another content.
+//! Builds the transaction that updates the stored table.
 
 use {
     crate::{
@@ -15,7 +15,7 @@
     table::{RowChange, StampedTable},
 };
 
-/// From a snapshot to a table at a version.
+/// The transaction from a snapshot to a new table at a version.
 pub(crate) struct TableTransaction<'a> {
     is_write_back: bool,
     snapshot: &'a TableSnapshot,
@@ -25,7 +25,7 @@
 }
 
 impl<'a> TableTransaction<'a> {
-    /// The transaction: touched rows, log entry and head, each under the condition that it is as the snapshot has it.
+    /// Builds the transaction: changed rows, log entry and head, each on condition that it is unchanged since the snapshot.
     pub(crate) fn build(
         mut self,
         origin: &EditOrigin,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Marks the log entry as that of a write-back.
+    /// Marks the log entry as a write-back.
     pub(crate) fn write_back(self) -> Self {
         Self {
             is_write_back: true,
--- a/crates/plat/tests/budget_platform.rs
+++ b/crates/plat/tests/budget_platform.rs
@@ -1,4 +1,4 @@
-//! The budget before a platform's client.
+//! The call budget of a platform client.
 
 use {
     plat::{
@@ -12,11 +12,11 @@
 };
 
 const BURST: u64 = 5;
-const NEVER: CallRate = CallRate {
+const NO_REFILL: CallRate = CallRate {
     burst: BURST as f64,
     per_second: 0.0,
 };
-const QUICK: CallRate = CallRate {
+const FAST_REFILL: CallRate = CallRate {
     burst: BURST as f64,
     per_second: 1000.0,
 };
@@ -30,31 +30,31 @@
         self.0.load(Ordering::SeqCst)
     }
 
-    fn note(&self) {
+    fn increment(&self) {
         self.0.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 impl InstanceList for CountedCalls {
     async fn instances(&self) -> Result<Vec<InstanceRecord>, PlatError> {
-        self.note();
+        self.increment();
         Ok(Vec::new())
     }
 }
 
 impl RowStore for CountedCalls {
     async fn commit(&self, _: &Transaction) -> Result<TransactionReply, PlatError> {
-        self.note();
+        self.increment();
         Ok(TransactionReply::Committed)
     }
 
     async fn get(&self, _: &str) -> Result<Option<StoredRow>, PlatError> {
-        self.note();
+        self.increment();
         Ok(None)
     }
 
     async fn scan(&self, _: &str) -> Result<Vec<StoredRow>, PlatError> {
-        self.note();
+        self.increment();
         Ok(Vec::new())
     }
 }
@@ -62,7 +62,7 @@
 #[tokio::test]
 async fn calls_over_the_budget_are_refused_without_being_sent() {
     let calls = CountedCalls::default();
-    let platform = BudgetPlatform::new(calls.clone(), QUICK, NEVER);
+    let platform = BudgetPlatform::new(calls.clone(), FAST_REFILL, NO_REFILL);
     for _ in 0..BURST {
         platform.commit(&Transaction::default()).await.unwrap();
     }
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn reads_of_all_kinds_share_a_budget_and_wait_for_their_turn() {
     let calls = CountedCalls::default();
-    let platform = BudgetPlatform::new(calls.clone(), QUICK, NEVER);
+    let platform = BudgetPlatform::new(calls.clone(), FAST_REFILL, NO_REFILL);
     for _ in 0..BURST {
         platform.get("head").await.unwrap();
         platform.scan("work/").await.unwrap();
--- a/crates/plat/tests/common/mod.rs
+++ b/crates/plat/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory that loses replies and requests on order.
+//! An in-memory platform with injected faults.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -17,9 +17,9 @@
 };
 
 pub(crate) type Rows = BTreeMap<Arc<str>, StoredRow>;
-pub(crate) type Intruder = Pin<Box<dyn Future<Output = ()> + Send>>;
+pub(crate) type ConcurrentEdit = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// What happens to one call.
+/// The fault that is injected into one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
     LoseReply,
@@ -29,12 +29,12 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Inside {
+pub(crate) struct StoreState {
     pub(crate) calls: u32,
-    /// What happens to the next commits, in turn.
+    /// The faults of the next commits, in order.
     pub(crate) commits: VecDeque<Fault>,
-    /// Runs to its end before the next commit.
-    pub(crate) intruder: Option<Intruder>,
+    /// Runs to completion before the next commit.
+    pub(crate) concurrent_edit: Option<ConcurrentEdit>,
     pub(crate) is_down: bool,
     pub(crate) is_down_after_commit: bool,
     pub(crate) rows: Rows,
@@ -42,22 +42,22 @@
 
 #[derive(Clone, Default)]
 pub(crate) struct MemoryStore {
-    pub(crate) inside: Arc<Mutex<Inside>>,
+    pub(crate) state: Arc<Mutex<StoreState>>,
 }
 
 impl MemoryStore {
-    pub(crate) fn come_back(&self) {
-        let mut inside = self.inside();
-        inside.is_down = false;
-        inside.is_down_after_commit = false;
+    pub(crate) fn restore_service(&self) {
+        let mut state = self.state();
+        state.is_down = false;
+        state.is_down_after_commit = false;
     }
 
-    pub(crate) fn inside(&self) -> std::sync::MutexGuard<'_, Inside> {
-        self.inside.lock().unwrap()
+    pub(crate) fn state(&self) -> std::sync::MutexGuard<'_, StoreState> {
+        self.state.lock().unwrap()
     }
 
-    pub(crate) fn lose(&self, faults: &[Fault]) {
-        self.inside().commits = faults.iter().copied().collect();
+    pub(crate) fn inject(&self, faults: &[Fault]) {
+        self.state().commits = faults.iter().copied().collect();
     }
 
     pub(crate) fn repository(&self) -> TableRepository<Self> {
@@ -65,11 +65,11 @@
     }
 
     async fn call(&self) -> Result<(), PlatError> {
-        // Lets others go first, as a network does.
+        // Other tasks may run first, as with a network call.
         tokio::task::yield_now().await;
-        let mut inside = self.inside();
-        inside.calls += 1;
-        match inside.is_down {
+        let mut state = self.state();
+        state.calls += 1;
+        match state.is_down {
             true => Err(lost()),
             false => Ok(()),
         }
@@ -78,22 +78,22 @@
 
 impl RowStore for MemoryStore {
     async fn commit(&self, transaction: &Transaction) -> Result<TransactionReply, PlatError> {
-        let intruder = self.inside().intruder.take();
-        if let Some(intruder) = intruder {
-            intruder.await;
+        let concurrent_edit = self.state().concurrent_edit.take();
+        if let Some(concurrent_edit) = concurrent_edit {
+            concurrent_edit.await;
         }
         self.call().await?;
-        let mut inside = self.inside();
-        let fault = inside.commits.pop_front().unwrap_or(Fault::None);
-        if inside.is_down_after_commit {
-            inside.is_down = true;
+        let mut state = self.state();
+        let fault = state.commits.pop_front().unwrap_or(Fault::None);
+        if state.is_down_after_commit {
+            state.is_down = true;
         }
         match fault {
             Fault::LoseRequest => return Err(lost()),
             Fault::Refuse => return Err(PlatError::Refused { status: 400 }),
             _ => {}
         }
-        let reply = apply(&mut inside.rows, transaction);
+        let reply = apply(&mut state.rows, transaction);
         match fault {
             Fault::LoseReply => Err(lost()),
             _ => Ok(reply),
@@ -102,13 +102,13 @@
 
     async fn get(&self, key: &str) -> Result<Option<StoredRow>, PlatError> {
         self.call().await?;
-        Ok(self.inside().rows.get(key).cloned())
+        Ok(self.state().rows.get(key).cloned())
     }
 
     async fn scan(&self, prefix: &str) -> Result<Vec<StoredRow>, PlatError> {
         self.call().await?;
-        let inside = self.inside();
-        let rows = inside.rows.values();
+        let state = self.state();
+        let rows = state.rows.values();
         Ok(rows
             .filter(|row| row.key.starts_with(prefix))
             .cloned()
--- a/crates/plat/tests/http_platform.rs
+++ b/crates/plat/tests/http_platform.rs
@@ -1,4 +1,4 @@
-//! The client speaks the platform's protocol, keeps its connections and never repeats a write.
+//! The HTTP client of the platform: protocol, connection reuse, timeouts, and writes that are never repeated.
 
 use {
     axum::{
@@ -23,23 +23,23 @@
 };
 
 #[derive(Default)]
-struct Inside {
+struct ServerState {
     objects: BTreeMap<String, Bytes>,
     peers: BTreeSet<SocketAddr>,
     status: Option<u16>,
     writes: u32,
 }
 
-type Shared = Arc<Mutex<Inside>>;
+type Shared = Arc<Mutex<ServerState>>;
 
 async fn read_row(
     State(shared): State<Shared>,
     ConnectInfo(peer): ConnectInfo<SocketAddr>,
     Path(key): Path<String>,
 ) -> Response {
-    let mut inside = shared.lock().unwrap();
-    inside.peers.insert(peer);
-    if let Some(status) = inside.status {
+    let mut state = shared.lock().unwrap();
+    state.peers.insert(peer);
+    if let Some(status) = state.status {
         return StatusCode::from_u16(status).unwrap().into_response();
     }
     match key.as_str() {
--- a/crates/plat/tests/keyed_rows.rs
+++ b/crates/plat/tests/keyed_rows.rs
@@ -1,4 +1,4 @@
-//! A keyed row is inserted once, and an insert whose reply was lost is recognised.
+//! A keyed row is inserted at most once, and an insert whose reply was lost is recognised.
 
 mod common;
 
@@ -22,26 +22,26 @@
 #[tokio::test]
 async fn an_insert_whose_reply_was_lost_is_recognised() {
     let store = MemoryStore::default();
-    store.lose(&[Fault::LoseRequest, Fault::LoseReply]);
+    store.inject(&[Fault::LoseRequest, Fault::LoseReply]);
     let outcome = insert_once(&store, "claims/k", "ticket-1").await.unwrap();
     assert_eq!(outcome, InsertOutcome::Inserted);
-    assert_eq!(store.inside().rows["claims/k"].version, 1);
+    assert_eq!(store.state().rows["claims/k"].version, 1);
 }
 
 #[tokio::test]
 async fn an_outage_is_said_and_a_refusal_not_tried_again() {
     let store = MemoryStore::default();
-    store.inside().is_down = true;
+    store.state().is_down = true;
     let error = insert_once(&store, "claims/k", "ticket-1")
         .await
         .unwrap_err();
     assert!(error.is_outcome_unknown());
-    assert_eq!(store.inside().calls, 3);
+    assert_eq!(store.state().calls, 3);
     let store = MemoryStore::default();
-    store.lose(&[Fault::Refuse]);
+    store.inject(&[Fault::Refuse]);
     let error = insert_once(&store, "claims/k", "ticket-1")
         .await
         .unwrap_err();
     assert!(matches!(error, PlatError::Refused { .. }));
-    assert_eq!(store.inside().calls, 1);
+    assert_eq!(store.state().calls, 1);
 }
--- a/crates/plat/tests/operators_fuzz.rs
+++ b/crates/plat/tests/operators_fuzz.rs
@@ -1,5 +1,5 @@
-//! Racing operators, stale files, lost replies, outages, restarted instances and a platform restored from old copies,
-//! against an oracle of a few lines: who holds which accepted edit of a row.
+//! Fuzzes concurrent operators, stale files, lost replies, outages, restarted instances and a platform restored from old
+//! copies against an oracle that tracks which accepted edit of each row the platform and the instances hold.
 
 mod common;
 
@@ -24,31 +24,31 @@
 const KEYS: [&str; 4] = ["confirm", "draft", "notes", "tiles"];
 const OPERATORS: usize = 2;
 
-/// What goes wrong with one apply.
+/// The fault during one apply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Trouble {
-    /// The platform is down from before the first call.
+enum ApplyFault {
+    /// The platform is down before the first call.
     Down,
     /// The write takes effect, its reply is lost, and the platform is down from then on.
     DownAfterWrite,
     None,
     /// The write takes effect and its reply is lost.
     Reply,
-    /// The write is lost, the next one's reply as well.
+    /// The first write is lost, and so is the reply of the next one.
     RequestThenReply,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Applies the operator's file; the other one's may be applied between its reading and its writing.
+    /// Applies the operator's file; the other operator's file may be applied between its read and its write.
     Apply {
         operator: usize,
         raced: bool,
-        /// The operator's clock is slow and entry instances tell the greatest version.
+        /// The operator's clock is behind, and entry instances report the greatest version.
         slow_clock: bool,
-        trouble: Trouble,
+        fault: ApplyFault,
     },
-    /// Copies the platform.
+    /// Backs up the platform's rows.
     Backup,
     /// Changes a row of the operator's file; weight 0 removes it.
     Change {
@@ -56,35 +56,35 @@
         operator: usize,
         weight: u8,
     },
-    /// Takes a fresh file, changes a row and applies it.
+    /// Exports a current file, changes a row and applies it.
     Edit {
         key: usize,
         operator: usize,
         slow_clock: bool,
         weight: u8,
     },
-    /// Two instances hear two rounds of each other's heartbeats and pull. One round is not enough after a fork: whoever
-    /// has the greater version asks nothing of the other, until that one has joined and differs in its digest.
+    /// Two instances receive two rounds of each other's heartbeats and pull. One round is not enough after a fork: the
+    /// instance with the greater version pulls nothing until the other has merged and has a different digest.
     Meet { left: usize, right: usize },
     /// An instance polls the platform; its write-back may lose a reply.
     Poll { instance: usize, lose_reply: bool },
     /// Replaces an instance.
     Restart { instance: usize },
-    /// Puts the last copy of the platform in place.
+    /// Restores the last backup of the platform.
     RestoreBackup,
-    /// The operator takes a fresh file.
+    /// The operator exports a current file.
     Take { operator: usize },
 }
 
-/// The weight of each row; 0 is a row that is not there.
+/// The weight of each row; 0 for a row that does not exist.
 type Weights = [u8; KEYS.len()];
 
-/// What a holder has of one row: which accepted edit, counted in their true order, and its weight.
+/// The state of each row at one holder: the sequence number of its accepted edit, and its weight.
 type Held = [(u64, u8); KEYS.len()];
 
 #[derive(Clone, Debug, Default)]
 struct Platform {
-    /// The contents that its log of edits leads back to.
+    /// The contents that its edit log can be reverted to.
     past: Vec<Weights>,
     rows: Held,
 }
@@ -104,18 +104,18 @@
 #[derive(Clone, Debug, Default)]
 struct Oracle {
     backup: Platform,
-    /// The accepted edits so far.
+    /// The number of accepted edits.
     edits: u64,
     expected: Expected,
-    /// Each operator's file: as taken, and as changed.
+    /// The file of each operator: as exported, and as changed.
     files: [(Weights, Weights); OPERATORS],
     instances: [Held; INSTANCES],
     platform: Platform,
 }
 
 impl Oracle {
-    /// What an apply of an operator's file does now.
-    fn judge(&self, operator: usize) -> Expected {
+    /// The expected outcome of applying an operator's file now.
+    fn predict(&self, operator: usize) -> Expected {
         let (base, mine) = self.files[operator];
         if !self.platform.past.contains(&base) && base != Weights::default() {
             return Expected::BaseUnknown;
@@ -135,7 +135,7 @@
 
     /// Applies an operator's file.
     fn apply(&mut self, operator: usize) -> Expected {
-        let outcome = self.judge(operator);
+        let outcome = self.predict(operator);
         if outcome == Expected::Committed {
             self.edits += 1;
             let (base, mine) = self.files[operator];
@@ -154,13 +154,13 @@
         self.platform.past.push(now);
     }
 
-    /// Gives an operator a fresh file.
+    /// Exports a current file for an operator.
     fn take(&mut self, operator: usize) {
         let now = self.platform.rows.map(|(_, weight)| weight);
         self.files[operator] = (now, now);
     }
 
-    /// An instance and the platform tell each other all accepted edits.
+    /// An instance and the platform exchange all accepted edits.
     fn poll(&mut self, instance: usize) {
         let before = self.platform.rows;
         let both = join(self.platform.rows, self.instances[instance]);
@@ -187,16 +187,16 @@
     fn transitions(_: &Self) -> BoxedStrategy<Step> {
         let operator = 0..OPERATORS;
         let instance = 0..INSTANCES;
-        let trouble = prop_oneof![
-            4 => Just(Trouble::None),
-            1 => Just(Trouble::Down),
-            1 => Just(Trouble::DownAfterWrite),
-            1 => Just(Trouble::Reply),
-            1 => Just(Trouble::RequestThenReply),
+        let fault = prop_oneof![
+            4 => Just(ApplyFault::None),
+            1 => Just(ApplyFault::Down),
+            1 => Just(ApplyFault::DownAfterWrite),
+            1 => Just(ApplyFault::Reply),
+            1 => Just(ApplyFault::RequestThenReply),
         ];
         prop_oneof![
-            6 => (operator.clone(), any::<bool>(), any::<bool>(), trouble).prop_map(
-                |(operator, raced, slow_clock, trouble)| Step::Apply { operator, raced, slow_clock, trouble }
+            6 => (operator.clone(), any::<bool>(), any::<bool>(), fault).prop_map(
+                |(operator, raced, slow_clock, fault)| Step::Apply { operator, raced, slow_clock, fault }
             ),
             2 => Just(Step::Backup),
             8 => (0..KEYS.len(), operator.clone(), 0_u8..4).prop_map(
@@ -222,19 +222,19 @@
             Step::Apply {
                 operator,
                 raced,
-                trouble,
+                fault,
                 ..
             } => {
-                if trouble == Trouble::Down {
+                if fault == ApplyFault::Down {
                     state.expected = Expected::Down;
                     return state;
                 }
-                let writes = state.judge(operator) == Expected::Committed;
+                let writes = state.predict(operator) == Expected::Committed;
                 if writes && raced {
                     state.apply(1 - operator);
                 }
                 state.expected = state.apply(operator);
-                if trouble == Trouble::DownAfterWrite && state.expected == Expected::Committed {
+                if fault == ApplyFault::DownAfterWrite && state.expected == Expected::Committed {
                     state.expected = Expected::Unknown;
                 }
             }
@@ -269,16 +269,16 @@
 
     fn preconditions(state: &Self, step: &Step) -> bool {
         match step {
-            // A write that was lost for good is no race; the trouble of a raced apply would hit the other one.
-            Step::Apply { raced, trouble, .. } => !raced || *trouble == Trouble::None,
-            // A copy of nothing is a platform whose table was lost whole: it has its own test.
+            // A write that is lost for good does not race, and a fault of a raced apply would hit the other apply.
+            Step::Apply { raced, fault, .. } => !raced || *fault == ApplyFault::None,
+            // An empty backup means that the whole table was lost, which another test covers.
             Step::RestoreBackup => !state.backup.past.is_empty(),
             _ => true,
         }
     }
 }
 
-struct World {
+struct TableSystem {
     backup: StoredRows,
     clock: u64,
     files: [TableFile; OPERATORS],
@@ -290,8 +290,8 @@
     writes_back: bool,
 }
 
-impl World {
-    /// The request of an operator's file, as a spreadsheet would give it back.
+impl TableSystem {
+    /// The request for an operator's file, in the CSV dialect that a spreadsheet writes.
     fn request(&mut self, operator: usize, slow_clock: bool) -> EditRequest {
         self.clock += 10;
         let file = &self.files[operator];
@@ -320,32 +320,32 @@
         operator: usize,
         raced: bool,
         slow_clock: bool,
-        trouble: Trouble,
+        fault: ApplyFault,
     ) -> Expected {
         let edit = self.request(operator, slow_clock);
         let other = self.request(1 - operator, slow_clock);
         let repository = self.store.repository();
-        let intruder = self.store.repository();
+        let concurrent_edit = self.store.repository();
         {
-            let mut inside = self.store.inside();
-            inside.is_down = trouble == Trouble::Down;
-            inside.is_down_after_commit = trouble == Trouble::DownAfterWrite;
-            inside.commits = match trouble {
-                Trouble::DownAfterWrite | Trouble::Reply => vec![Fault::LoseReply],
-                Trouble::RequestThenReply => vec![Fault::LoseRequest, Fault::LoseReply],
-                Trouble::Down | Trouble::None => Vec::new(),
+            let mut state = self.store.state();
+            state.is_down = fault == ApplyFault::Down;
+            state.is_down_after_commit = fault == ApplyFault::DownAfterWrite;
+            state.commits = match fault {
+                ApplyFault::DownAfterWrite | ApplyFault::Reply => vec![Fault::LoseReply],
+                ApplyFault::RequestThenReply => vec![Fault::LoseRequest, Fault::LoseReply],
+                ApplyFault::Down | ApplyFault::None => Vec::new(),
             }
             .into();
             if raced {
-                inside.intruder = Some(Box::pin(async move {
-                    let _ = intruder.commit_edit(&other).await;
+                state.concurrent_edit = Some(Box::pin(async move {
+                    let _ = concurrent_edit.commit_edit(&other).await;
                 }));
             }
         }
         let outcome = self.runtime.block_on(repository.commit_edit(&edit));
-        self.store.inside().intruder = None;
-        self.store.lose(&[]);
-        self.store.come_back();
+        self.store.state().concurrent_edit = None;
+        self.store.inject(&[]);
+        self.store.restore_service();
         match outcome {
             Ok(EditOutcome::Committed { .. }) => Expected::Committed,
             Ok(EditOutcome::Conflict { .. }) => Expected::Conflict,
@@ -367,8 +367,8 @@
         };
     }
 
-    /// Sends a head to a keeper and serves what it asks for until it asks for nothing.
-    fn tell(&mut self, to: usize, source: TableSource, head: table::TableHead) {
+    /// Sends a head to a keeper and serves its requests until it makes none.
+    fn send_head(&mut self, to: usize, source: TableSource, head: table::TableHead) {
         self.now += std::time::Duration::from_secs(10);
         let asked = self.now;
         let mut events = vec![KeeperEvent::Head {
@@ -383,7 +383,7 @@
             let before = self.keepers[to].table().clone();
             let mut actions = Vec::new();
             self.keepers[to].on_event(self.now, event, &mut actions);
-            assert_never_down(&before, self.keepers[to].table());
+            assert_monotonic(&before, self.keepers[to].table());
             for action in actions {
                 events.extend(self.serve(action));
             }
@@ -422,18 +422,18 @@
         }
     }
 
-    /// One poll of the platform, and a second one when the first wrote edits back.
+    /// Polls the platform twice, since the first poll may write edits back.
     fn poll(&mut self, instance: usize, lose_reply: bool) {
         if lose_reply {
-            self.store.lose(&[Fault::LoseReply]);
+            self.store.inject(&[Fault::LoseReply]);
         }
         for _ in 0..2 {
             let head = self.runtime.block_on(self.store.repository().head());
             let head = head.expect("the platform answers");
             let head = head.map(|head| head.head()).unwrap_or_default();
-            self.tell(instance, TableSource::Platform, head);
+            self.send_head(instance, TableSource::Platform, head);
         }
-        self.store.lose(&[]);
+        self.store.inject(&[]);
     }
 
     fn take(&mut self, operator: usize) {
@@ -450,10 +450,10 @@
         };
     }
 
-    /// Every edit is in the log once.
+    /// Checks that every edit is in the log at most once.
     fn assert_once(&self) {
         let mut ids = BTreeSet::new();
-        for (key, row) in &self.store.inside().rows {
+        for (key, row) in &self.store.state().rows {
             if !key.starts_with("table/edit/") {
                 continue;
             }
@@ -463,7 +463,7 @@
     }
 }
 
-fn assert_never_down(before: &table::StampedTable, after: &table::StampedTable) {
+fn assert_monotonic(before: &table::StampedTable, after: &table::StampedTable) {
     assert!(after.version() >= before.version(), "a version went down");
     for (work, held) in before.rows() {
         assert!(
@@ -482,9 +482,9 @@
 
 impl StateMachineTest for OperatorsTest {
     type Reference = Oracle;
-    type SystemUnderTest = World;
+    type SystemUnderTest = TableSystem;
 
-    fn init_test(_: &Oracle) -> World {
+    fn init_test(_: &Oracle) -> TableSystem {
         let now = Instant::now();
         let empty = TableFile {
             base: Some(FileBase {
@@ -493,7 +493,7 @@
             }),
             rows: BTreeMap::new(),
         };
-        World {
+        TableSystem {
             backup: StoredRows::new(),
             clock: 1000,
             files: [empty.clone(), empty],
@@ -508,62 +508,64 @@
         }
     }
 
-    fn apply(mut world: World, oracle: &Oracle, step: Step) -> World {
+    fn apply(mut system: TableSystem, oracle: &Oracle, step: Step) -> TableSystem {
         match step {
             Step::Apply {
                 operator,
                 raced,
                 slow_clock,
-                trouble,
+                fault,
             } => {
-                let outcome = world.apply(operator, raced, slow_clock, trouble);
+                let outcome = system.apply(operator, raced, slow_clock, fault);
                 assert_eq!(outcome, oracle.expected, "{step:?}");
             }
-            Step::Backup => world.backup = world.store.inside().rows.clone(),
+            Step::Backup => system.backup = system.store.state().rows.clone(),
             Step::Change {
                 key,
                 operator,
                 weight,
-            } => world.change(operator, key, weight),
+            } => system.change(operator, key, weight),
             Step::Edit {
                 key,
                 operator,
                 slow_clock,
                 weight,
             } => {
-                world.take(operator);
-                world.change(operator, key, weight);
-                let outcome = world.apply(operator, false, slow_clock, Trouble::None);
+                system.take(operator);
+                system.change(operator, key, weight);
+                let outcome = system.apply(operator, false, slow_clock, ApplyFault::None);
                 assert_eq!(outcome, oracle.expected, "{step:?}");
             }
             Step::Meet { left, right } => {
-                // What they learn reaches the platform with a later poll.
-                world.writes_back = false;
+                // Merged edits reach the platform with a later poll.
+                system.writes_back = false;
                 for (from, to) in [(left, right), (right, left), (left, right), (right, left)] {
-                    let head = world.keepers[from].head();
+                    let head = system.keepers[from].head();
                     let source = TableSource::Peer(from.to_string().into());
-                    world.tell(to, source, head);
+                    system.send_head(to, source, head);
                 }
-                world.writes_back = true;
+                system.writes_back = true;
             }
             Step::Poll {
                 instance,
                 lose_reply,
-            } => world.poll(instance, lose_reply),
-            Step::Restart { instance } => world.keepers[instance] = TableKeeper::new(world.now),
-            Step::RestoreBackup => world.store.inside().rows = world.backup.clone(),
-            Step::Take { operator } => world.take(operator),
+            } => system.poll(instance, lose_reply),
+            Step::Restart { instance } => system.keepers[instance] = TableKeeper::new(system.now),
+            Step::RestoreBackup => system.store.state().rows = system.backup.clone(),
+            Step::Take { operator } => system.take(operator),
         }
-        world.assert_once();
-        world
+        system.assert_once();
+        system
     }
 
-    fn check_invariants(world: &World, oracle: &Oracle) {
-        let snapshot = world.runtime.block_on(world.store.repository().snapshot());
+    fn check_invariants(system: &TableSystem, oracle: &Oracle) {
+        let snapshot = system
+            .runtime
+            .block_on(system.store.repository().snapshot());
         let snapshot = snapshot.expect("a consistent table");
         let expected = oracle.platform.rows.map(|(_, weight)| weight);
         assert_eq!(weights(&snapshot.table), expected, "the platform");
-        for (keeper, held) in world.keepers.iter().zip(&oracle.instances) {
+        for (keeper, held) in system.keepers.iter().zip(&oracle.instances) {
             let expected = held.map(|(_, weight)| weight);
             assert_eq!(weights(keeper.table()), expected, "an instance");
         }
--- a/crates/plat/tests/poll_plan.rs
+++ b/crates/plat/tests/poll_plan.rs
@@ -1,4 +1,4 @@
-//! Who polls the platform and when, and what comes at it after an outage; in virtual time.
+//! Which instances poll the platform and when, and the load on it after an outage, in virtual time.
 
 use {
     kernel::InstanceId,
@@ -26,7 +26,7 @@
     plans
 }
 
-/// Polls in each second, over `seconds`; each poll ends at once.
+/// Runs the plans and counts the polls in each second; each poll completes immediately.
 fn run(plans: &mut [PollPlan], now: &mut Instant, seconds: u32, answered: bool) -> Vec<usize> {
     let mut counts = vec![0; seconds as usize];
     let mut wakes = vec![*now; plans.len()];
@@ -42,7 +42,7 @@
     counts
 }
 
-/// Wakes a plan and sets the time of its next wake; how many polls it made.
+/// Wakes a plan and sets its next wake time; returns the number of polls it made.
 fn step(plan: &mut PollPlan, wake: &mut Instant, answered: bool) -> usize {
     let mut actions = Vec::new();
     plan.on_event(*wake, PollEvent::Tick, &mut actions);
@@ -96,7 +96,7 @@
 fn an_hour_of_outage_backs_off_and_ends_without_a_thundering_herd() {
     let mut now = Instant::now();
     let members = names(300);
-    // Every instance is a zone of its own, so that all of them poll.
+    // No plan knows other members, so all instances poll.
     let mut plans: Vec<PollPlan> = Vec::new();
     for (index, member) in members.iter().enumerate() {
         let settings = PollSettings::builder().seed(index as u64).build();
@@ -106,7 +106,7 @@
     let outage = run(&mut plans, &mut now, 3600, false);
     let after = run(&mut plans, &mut now, 60, true);
     let late: usize = outage[3000..].iter().sum();
-    // A pause of 15 to 30 s each: 300 instances make 10 to 20 polls a second.
+    // With a backoff of 15 to 30 s, 300 instances make 10 to 20 polls per second.
     assert!(
         (600 * 10..=600 * 20).contains(&late),
         "{late} polls in ten minutes"
@@ -116,7 +116,7 @@
         most.is_some_and(|most| *most <= 45),
         "{most:?} polls in a second of outage"
     );
-    // On return no second has more polls than twice the ordinary ones.
+    // After the outage no second has more than 5/4 of the ordinary maximum of polls.
     let ordinary = before[5..].iter().max().copied().unwrap_or_default();
     let herd = after.iter().max().copied().unwrap_or_default();
     assert!(
