--- a/crates/plat/tests/repository.rs
+++ b/crates/plat/tests/repository.rs
@@ -1,4 +1,4 @@
-//! The table in the platform: conditional edits, lost replies, stale files, snapshots, history, write-backs.
+//! The table repository: conditional edits, lost replies, stale files, snapshots, history, write-backs.
 
 mod common;
 
@@ -48,12 +48,7 @@
         rows(&[("draft", 1), ("notes", 1)])
     );
     assert_eq!(snapshot.head.unwrap().head(), snapshot.table.head());
-    let keys: Vec<String> = store
-        .inside()
-        .rows
-        .keys()
-        .map(ToString::to_string)
-        .collect();
+    let keys: Vec<String> = store.state().rows.keys().map(ToString::to_string).collect();
     assert_eq!(
         keys,
         [
@@ -109,7 +104,7 @@
     ] {
         let store = MemoryStore::default();
         let repository = store.repository();
-        store.lose(faults);
+        store.inject(faults);
         assert_eq!(edited(&repository).await, 1000, "{faults:?}");
         let history = repository.history(10).await.unwrap();
         assert_eq!(history.len(), 1, "{faults:?}");
@@ -121,7 +116,7 @@
     let store = MemoryStore::default();
     let repository = store.repository();
     let base = edited(&repository).await;
-    store.lose(&[Fault::LoseRequest, Fault::LoseReply]);
+    store.inject(&[Fault::LoseRequest, Fault::LoseReply]);
     let other = {
         let repository = repository.clone();
         async move {
@@ -129,7 +124,7 @@
             repository.commit_edit(&edit).await.unwrap();
         }
     };
-    store.inside().intruder = Some(Box::pin(other));
+    store.state().concurrent_edit = Some(Box::pin(other));
     let mine = request("mine", 3000, base, &[("draft", 1), ("notes", 9)]);
     let outcome = repository.commit_edit(&mine).await.unwrap();
     assert!(matches!(
@@ -146,12 +141,12 @@
     let store = MemoryStore::default();
     let repository = store.repository();
     let base = edited(&repository).await;
-    store.lose(&[Fault::LoseReply]);
-    store.inside().is_down_after_commit = true;
+    store.inject(&[Fault::LoseReply]);
+    store.state().is_down_after_commit = true;
     let edit = request("mine", 2000, base, &[("notes", 9)]);
     let error = repository.commit_edit(&edit).await.unwrap_err();
     assert_eq!(error.result_code(), ResultCode::EditUnknown);
-    store.come_back();
+    store.restore_service();
     let again = request("again", 3000, base, &[("notes", 9)]);
     let outcome = repository.commit_edit(&again).await.unwrap();
     assert_eq!(outcome, EditOutcome::Unchanged { version: 2000 });
@@ -161,11 +156,11 @@
 async fn an_outage_before_the_write_leaves_nothing_open() {
     let store = MemoryStore::default();
     let repository = store.repository();
-    store.inside().is_down = true;
+    store.state().is_down = true;
     let edit = request("mine", 2000, 0, &[("notes", 9)]);
     let error = repository.commit_edit(&edit).await.unwrap_err();
     assert!(matches!(error, PlatError::Unreachable { .. }), "{error}");
-    let calls = store.inside().calls;
+    let calls = store.state().calls;
     assert!(calls <= 8, "{calls} calls");
 }
 
@@ -173,11 +168,11 @@
 async fn a_refused_write_is_not_tried_again() {
     let store = MemoryStore::default();
     let repository = store.repository();
-    store.lose(&[Fault::Refuse]);
+    store.inject(&[Fault::Refuse]);
     let edit = request("mine", 2000, 0, &[("notes", 9)]);
     let error = repository.commit_edit(&edit).await.unwrap_err();
     assert!(matches!(error, PlatError::Refused { status: 400 }));
-    assert!(store.inside().rows.is_empty());
+    assert!(store.state().rows.is_empty());
 }
 
 #[tokio::test]
@@ -198,7 +193,7 @@
     let store = MemoryStore::default();
     let repository = store.repository();
     edited(&repository).await;
-    store.inside().rows.remove("work/notes");
+    store.state().rows.remove("work/notes");
     let error = repository.snapshot().await.unwrap_err();
     assert!(matches!(error, PlatError::Inconsistent { version: 1000 }));
     assert_eq!(error.result_code(), ResultCode::DigestDiffers);
@@ -209,15 +204,15 @@
     let store = MemoryStore::default();
     let repository = store.repository();
     let base = edited(&repository).await;
-    let copy = store.inside().rows.clone();
+    let copy = store.state().rows.clone();
     let edit = request("lost", 2000, base, &[("draft", 1), ("notes", 9)]);
     repository.commit_edit(&edit).await.unwrap();
     let held = repository.snapshot().await.unwrap().table;
-    store.inside().rows = copy;
+    store.state().rows = copy;
     // An edit on the restored platform, before any instance noticed.
     let edit = request("fork", 3000, base, &[("draft", 5), ("notes", 1)]);
     repository.commit_edit(&edit).await.unwrap();
-    store.lose(&[Fault::LoseReply]);
+    store.inject(&[Fault::LoseReply]);
     let version = repository
         .restore(&held, &origin("heal", 2500))
         .await
@@ -231,7 +226,7 @@
         missing.keys().map(|work| &**work).collect::<Vec<_>>(),
         ["notes"]
     );
-    // The log of a write-back has no stamps, so a patch over it is whole.
+    // The log entry of a write-back has no stamps, so a patch across it contains the whole table.
     let patch = repository.patch_since(3000).await.unwrap();
     assert_eq!((patch.since, patch.rows["notes"].stamp), (0, 2000));
     let again = repository
@@ -247,7 +242,7 @@
     let repository = store.repository();
     let base = edited(&repository).await;
     let held = repository.snapshot().await.unwrap().table;
-    store.inside().rows.clear();
+    store.state().rows.clear();
     let origin = origin("heal", 500);
     assert_eq!(repository.restore(&held, &origin).await.unwrap(), base + 1);
     let table = repository.snapshot().await.unwrap().table;
@@ -260,11 +255,11 @@
     let store = MemoryStore::default();
     let repository = store.repository();
     let base = edited(&repository).await;
-    let copy = store.inside().rows.clone();
+    let copy = store.state().rows.clone();
     let edit = request("lost", 2000, base, &[("draft", 1), ("notes", 9)]);
     repository.commit_edit(&edit).await.unwrap();
     let held = repository.snapshot().await.unwrap().table;
-    store.inside().rows = copy;
+    store.state().rows = copy;
     repository
         .restore(&held, &origin("heal", 2500))
         .await
@@ -293,16 +288,16 @@
         repository.commit_edit(&edit).await.unwrap();
         base = 1000 + step;
     }
-    store.inside().calls = 0;
+    store.state().calls = 0;
     let patch = repository.patch_since(1038).await.unwrap();
-    assert_eq!(store.inside().calls, 3);
+    assert_eq!(store.state().calls, 3);
     assert_eq!((patch.since, patch.version), (1038, 1040));
     assert_eq!(patch.rows["notes"].row, Some(row("notes", 41)));
     let mut table = repository.snapshot().await.unwrap().table;
     assert_eq!(patch.digest, table.digest());
     assert!(patch.is_sound());
     assert!(!table.join(&patch));
-    // Too far behind, on another branch, and without any table.
+    // Too far behind, on another branch, and without any table at all.
     for since in [1001, 1038 + 500, 999, 0] {
         let patch = repository.patch_since(since).await.unwrap();
         assert_eq!((patch.since, patch.rows.len()), (0, 2), "{since}");
