--- a/crates/claim/src/claim_keeper.rs
+++ b/crates/claim/src/claim_keeper.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// Rows whose expiry is watched, for requests and for the sweep each.
+/// The maximum number of rows watched for expiry, separately for requests and for the sweep.
 const WATCH_LIMIT: usize = 4096;
 
 /// How to handle a submission with an idempotency key.
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Resolves a claim, from [`ClaimEvent::Start`], or from [`ClaimEvent::OriginRefused`] after a forward that was
-    /// refused as not run. It returns after a bounded number of calls to the platform.
+    /// Resolves a claim, from [`ClaimEvent::Start`], or from [`ClaimEvent::OriginRefused`] after a forward that
+    /// was refused as not run. It returns after a bounded number of calls to the platform.
     pub async fn settle(&self, claim: &mut KeyedClaim, first: ClaimEvent) -> ClaimVerdict {
         let mut event = first;
         loop {
--- a/crates/claim/src/claim_record.rs
+++ b/crates/claim/src/claim_record.rs
@@ -38,9 +38,9 @@
         serde_json::from_str(value).ok()
     }
 
-    /// The record of a claim whose permit has been issued. The clock must be read after the ticket was minted and before
-    /// the row is written: then an instance that waits for `life` from when it saw the row never finishes before the
-    /// permit expires.
+    /// The record of a claim whose permit has been issued. The clock must be read after the ticket was minted
+    /// and before the row is written: then an instance that waits for `life` from when it saw the row never
+    /// finishes before the permit expires.
     pub fn under_permit(
         clock: ClockReading,
         permit: &RunPermit,
--- a/crates/claim/src/claim_watch.rs
+++ b/crates/claim/src/claim_watch.rs
@@ -32,8 +32,9 @@
 
 /// Claim rows that have expired by the wall clock, and since when each has been seen unchanged.
 ///
-/// Wall clocks may be wrong, so a claim counts as expired only after this process has seen it unchanged for its whole
-/// lifetime. Its maker started counting earlier, and dispatches nothing after that lifetime by its own monotonic clock.
+/// Wall clocks may be wrong, so a claim counts as expired only after this process has seen it unchanged for its
+/// whole lifetime. Its maker started counting earlier, and dispatches nothing after that lifetime by its own
+/// monotonic clock.
 #[derive(Debug)]
 pub struct ClaimWatch {
     limit: usize,
--- a/crates/claim/src/closed_table.rs
+++ b/crates/claim/src/closed_table.rs
@@ -32,8 +32,8 @@
 }
 
 impl<A: AnswerSize> ClosedTable<A> {
-    /// Answers a hand-over that arrives while this instance closes. It is refused permanently, unless it is a copy of
-    /// one that was accepted before.
+    /// Answers a hand-over that arrives while this instance closes. It is refused permanently, unless it is a
+    /// copy of one that was accepted before.
     pub fn accept_hand_over(&self, message: &HandOver<A>) -> HandOverReply {
         let taken = message.successor == self.table.life
             && message
@@ -71,8 +71,8 @@
         self.table.finish_unknown(run, sent, code)
     }
 
-    /// Handles a reply to the hand-over. Only the named successor's reply counts: a later incarnation cannot know what
-    /// the earlier one did.
+    /// Handles a reply to the hand-over. Only the named successor's reply counts: a later incarnation cannot
+    /// know what the earlier one did.
     pub fn on_reply(&mut self, from: &IncarnationKey, reply: HandOverReply) {
         if *from == self.successor {
             self.reply.get_or_insert(reply);
@@ -95,10 +95,11 @@
     }
 
     /// Decides how to handle a submitted ticket. `Elsewhere` means that the request is forwarded to
-    /// [`Self::successor`], and answered with [`OriginGone`](ResultCode::OriginGone) when that does not answer. The
-    /// verdict is never `Run`.
+    /// [`Self::successor`], and answered with [`OriginGone`](ResultCode::OriginGone) when that does not answer.
+    /// The verdict is never `Run`.
     ///
-    /// Only the successor decides whether an unused ticket has expired, since its clock for the incarnation may be behind.
+    /// Only the successor decides whether an unused ticket has expired, since its clock for the incarnation may
+    /// be behind.
     pub fn submit(&self, ticket: &Ticket, digest: RequestDigest) -> SubmitVerdict<A> {
         let Some(life) = self.table.lives.get(&ticket.life) else {
             return SubmitVerdict::Elsewhere;
@@ -130,8 +131,8 @@
 }
 
 impl<A: AnswerSize> TicketTable<A> {
-    /// Takes over the tickets of a closing instance, if the message names this incarnation. A repeated message changes
-    /// nothing, so runs recorded here since the first copy are kept.
+    /// Takes over the tickets of a closing instance, if the message names this incarnation. A repeated message
+    /// changes nothing, so runs recorded here since the first copy are kept.
     pub fn accept_hand_over(&mut self, now: Instant, message: HandOver<A>) -> HandOverReply {
         if message.successor != self.life {
             return HandOverReply::Refused;
@@ -145,8 +146,8 @@
         HandOverReply::Accepted
     }
 
-    /// Hands all tickets over to one successor. From here on this instance issues no permit. The message may be sent to
-    /// the same successor any number of times.
+    /// Hands all tickets over to one successor. From here on this instance issues no permit. The message may be
+    /// sent to the same successor any number of times.
     pub fn hand_over(
         mut self,
         now: Instant,
@@ -241,7 +242,8 @@
     }
 }
 
-/// A record as sent to the successor. A run in flight at the sender is sent as unknown, because the sender finishes it.
+/// A record as sent to the successor. A run in flight at the sender is sent as unknown, because the sender
+/// finishes it.
 fn handed_over(record: &TicketRecord) -> TicketRecord {
     let state = match record.state {
         TicketState::Running => HANDED_OVER_RUN,
--- a/crates/claim/src/forward_table.rs
+++ b/crates/claim/src/forward_table.rs
@@ -33,7 +33,8 @@
 }
 
 impl ForwardTable {
-    /// Records the successor of an incarnation. The first report wins, since an incarnation has only one successor.
+    /// Records the successor of an incarnation. The first report wins, since an incarnation has only one
+    /// successor.
     pub fn add_successor(&mut self, now: Instant, life: IncarnationKey, successor: IncarnationKey) {
         self.sweep(now);
         self.successors.entry(life).or_insert(SuccessorRecord {
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Where a ticket of `life` goes. `holds` tells which incarnations this instance holds, `is_live` which still answer.
+    /// Where a ticket of `life` goes. `holds` tells which incarnations this instance holds, `is_live` which
+    /// still answer.
     pub fn route(
         &self,
         life: &IncarnationKey,
--- a/crates/claim/src/hand_over.rs
+++ b/crates/claim/src/hand_over.rs
@@ -27,8 +27,8 @@
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct IncarnationHandOver<A> {
-    /// The age of the incarnation when the message was created. The successor's clock for it starts at this value, so it
-    /// is never ahead of the sender's.
+    /// The age of the incarnation when the message was created. The successor's clock for it starts at this
+    /// value, so it is never ahead of the sender's.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
     /// The cached answers.
--- a/crates/claim/src/keyed_claim.rs
+++ b/crates/claim/src/keyed_claim.rs
@@ -49,9 +49,9 @@
 
 /// One submission of a request with an idempotency key.
 ///
-/// The permit of its ticket must be taken before the first write: the ticket's lifetime starts there, and instances that
-/// find the row attach to this run. Each write carries the same ticket, so that a write whose reply was lost is
-/// recognised.
+/// The permit of its ticket must be taken before the first write: the ticket's lifetime starts there, and
+/// instances that find the row attach to this run. Each write carries the same ticket, so that a write whose
+/// reply was lost is recognised.
 #[derive(Debug)]
 pub struct KeyedClaim {
     key: Arc<str>,
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,8 +1,9 @@
 //! At-most-once execution: tickets, keyed claims, and request types that track whether a request was dispatched.
 //!
-//! An [`UnsentRequest`] request is consumed by its dispatch, and only an undispatched one can be answered as not run. A
-//! [`TicketTable`] decides whether a ticket may run here; a [`KeyedClaim`] maps a caller's idempotency key to a ticket.
-//! They do no I/O and take the time as an argument; [`ClaimKeeper`] reads and writes the platform's rows.
+//! An [`UnsentRequest`] is consumed by its dispatch, and only an undispatched one can be answered as not run. A
+//! [`TicketTable`] decides whether a ticket may run here; a [`KeyedClaim`] maps a caller's idempotency key to a
+//! ticket. Both do no I/O and take the time as an argument; [`ClaimKeeper`] reads and writes the platform's
+//! rows.
 
 pub mod answer_cache;
 pub mod answer_size;
--- a/crates/claim/src/not_run.rs
+++ b/crates/claim/src/not_run.rs
@@ -2,8 +2,8 @@
 
 use {kernel::ResultCode, serde::Serialize};
 
-/// The guarantee that a request did not run. Only [`UnsentRequest::into_not_run`](crate::UnsentRequest::into_not_run) and the
-/// origin of a ticket create it.
+/// The guarantee that a request did not run. Only
+/// [`UnsentRequest::into_not_run`](crate::UnsentRequest::into_not_run) and the origin of a ticket create it.
 ///
 /// It cannot be constructed elsewhere, since its field is private:
 ///
--- a/crates/claim/src/not_run_evidence.rs
+++ b/crates/claim/src/not_run_evidence.rs
@@ -17,7 +17,8 @@
 const REFUSAL_STATUSES: [u16; 2] = [429, 503];
 
 impl NotRunEvidence {
-    /// From an upstream's complete refusal: evidence if its status is 429 or 503 and its body states that nothing ran.
+    /// From an upstream's complete refusal: evidence if its status is 429 or 503 and its body states that
+    /// nothing ran.
     pub fn from_refusal(status: u16, ran: Option<bool>) -> Option<Self> {
         let is_not_run = ran == Some(false);
         let refused = REFUSAL_STATUSES.contains(&status);
--- a/crates/claim/src/run_permit.rs
+++ b/crates/claim/src/run_permit.rs
@@ -52,8 +52,8 @@
         self.deadline
     }
 
-    /// Dispatches the request, unless its ticket has expired. `now` must be read right before the call: a process that
-    /// was suspended must not run a request that others may already regard as expired.
+    /// Dispatches the request, unless its ticket has expired. `now` must be read right before the call: a
+    /// process that was suspended must not run a request that others may already regard as expired.
     pub fn dispatch<T>(self, now: Instant, unsent: UnsentRequest<T>) -> PermitDispatch<T> {
         if now >= self.deadline {
             return PermitDispatch::Expired {
--- a/crates/claim/src/ticket.rs
+++ b/crates/claim/src/ticket.rs
@@ -38,8 +38,8 @@
 pub struct Ticket {
     /// A keyed hash over the other parts.
     pub check: u64,
-    /// The age of the origin's incarnation at which the ticket expires, in whole milliseconds. The origin checks it by its
-    /// own monotonic clock only, so wall clocks do not matter.
+    /// The age of the origin's incarnation at which the ticket expires, in whole milliseconds. The origin
+    /// checks it by its own monotonic clock only, so wall clocks do not matter.
     pub expiry: Duration,
     /// The incarnation at which it may run.
     pub life: IncarnationKey,
@@ -135,7 +135,8 @@
 ///
 /// # Errors
 ///
-/// [`ClaimError::NameInvalid`] for an empty name, one over 64 bytes, or one with characters other than `a-z A-Z 0-9 . _ -`.
+/// [`ClaimError::NameInvalid`] for an empty name, one over 64 bytes, or one with characters other than
+/// `a-z A-Z 0-9 . _ -`.
 pub fn checked_name(field: &'static str, name: &str) -> Result<Arc<str>, ClaimError> {
     let fits = (1..=NAME_LIMIT).contains(&name.len()) && name.bytes().all(is_name_byte);
     ensure!(fits, NameInvalidSnafu { field, name });
--- a/crates/claim/src/ticket_settings.rs
+++ b/crates/claim/src/ticket_settings.rs
@@ -14,8 +14,8 @@
     /// The maximum lifetime of a ticket.
     #[builder(default = Duration::from_secs(3600))]
     pub max_expiry: Duration,
-    /// How long a used ticket is remembered past its expiry. For this long, "expired, not run" can be distinguished from
-    /// "unknown".
+    /// How long a used ticket is remembered past its expiry. For this long, "expired, not run" can be
+    /// distinguished from "unknown".
     #[builder(default = Duration::from_secs(600))]
     pub retention: Duration,
     /// Seeds the random parts and the check key of each incarnation.
--- a/crates/claim/src/ticket_table.rs
+++ b/crates/claim/src/ticket_table.rs
@@ -160,7 +160,8 @@
         unsent.into_not_run(code)
     }
 
-    /// Records a ticket as refused. Used when the caller's key maps to another ticket, by which the request continues.
+    /// Records a ticket as refused. Used when the caller's key maps to another ticket, by which the request
+    /// continues.
     pub fn mark_refused(&mut self, permit: RunPermit, code: ResultCode) {
         if let Some(record) = self.record_mut(&permit) {
             record.state = TicketState::Refused(code);
--- a/crates/claim/src/unsent_request.rs
+++ b/crates/claim/src/unsent_request.rs
@@ -5,7 +5,8 @@
     kernel::ResultCode,
 };
 
-/// A request that was never dispatched. Dispatching consumes it, and only this type can become the answer "not run".
+/// A request that was never dispatched. Dispatching consumes it, and only this type can become the answer "not
+/// run".
 ///
 /// ```
 /// use {claim::UnsentRequest, kernel::ResultCode};
@@ -57,8 +58,8 @@
         &self.request
     }
 
-    /// Dispatches the request: from here on its outcome is a complete answer or unknown. Call it right before the first
-    /// byte is written.
+    /// Dispatches the request: from here on its outcome is a complete answer or unknown. Call it right before
+    /// the first byte is written.
     pub fn dispatch(self) -> (T, SentRequest) {
         (self.request, SentRequest::new())
     }
--- a/crates/claim/tests/support/once_oracle.rs
+++ b/crates/claim/tests/support/once_oracle.rs
@@ -22,8 +22,8 @@
 }
 
 impl OnceOracle {
-    /// The first violated invariant. A ticket runs at most once, a key runs at most once within its lifetime, and a
-    /// submission answered "not run" never ran.
+    /// The first violated invariant. A ticket runs at most once, a key runs at most once within its lifetime,
+    /// and a submission answered "not run" never ran.
     pub(crate) fn fault(&self) -> Option<String> {
         for (index, run) in self.runs.iter().enumerate() {
             for other in &self.runs[..index] {
--- a/crates/lease/src/clock_drift.rs
+++ b/crates/lease/src/clock_drift.rs
@@ -6,8 +6,8 @@
 pub const DRIFT_PPM: u32 = 10_000;
 const MILLION: u32 = 1_000_000;
 
-/// The part of a duration that a lease holder may use. By any other clock it is no longer than the same duration with
-/// [`add_drift_margin`].
+/// The part of a duration that a lease holder may use. By any other clock it is no longer than the same
+/// duration with [`add_drift_margin`].
 pub fn subtract_drift_margin(duration: Duration) -> Duration {
     duration - margin(duration)
 }
--- a/crates/lease/src/lease_core.rs
+++ b/crates/lease/src/lease_core.rs
@@ -71,9 +71,9 @@
 
 /// The state machine of one lease in one process.
 ///
-/// A holder counts its lease from before it sent the write, by its own monotonic clock and minus a drift margin. Other
-/// processes wait for the whole duration plus a drift margin, from when they first saw the row in its current version.
-/// Wall clocks are not used.
+/// A holder counts its lease from before it sent the write, by its own monotonic clock and minus a drift
+/// margin. Other processes wait for the whole duration plus a drift margin, from when they first saw the row in
+/// its current version. Wall clocks are not used.
 #[derive(Debug)]
 pub struct LeaseCore {
     fence_floor: FencingToken,
@@ -85,8 +85,8 @@
 }
 
 impl LeaseCore {
-    /// What the lease allows now; `None` if this process does not hold it, or if it has expired by its own clock. The
-    /// clock must be read right before an order is sent.
+    /// What the lease allows now; `None` if this process does not hold it, or if it has expired by its own
+    /// clock. The clock must be read right before an order is sent.
     pub fn hold(&self, now: Instant) -> Option<LeaseHold> {
         let LeasePhase::Holding(held) = &self.phase else {
             return None;
@@ -258,7 +258,8 @@
             held.version = row.version;
             return self.renew(now);
         }
-        // A forgotten write took effect after all. Its waiting time is no longer known, so the longest one applies.
+        // A forgotten write took effect after all. Its waiting time is no longer known, so the longest one
+        // applies.
         let longest = record.takeover_wait() + record.order_wait();
         self.acquire(now, row.version, record.fence, now + longest)
     }
--- a/crates/lease/src/lease_keeper.rs
+++ b/crates/lease/src/lease_keeper.rs
@@ -65,8 +65,8 @@
     ///
     /// # Errors
     ///
-    /// [`LeaseError`]: the lease is not held, an earlier order may be in progress, the upstream refused the token, or
-    /// gave no answer. An order that the upstream refused for another reason is `Ok(false)`.
+    /// [`LeaseError`]: the lease is not held, an earlier order may be in progress, the upstream refused the
+    /// token, or gave no answer. An order that the upstream refused for another reason is `Ok(false)`.
     pub async fn order<O: OrderSender>(
         &self,
         sender: &O,
--- a/crates/lease/src/order_gate.rs
+++ b/crates/lease/src/order_gate.rs
@@ -28,11 +28,11 @@
 }
 
 impl OrderGate {
-    /// Decides on an order, and records it as sent if the verdict is to send it. `now` must be read right before the order
-    /// is sent.
+    /// Decides on an order, and records it as sent if the verdict is to send it. `now` must be read right
+    /// before the order is sent.
     ///
-    /// An upstream that checks fencing tokens refuses earlier holders itself. For one that does not, the gate waits until
-    /// no order of an earlier holder can be in progress.
+    /// An upstream that checks fencing tokens refuses earlier holders itself. For one that does not, the gate
+    /// waits until no order of an earlier holder can be in progress.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Records that an upstream answered: its order is done or was refused. An order without an answer counts as in flight
-    /// for the longest time.
+    /// Records that an upstream answered: its order is done or was refused. An order without an answer counts
+    /// as in flight for the longest time.
     pub fn on_answer(&mut self, upstream: &UpstreamId) {
         self.in_flight.remove(upstream);
     }
--- a/crates/plat/src/edit_attempts.rs
+++ b/crates/plat/src/edit_attempts.rs
@@ -17,8 +17,8 @@
 }
 
 impl EditAttempts {
-    /// The final error. An error other than `OutcomeUnknown` means that nothing was written, which is not certain after an
-    /// attempt whose reply was lost.
+    /// The final error. An error other than `OutcomeUnknown` means that nothing was written, which is not
+    /// certain after an attempt whose reply was lost.
     pub(crate) fn close(self, error: PlatError, origin: &EditOrigin) -> PlatError {
         if self.versions.is_empty() {
             return error;
--- a/crates/plat/src/edit_origin.rs
+++ b/crates/plat/src/edit_origin.rs
@@ -23,9 +23,9 @@
 }
 
 impl EditOrigin {
-    /// The version of an edit on top of `current`. Versions are milliseconds since the Unix epoch, so that a version
-    /// created on a restored platform is greater than the lost ones. If the clock is behind, the version is one more than
-    /// the greatest known one.
+    /// The version of an edit on top of `current`. Versions are milliseconds since the Unix epoch, so that a
+    /// version created on a restored platform is greater than the lost ones. If the clock is behind, the
+    /// version is one more than the greatest known one.
     pub fn next_version(&self, current: TableVersion) -> TableVersion {
         let by_clock = u64::try_from(self.at.as_millis()).unwrap_or_default();
         by_clock.max(current.saturating_add(1)).max(self.floor)
--- a/crates/plat/src/http_platform.rs
+++ b/crates/plat/src/http_platform.rs
@@ -104,7 +104,8 @@
         })
     }
 
-    /// Sends a read, and once more if it fails: the pooled connection may have been closed in the meantime.
+    /// Sends a read, and once more if it gets no answer: the pooled connection may have been closed in the
+    /// meantime.
     async fn read(&self, path: &str) -> Result<Option<Bytes>, PlatError> {
         let mut answer = self.call(Method::GET, path, Bytes::new()).await;
         if matches!(answer, Err(PlatError::Unreachable { .. })) {
--- a/crates/plat/src/keyed_rows.rs
+++ b/crates/plat/src/keyed_rows.rs
@@ -17,8 +17,8 @@
     Taken(StoredRow),
 }
 
-/// Inserts a row if it does not exist. The value must be unique to the caller, such as a ticket's id: a row with the same
-/// value is taken for an earlier attempt whose reply was lost.
+/// Inserts a row if it does not exist. The value must be unique to the caller, such as a ticket's id: a row
+/// with the same value is taken for an earlier attempt whose reply was lost.
 ///
 /// # Errors
 ///
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,8 +1,8 @@
 //! The platform: its transactional table service, object store and instance list, as traits
 //! ([`RowStore`], [`ObjectStore`], [`InstanceList`]) and over HTTP ([`HttpPlatform`]).
 //!
-//! [`TableRepository`] stores the operators' table in its rows, and [`insert_once`] inserts a row if its key does not exist.
-//! [`PollPlan`] decides which instances poll, and when.
+//! [`TableRepository`] stores the operators' table in its rows, and [`insert_once`] inserts a row if its key
+//! does not exist. [`PollPlan`] decides which instances poll, and when.
 
 pub mod budget_platform;
 pub mod call_budget;
--- a/crates/plat/src/poll_plan.rs
+++ b/crates/plat/src/poll_plan.rs
@@ -49,8 +49,8 @@
     WakeAt(Instant),
 }
 
-/// Decides when this instance polls. At most one poll is in flight. After each failure the backoff doubles, with jitter,
-/// so that the instances do not all retry at once after an outage.
+/// Decides when this instance polls. At most one poll is in flight. After each failure the backoff doubles,
+/// with jitter, so that the instances do not all retry at once after an outage.
 #[derive(Clone, Debug)]
 pub struct PollPlan {
     failures: u32,
--- a/crates/plat/src/stored_table.rs
+++ b/crates/plat/src/stored_table.rs
@@ -18,8 +18,8 @@
     })
 }
 
-/// Whether a file was taken from these rows. A restored platform may have the same content under a later version, so the
-/// digest takes precedence over the version.
+/// Whether a file was taken from these rows. A restored platform may have the same content under a later
+/// version, so the digest takes precedence over the version.
 pub(crate) fn matches(
     base: FileBase,
     version: TableVersion,
--- a/crates/plat/src/table_repository.rs
+++ b/crates/plat/src/table_repository.rs
@@ -21,7 +21,7 @@
 
 /// How often a snapshot is read when an edit is committed between its two reads.
 const MAX_SNAPSHOT_READS: u32 = 8;
-/// How many lost replies a write tolerates.
+/// A write is abandoned after this many lost replies.
 const MAX_LOST_REPLIES: u32 = 8;
 /// How often a write is attempted when other edits are committed first.
 const MAX_WRITE_ATTEMPTS: u32 = 64;
@@ -45,9 +45,9 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::OutcomeUnknown`] when a reply was lost and the outcome cannot be read back: applying the same file
-    /// again is safe. [`PlatError::BaseUnknown`] or [`PlatError::BaseDiffers`] when the file's version is not found. Any
-    /// other error means that nothing was written.
+    /// [`PlatError::OutcomeUnknown`] when a reply was lost and the outcome cannot be read back: applying the
+    /// same file again is safe. [`PlatError::BaseUnknown`] or [`PlatError::BaseDiffers`] when the file's
+    /// version is not found. Any other error means that nothing was written.
     pub async fn commit_edit(&self, edit: &EditRequest) -> Result<EditOutcome, PlatError> {
         let mut attempts = EditAttempts::default();
         while attempts.count < MAX_WRITE_ATTEMPTS && attempts.lost_replies < MAX_LOST_REPLIES {
@@ -96,8 +96,9 @@
         }
     }
 
-    /// The rows that changed after a version, from the edit log; all rows when the log does not reach that version within
-    /// a few entries. An instance that is one edit behind reads two rows instead of the whole table.
+    /// The rows that changed after a version, from the edit log; all rows when the log does not reach that
+    /// version within a few entries. An instance that is one edit behind reads two rows instead of the whole
+    /// table.
     ///
     /// # Errors
     ///
@@ -126,8 +127,9 @@
         record.ok_or(PlatError::HistoryGap { version })
     }
 
-    /// Writes back accepted edits that the platform lacks, for example after it was restored from an old copy. Rows keep
-    /// their stamps, and the new version is greater than both. Returns the platform's version afterwards.
+    /// Writes back accepted edits that the platform lacks, for example after it was restored from an old copy.
+    /// Rows keep their stamps, and the new version is greater than both. Returns the platform's version
+    /// afterwards.
     ///
     /// # Errors
     ///
--- a/crates/plat/src/table_transaction.rs
+++ b/crates/plat/src/table_transaction.rs
@@ -25,7 +25,8 @@
 }
 
 impl<'a> TableTransaction<'a> {
-    /// Builds the transaction: changed rows, log entry and head, each on condition that it is unchanged since the snapshot.
+    /// Builds the transaction: changed rows, log entry and head, each on condition that it is unchanged since
+    /// the snapshot.
     pub(crate) fn build(
         mut self,
         origin: &EditOrigin,
--- a/crates/plat/tests/operators_fuzz.rs
+++ b/crates/plat/tests/operators_fuzz.rs
@@ -1,5 +1,6 @@
-//! Fuzzes concurrent operators, stale files, lost replies, outages, restarted instances and a platform restored from old
-//! copies against an oracle that tracks which accepted edit of each row the platform and the instances hold.
+//! Fuzzes concurrent operators, stale files, lost replies, outages, restarted instances and a platform restored
+//! from old copies against an oracle that tracks which accepted edit of each row the platform and the instances
+//! hold.
 
 mod common;
 
@@ -63,8 +64,9 @@
         slow_clock: bool,
         weight: u8,
     },
-    /// Two instances receive two rounds of each other's heartbeats and pull. One round is not enough after a fork: the
-    /// instance with the greater version pulls nothing until the other has merged and has a different digest.
+    /// Two instances receive two rounds of each other's heartbeats and pull. One round is not enough after a
+    /// fork: the instance with the greater version pulls nothing until the other has merged and has a different
+    /// digest.
     Meet { left: usize, right: usize },
     /// An instance polls the platform; its write-back may lose a reply.
     Poll { instance: usize, lose_reply: bool },
