--- a/crates/claim/src/run_permit.rs
+++ b/crates/claim/src/run_permit.rs
@@ -1,68 +1,68 @@
-//! The right to run a ticket's request, and what is left of it afterwards.
+//! The permit to run the request of a ticket, and its state after the dispatch.
 
 use {
     crate::{
-        life_key::LifeKey, sent::Sent, ticket::TicketSerial, undone_dispatch::UndoneDispatch,
-        unsent::Unsent,
+        incarnation_key::IncarnationKey, not_run_evidence::NotRunEvidence,
+        sent_request::SentRequest, ticket::TicketSerial, unsent_request::UnsentRequest,
     },
     std::time::Instant,
 };
 
-/// The one right to run a ticket's request. It is not `Clone`; the origin gives one out for each ticket.
+/// The only permit to run the request of a ticket. It is not `Clone`; the origin issues one per ticket.
 #[derive(Debug)]
-#[must_use = "a permit ends in a dispatch or in a refusal"]
+#[must_use = "a permit must end in a dispatch or in a refusal"]
 pub struct RunPermit {
     pub(crate) deadline: Instant,
-    pub(crate) life: LifeKey,
+    pub(crate) life: IncarnationKey,
     pub(crate) serial: TicketSerial,
 }
 
 /// A ticket whose request was dispatched.
 #[derive(Debug)]
-#[must_use = "the table has to hear what became of a run"]
+#[must_use = "the outcome of a run must be recorded in the table"]
 pub struct RunTicket {
     permit: RunPermit,
 }
 
-/// What a dispatch under a permit came to.
+/// The result of a dispatch under a permit.
 #[derive(Debug)]
 pub enum PermitDispatch<T> {
-    /// It may be sent now.
-    Begun {
-        /// The request, to be written at once.
+    /// The request may be sent now.
+    Started {
+        /// The request, to be written immediately.
         request: T,
-        /// The run, for the table.
+        /// The run, whose outcome the table records.
         run: RunTicket,
-        /// The duty to answer.
-        sent: Sent,
+        /// The obligation to answer.
+        sent: SentRequest,
     },
-    /// The ticket ended first, such as while the process was frozen: refuse it as
+    /// The ticket expired first, for example while the process was suspended: refuse it as
     /// [`TicketExpired`](kernel::ResultCode::TicketExpired).
-    Late {
-        /// The permit, for the table.
+    Expired {
+        /// The permit, to be recorded as refused.
         permit: RunPermit,
         /// The request.
-        unsent: Unsent<T>,
+        unsent: UnsentRequest<T>,
     },
 }
 
 impl RunPermit {
-    /// When the ticket ends, by this process's monotonic clock.
+    /// When the ticket expires, by this process's monotonic clock.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Dispatches the request, if its ticket has not ended. `now` is read right before the call: whoever was
-    /// frozen must not run what others may take for ended.
-    pub fn dispatch<T>(self, now: Instant, unsent: Unsent<T>) -> PermitDispatch<T> {
+    /// Dispatches the request, unless its ticket has expired. `now` must be read right before the call: a
+    /// process that was suspended must not run a request that others may already regard as expired.
+    pub fn dispatch<T>(self, now: Instant, unsent: UnsentRequest<T>) -> PermitDispatch<T> {
         if now >= self.deadline {
-            return PermitDispatch::Late {
+            return PermitDispatch::Expired {
                 permit: self,
                 unsent,
             };
         }
         let (request, sent) = unsent.dispatch();
-        PermitDispatch::Begun {
+        PermitDispatch::Started {
             request,
             run: RunTicket { permit: self },
             sent,
@@ -71,18 +71,18 @@
 }
 
 impl RunTicket {
-    /// The life and serial that the table knows it by.
-    pub(crate) fn place(&self) -> (&LifeKey, TicketSerial) {
+    /// The key of the ticket in the table.
+    pub(crate) fn key(&self) -> (&IncarnationKey, TicketSerial) {
         (&self.permit.life, self.permit.serial)
     }
 
-    /// The dispatch came to nothing: the ticket may be dispatched again, the request with it.
-    pub fn undone<T>(
+    /// Reverts a dispatch that ran nothing: the request may be dispatched again with the same ticket.
+    pub fn into_unsent<T>(
         self,
-        sent: Sent,
-        evidence: UndoneDispatch,
+        sent: SentRequest,
+        evidence: NotRunEvidence,
         request: T,
-    ) -> (RunPermit, Unsent<T>) {
-        (self.permit, sent.undone(evidence, request))
+    ) -> (RunPermit, UnsentRequest<T>) {
+        (self.permit, sent.into_unsent(evidence, request))
     }
 }
--- a/crates/claim/tests/support/once_world.rs
+++ b/crates/claim/tests/support/once_simulation.rs
@@ -1,4 +1,4 @@
-//! Three entry instances, a network and the platform's rows, in virtual time.
+//! Simulates three entry instances, a network and the platform's rows in virtual time.
 
 use {
     super::{
@@ -7,9 +7,9 @@
         once_step::OnceStep,
     },
     claim::{
-        ClaimEvent, ClaimWatch, ClockReading, ClosedTable, ForwardCourse, ForwardTable, HandOver,
-        HandOverReply, KeyedClaim, LifeKey, OriginReply, RequestOutcome, RunPermit, RunTicket,
-        Sent, Ticket, TicketSettings, TicketTable, UndoneDispatch, Unsent,
+        ClaimEvent, ClaimWatch, ClockReading, ClosedTable, ForwardRoute, ForwardTable, HandOver,
+        HandOverReply, IncarnationKey, KeyedClaim, NotRunEvidence, OriginReply, RequestOutcome,
+        RunPermit, RunTicket, SentRequest, Ticket, TicketSettings, TicketTable, UnsentRequest,
         claim_key::{CLAIM_PREFIX, EPOCH_KEY},
         claim_sweep::due_removals,
     },
@@ -23,7 +23,7 @@
 
 const INSTANCES: usize = 3;
 const RATES: [u64; INSTANCES] = [996_000, 1_000_000, 1_004_000];
-/// The middle clock is far ahead, so that it takes every claim for ended.
+/// The second wall clock is far ahead, so that every claim looks expired by it.
 const WALL_STARTS_MS: [u64; INSTANCES] = [0, 9_000, 500];
 const MILLION: u64 = 1_000_000;
 pub(super) const TICKET_LIFE: Duration = Duration::from_millis(1000);
@@ -31,7 +31,7 @@
 const KEY_LIFE_MS: u64 = 990;
 pub(super) const DIGEST: u64 = 5;
 const FINISH_STEPS: usize = 4;
-/// Makes a permit a dispatch.
+/// A pick for which a permit is dispatched.
 const DISPATCH_PICK: u8 = 2;
 
 pub(super) type Answer = Vec<u8>;
@@ -43,7 +43,7 @@
 
 pub(super) struct Slot {
     pub(super) forward: ForwardTable,
-    pub(super) life: LifeKey,
+    pub(super) life: IncarnationKey,
     pub(super) state: SlotState,
     pub(super) sweep_watch: ClaimWatch,
     pub(super) wall_ms: u64,
@@ -54,21 +54,21 @@
 pub(super) type OwnClaim = (KeyedClaim, RunPermit);
 
 pub(super) enum Phase {
-    Claiming(OwnClaim, Unsent<()>, ClaimEvent),
+    Claiming(OwnClaim, UnsentRequest<()>, ClaimEvent),
     Done,
-    Forwarded(Sent, Option<OwnClaim>),
-    Permitted(RunPermit, Unsent<()>),
-    Running(RunTicket, Sent),
+    Forwarded(SentRequest, Option<OwnClaim>),
+    Permitted(RunPermit, UnsentRequest<()>),
+    Running(RunTicket, SentRequest),
 }
 
-/// One request at one instance; a forwarded submission is one request at each.
+/// One request at one instance; a forwarded submission has one request at each instance.
 pub(super) struct Request {
     pub(super) at: usize,
     pub(super) by_ticket: bool,
     pub(super) key: Option<usize>,
-    pub(super) life: LifeKey,
+    pub(super) life: IncarnationKey,
     pub(super) phase: Phase,
-    pub(super) reply_to: Option<(LifeKey, usize)>,
+    pub(super) reply_to: Option<(IncarnationKey, usize)>,
     pub(super) submission: usize,
     pub(super) ticket: Ticket,
 }
@@ -77,16 +77,16 @@
 pub(super) enum Message {
     Forward(usize, Ticket),
     HandOver(HandOver<Answer>),
-    HandOverReply(LifeKey, HandOverReply),
+    HandOverReply(IncarnationKey, HandOverReply),
     Reply(usize, OriginReply<Answer>),
 }
 
-pub(crate) struct OnceWorld {
+pub(crate) struct OnceSimulation {
     pub(super) base: Instant,
-    pub(super) hand_overs: Vec<(LifeKey, LifeKey)>,
+    pub(super) hand_overs: Vec<(IncarnationKey, IncarnationKey)>,
     pub(super) late: Vec<Transaction>,
-    pub(super) lives: u64,
-    pub(super) network: Vec<(LifeKey, Message)>,
+    pub(super) incarnations: u64,
+    pub(super) network: Vec<(IncarnationKey, Message)>,
     pub(super) now_ms: u64,
     pub(crate) oracle: OnceOracle,
     pub(super) platform: FlakyRows,
@@ -103,13 +103,13 @@
     }
 }
 
-impl OnceWorld {
+impl OnceSimulation {
     pub(crate) fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             base: Instant::now(),
             hand_overs: Vec::new(),
             late: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             network: Vec::new(),
             now_ms: 0,
             oracle: OnceOracle {
@@ -123,10 +123,10 @@
             tickets: Vec::new(),
         };
         for at in 0..INSTANCES {
-            let slot = world.start(at);
-            world.slots.push(slot);
+            let slot = simulation.start(at);
+            simulation.slots.push(slot);
         }
-        world
+        simulation
     }
 
     pub(crate) fn apply(&mut self, step: OnceStep) {
@@ -145,15 +145,15 @@
                 }
             }
             OnceStep::HandOver { from, to } => self.hand_over(from, to),
-            OnceStep::Land(index) => {
+            OnceStep::ApplyLateWrite(index) => {
                 if index < self.late.len() {
                     self.platform.apply(&self.late.remove(index));
                 }
             }
-            OnceStep::Learn { at, hand_over } => {
+            OnceStep::LearnSuccessor { at, hand_over } => {
                 let now = self.clock(at).now;
                 if let Some((life, successor)) = self.hand_overs.get(hand_over).cloned() {
-                    self.slots[at].forward.learn(now, life, successor);
+                    self.slots[at].forward.add_successor(now, life, successor);
                 }
             }
             OnceStep::Mint(at) => {
@@ -170,7 +170,7 @@
             } => self.progress(request, pick, fault, late),
             OnceStep::SubmitKey { at, key } => self.submit_key(at, key),
             OnceStep::SubmitTicket { at, ticket } => {
-                // The youngest tickets are of most interest.
+                // Tickets are counted from the newest.
                 let index = self.tickets.len().checked_sub(ticket + 1);
                 if let Some(ticket) = index.map(|index| self.tickets[index].clone()) {
                     let mut request = self.request(at, ticket);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Ends a request with its answer.
+    /// Completes a request with its answer.
     pub(super) fn answer(&mut self, index: usize, reply: OriginReply<Answer>) {
         let request = &mut self.requests[index];
         request.phase = Phase::Done;
@@ -255,7 +255,7 @@
         }
     }
 
-    pub(super) fn forward(&mut self, index: usize, to: LifeKey, ticket: Ticket) {
+    pub(super) fn forward(&mut self, index: usize, to: IncarnationKey, ticket: Ticket) {
         self.network.push((to, Message::Forward(index, ticket)));
     }
 
@@ -265,9 +265,9 @@
         if from == to || open_table(&mut self.slots[from]).is_none() {
             return;
         }
-        // A restarted table stands in while the real one is consumed.
-        let stand_in = self.start(from).state;
-        let SlotState::Open(table) = mem::replace(&mut self.slots[from].state, stand_in) else {
+        // A placeholder table, since `hand_over` consumes the real one.
+        let placeholder = self.start(from).state;
+        let SlotState::Open(table) = mem::replace(&mut self.slots[from].state, placeholder) else {
             return;
         };
         let (message, closed) = table.hand_over(now, successor.clone());
@@ -289,41 +289,41 @@
             let outcome: RequestOutcome<Answer> = sent.relay(reply);
             return self.answer(index, outcome.into());
         };
-        if let Some(evidence) = UndoneDispatch::from_origin(&reply) {
-            let unsent = sent.undone(evidence, ());
+        if let Some(evidence) = NotRunEvidence::from_origin(&reply) {
+            let unsent = sent.into_unsent(evidence, ());
             let event = ClaimEvent::OriginRefused;
             self.requests[index].phase = Phase::Claiming((claim, permit), unsent, event);
             return;
         }
         let at = self.requests[index].at;
         if let Some(table) = open_table(&mut self.slots[at]) {
-            table.seal(permit, ResultCode::KeyTaken);
+            table.mark_refused(permit, ResultCode::KeyTaken);
         }
         let outcome: RequestOutcome<Answer> = sent.relay(reply);
         self.answer(index, outcome.into());
     }
 
-    pub(super) fn route(&self, at: usize, life: &LifeKey) -> Option<LifeKey> {
-        let is_live = |life: &LifeKey| self.slots.iter().any(|slot| slot.life == *life);
+    pub(super) fn route(&self, at: usize, life: &IncarnationKey) -> Option<IncarnationKey> {
+        let is_live = |life: &IncarnationKey| self.slots.iter().any(|slot| slot.life == *life);
         let slot = &self.slots[at];
-        let course = match &slot.state {
+        let route = match &slot.state {
             SlotState::Closed(closed) if closed.holds(life) => {
                 return Some(closed.successor().clone());
             }
             SlotState::Closed(_) => slot.forward.route(life, |_| false, is_live),
             SlotState::Open(table) => slot.forward.route(life, |life| table.holds(life), is_live),
         };
-        match course {
-            ForwardCourse::Gone => None,
-            ForwardCourse::Local => Some(slot.life.clone()),
-            ForwardCourse::Remote(life) => Some(life),
+        match route {
+            ForwardRoute::Gone => None,
+            ForwardRoute::Local => Some(slot.life.clone()),
+            ForwardRoute::Remote(life) => Some(life),
         }
     }
 
     fn start(&mut self, at: usize) -> Slot {
-        self.lives += 1;
-        let life = LifeKey {
-            incarnation: self.lives,
+        self.incarnations += 1;
+        let life = IncarnationKey {
+            incarnation: self.incarnations,
             instance: format!("entry-{at}").into(),
         };
         let settings = TicketSettings::builder().secret(3).retention(RETENTION);
--- a/crates/plat/src/http_platform.rs
+++ b/crates/plat/src/http_platform.rs
@@ -19,21 +19,21 @@
     std::{error::Error, sync::Arc, time::Duration},
 };
 
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
-/// How long a call may take, connecting included, unless the builder says otherwise.
+/// The maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// The default timeout of a call, including the connection setup.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection is kept for the next call.
+/// The default time that an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The characters of a key that stand for themselves in a path or a query.
-const KEY_MARKS: AsciiSet = NON_ALPHANUMERIC
+/// The characters of a key that are percent-encoded in a path or a query.
+const KEY_ESCAPE_SET: AsciiSet = NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
     .remove(b'~');
 
 /// A client of the platform's table service, object store and instance list. Clones share their connections.
-/// Every call has a timeout. A write is sent once: what becomes of a lost reply is the caller's decision.
+/// Every call has a timeout. A write is sent only once; the caller decides what to do after a lost reply.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     address: Arc<str>,
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::AddressInvalid`] when the address is no HTTP URL.
+    /// [`PlatError::AddressInvalid`] when the address is not an HTTP URL.
     #[builder]
     pub fn new(
         #[builder(into)] address: Arc<str>,
@@ -71,7 +71,12 @@
         })
     }
 
-    async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, PlatError> {
+    async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<HttpResponse, PlatError> {
         let request = Request::builder()
             .method(method)
             .uri(format!("{}{path}", self.address))
@@ -86,20 +91,21 @@
         answer
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, PlatError> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, PlatError> {
         let response = self.client.request(request).await;
         let response = response.map_err(|error| unreachable(&error))?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_LIMIT);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = body.collect().await;
         let body = body.map_err(|error| unreachable(&*error))?;
-        Ok(Answer {
+        Ok(HttpResponse {
             body: body.to_bytes(),
             status,
         })
     }
 
-    /// A read is sent once more when the connection that it was sent on had been closed meanwhile.
+    /// Sends a read, and once more if it gets no answer: the pooled connection may have been closed in the
+    /// meantime.
     async fn read(&self, path: &str) -> Result<Option<Bytes>, PlatError> {
         let mut answer = self.call(Method::GET, path, Bytes::new()).await;
         if matches!(answer, Err(PlatError::Unreachable { .. })) {
@@ -169,7 +175,7 @@
     }
 }
 
-struct Answer {
+struct HttpResponse {
     body: Bytes,
     status: StatusCode,
 }
@@ -196,7 +202,7 @@
 }
 
 fn encode(key: &str) -> String {
-    utf8_percent_encode(key, &KEY_MARKS).to_string()
+    utf8_percent_encode(key, &KEY_ESCAPE_SET).to_string()
 }
 
 fn garbled(error: &dyn Error) -> PlatError {
@@ -205,7 +211,7 @@
     }
 }
 
-/// A server error says nothing about what was done before it.
+/// After a server error the call may still have taken effect, so it counts as unreachable rather than refused.
 fn refusal(status: StatusCode) -> PlatError {
     if status.is_server_error() {
         let detail = format!("it answered with status {}", status.as_u16());
@@ -216,7 +222,7 @@
     }
 }
 
-/// The whole chain of causes in one line: the connector's own message names no cause.
+/// Joins the whole chain of causes into one line, since the connector's message does not contain its cause.
 fn unreachable(error: &dyn Error) -> PlatError {
     let mut detail = error.to_string();
     let mut cause = error.source();
--- a/crates/plat/src/stored_table.rs
+++ b/crates/plat/src/stored_table.rs
@@ -1,4 +1,4 @@
-//! How the table stands in stored rows.
+//! Conversion between the table and its stored rows.
 
 use {
     crate::{
@@ -11,15 +11,15 @@
     table::{FileBase, StampedTable, WorkRow, WorkTable},
 };
 
-/// Reads the value of a stored row.
+/// Parses the value of a stored row.
 pub(crate) fn decode_row<T: DeserializeOwned>(row: &StoredRow) -> Result<T, PlatError> {
     serde_json::from_str(&row.value).map_err(|error| PlatError::Garbled {
         detail: format!("row {}: {error}", row.key),
     })
 }
 
-/// Whether these rows are what a file was taken from. A restored platform may have the same content under a later
-/// version, so the digest counts before the version.
+/// Whether a file was taken from these rows. A restored platform may have the same content under a later
+/// version, so the digest takes precedence over the version.
 pub(crate) fn matches(
     base: FileBase,
     version: TableVersion,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The digest that a file's version line has: of the live rows alone.
+/// The digest in the version line of a file, over the live rows only.
 pub fn content_digest(rows: &BTreeMap<WorkId, WorkRow>) -> TableDigest {
     let table = WorkTable {
         rows: rows.clone(),
@@ -40,29 +40,29 @@
     table.digest()
 }
 
-/// Puts head and rows together; they may be of two versions.
+/// Combines the head and the rows, which may be from different versions.
 pub(crate) fn read_snapshot(
     head_row: Option<&StoredRow>,
     rows: &[StoredRow],
 ) -> Result<TableSnapshot, PlatError> {
     let head: Option<HeadRow> = head_row.map(decode_row).transpose()?;
-    let mut row_counts = BTreeMap::new();
+    let mut row_versions = BTreeMap::new();
     let mut stamped = BTreeMap::new();
     for row in rows {
         let work: WorkId = row.key.trim_start_matches(ROW_PREFIX).into();
-        row_counts.insert(work.clone(), row.version);
+        row_versions.insert(work.clone(), row.version);
         stamped.insert(work, decode_row(row)?);
     }
     let version = head.as_ref().map_or(0, |head| head.version);
     Ok(TableSnapshot {
         head,
-        head_count: head_row.map_or(0, |row| row.version),
-        row_counts,
+        head_row_version: head_row.map_or(0, |row| row.version),
+        row_versions,
         table: StampedTable::from_rows(version, stamped),
     })
 }
 
-/// Takes the rows back to what they were before an edit.
+/// Reverts the rows to their state before an edit.
 pub(crate) fn undo(rows: &mut BTreeMap<WorkId, WorkRow>, record: &EditRecord) {
     for change in &record.changes {
         match &change.before {
