--- a/crates/bench/src/path/path_world.rs
+++ b/crates/bench/src/path/path_world.rs
@@ -5,7 +5,7 @@
         bench_error::{BenchError, FakeStartSnafu, KeysSnafu, PlatformSnafu},
         path::child_entry::ChildEntry,
     },
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     fake::{EngineSettings, PlatformSettings, StandInEngine, StandInPlatform, model::EngineLinks},
     kernel::unix_time,
     plat::{
--- a/crates/door/src/admission_gate.rs
+++ b/crates/door/src/admission_gate.rs
@@ -12,10 +12,10 @@
 /// Lets requests in, up to a limit, until it is shut.
 #[derive(Debug)]
 pub struct AdmissionGate {
-    emptied: Notify,
+    drained: Notify,
     limit: usize,
     open: AtomicUsize,
-    shut: ShutdownSignal,
+    closed: ShutdownSignal,
 }
 
 /// The right of one request to be worked on; given back when dropped.
@@ -26,13 +26,13 @@
 
 impl AdmissionGate {
     /// Waits until no request is open.
-    pub async fn empty(&self) {
+    pub async fn wait_drained(&self) {
         loop {
-            let emptied = self.emptied.notified();
+            let drained = self.drained.notified();
             if self.open() == 0 {
                 return;
             }
-            emptied.await;
+            drained.await;
         }
     }
 
@@ -44,7 +44,7 @@
     pub fn enter(self: &Arc<Self>) -> Result<GatePass, ResultCode> {
         let before = self.open.fetch_add(1, Ordering::AcqRel);
         let pass = GatePass { gate: self.clone() };
-        if self.shut.is_raised() {
+        if self.closed.is_raised() {
             return Err(ResultCode::Closing);
         }
         if before >= self.limit {
@@ -56,10 +56,10 @@
     /// An open gate.
     pub fn new(limit: usize) -> Self {
         Self {
-            emptied: Notify::new(),
+            drained: Notify::new(),
             limit,
             open: AtomicUsize::new(0),
-            shut: ShutdownSignal::new(),
+            closed: ShutdownSignal::new(),
         }
     }
 
@@ -69,15 +69,15 @@
     }
 
     /// Lets no further request in.
-    pub fn shut(&self) {
-        self.shut.raise();
+    pub fn close(&self) {
+        self.closed.raise();
     }
 }
 
 impl Drop for GatePass {
     fn drop(&mut self) {
         if self.gate.open.fetch_sub(1, Ordering::AcqRel) == 1 {
-            self.gate.emptied.notify_waiters();
+            self.gate.drained.notify_waiters();
         }
     }
 }
--- a/crates/door/src/door_shared.rs
+++ b/crates/door/src/api_context.rs
@@ -1,7 +1,7 @@
 //! What all handlers of the door share.
 
 use {
-    crate::{admission_gate::AdmissionGate, door_limits::DoorLimits, error_answer::ErrorAnswer},
+    crate::{admission_gate::AdmissionGate, api_limits::ApiLimits, error_answer::ErrorAnswer},
     axum::body::Body,
     flow::{CurrentTable, FlowShared, PlainCaller, PlainLimiter},
     kernel::{ResultCode, ServiceId, WorkId, ZoneId},
@@ -10,11 +10,11 @@
 };
 
 /// When to come back to an instance that has no table yet, or is closing: another one is there.
-const OTHER_INSTANCE: Duration = Duration::from_secs(1);
+const OTHER_INSTANCE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The kind of work of a request that names none.
 #[derive(Clone, Debug, Default)]
-pub struct DoorDefaults {
+pub struct ApiDefaults {
     /// Of `/v1/chat/completions`.
     pub chat: Option<WorkId>,
     /// Of `/v1/completions`.
@@ -24,9 +24,9 @@
 }
 
 /// What all handlers share.
-pub struct DoorShared<E> {
+pub struct ApiContext<E> {
     /// The kinds of work of requests that name none.
-    pub defaults: DoorDefaults,
+    pub defaults: ApiDefaults,
     /// The requests to models.
     pub flow: Arc<FlowShared<E>>,
     /// Counts the open requests.
@@ -34,7 +34,7 @@
     /// Holds plain rows to their limits.
     pub limiter: Arc<PlainLimiter>,
     /// The limits.
-    pub limits: DoorLimits,
+    pub limits: ApiLimits,
     /// The requests to plain services.
     pub plain: Arc<PlainCaller<Body>>,
     /// The table in force.
@@ -43,7 +43,7 @@
     pub zone: ZoneId,
 }
 
-impl<E> DoorShared<E> {
+impl<E> ApiContext<E> {
     /// The row of a kind of work, if it may run here.
     ///
     /// # Errors
@@ -51,7 +51,9 @@
     /// The answer for the caller.
     pub fn row(&self, work: Option<WorkId>) -> Result<WorkRow, ErrorAnswer> {
         let Some(table) = self.tables.table() else {
-            return Err(ErrorAnswer::of(ResultCode::NotReady).with_retry_after(OTHER_INSTANCE));
+            return Err(
+                ErrorAnswer::of(ResultCode::NotReady).with_retry_after(OTHER_INSTANCE_RETRY_AFTER)
+            );
         };
         let Some(work) = work else {
             let answer = ErrorAnswer::of(ResultCode::WorkUnknown);
--- a/crates/door/src/door_limits.rs
+++ b/crates/door/src/api_limits.rs
@@ -4,7 +4,7 @@
 
 /// The door's limits.
 #[derive(Builder, Clone, Debug)]
-pub struct DoorLimits {
+pub struct ApiLimits {
     /// The largest body of a request to a model, bytes.
     #[builder(default = 4 << 20)]
     pub body: usize,
--- a/crates/door/src/door_server.rs
+++ b/crates/door/src/api_server.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        chat_handler, completion_handler, door_shared::DoorShared, error_answer::ErrorAnswer,
+        api_context::ApiContext, chat_handler, completion_handler, error_answer::ErrorAnswer,
         service_handler,
     },
     axum::{Router, routing},
@@ -19,23 +19,23 @@
 };
 
 /// The wait after a connection that could not be taken, such as for want of file handles.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Serves callers until it is closed.
-pub struct DoorServer<E> {
+pub struct ApiServer<E> {
     listener: TcpListener,
     router: Router,
-    shared: Arc<DoorShared<E>>,
+    context: Arc<ApiContext<E>>,
 }
 
-impl<E: ModelEngine> DoorServer<E> {
+impl<E: ModelEngine> ApiServer<E> {
     /// A server of the callers that connect to `listener`.
-    pub fn new(listener: TcpListener, shared: Arc<DoorShared<E>>) -> Self {
-        let router = routes(shared.clone());
+    pub fn new(listener: TcpListener, context: Arc<ApiContext<E>>) -> Self {
+        let router = routes(context.clone());
         Self {
             listener,
             router,
-            shared,
+            context,
         }
     }
 
@@ -60,7 +60,7 @@
                 accepted = self.listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
             // A socket that refuses the option still serves.
@@ -68,8 +68,8 @@
             let service = TowerToHyperService::new(self.router.clone());
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(self.shared.limits.header_timeout)
-                .max_buf_size(self.shared.limits.headers)
+                .header_read_timeout(self.context.limits.header_timeout)
+                .max_buf_size(self.context.limits.headers)
                 .serve_connection(TokioIo::new(stream), service);
             let watched = graceful.watch(connection);
             tokio::spawn(async move {
@@ -81,7 +81,7 @@
     }
 }
 
-fn routes<E: ModelEngine>(shared: Arc<DoorShared<E>>) -> Router {
+fn routes<E: ModelEngine>(context: Arc<ApiContext<E>>) -> Router {
     Router::new()
         .route(
             "/services/{service}/{*path}",
@@ -98,5 +98,5 @@
         .fallback(async || {
             ErrorAnswer::of(ResultCode::RequestInvalid).with_detail("there is nothing at this path")
         })
-        .with_state(shared)
+        .with_state(context)
 }
--- a/crates/door/src/chat_handler.rs
+++ b/crates/door/src/chat_handler.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         answer_body::AnswerStyle,
+        api_context::ApiContext,
         caller_api::ChatBody,
-        completion_handler::{ModelAsk, read_json, run},
-        door_shared::DoorShared,
+        completion_handler::{InferenceRequest, read_json, run},
         error_answer::ErrorAnswer,
-        work_header::work_of,
+        work_header::work_from_headers,
     },
     axum::{
         body::Body,
@@ -22,13 +22,13 @@
 
 /// Handles `POST /v1/chat/completions`.
 pub async fn handle<E: ModelEngine>(
-    State(shared): State<Arc<DoorShared<E>>>,
+    State(context): State<Arc<ApiContext<E>>>,
     request: Request<Body>,
 ) -> Response {
     let arrived = Instant::now();
-    let work = work_of(request.headers(), shared.defaults.chat.as_ref());
+    let work = work_from_headers(request.headers(), context.defaults.chat.as_ref());
     let run_by = request.extensions().get().copied();
-    let body: ChatBody = match read_json(request, shared.limits.body).await {
+    let body: ChatBody = match read_json(request, context.limits.body).await {
         Ok(body) => body,
         Err(answer) => return answer.into_response(),
     };
@@ -36,7 +36,7 @@
         let answer = ErrorAnswer::of(ResultCode::RequestInvalid);
         return answer.with_detail("there are no messages").into_response();
     }
-    let ask = ModelAsk {
+    let inference = InferenceRequest {
         max_tokens: body.max_completion_tokens.or(body.max_tokens),
         prompt: body.prompt(),
         run_by,
@@ -45,5 +45,5 @@
         style: AnswerStyle::Chat,
         work,
     };
-    run(shared, ask, arrived).await
+    run(context, inference, arrived).await
 }
--- a/crates/door/src/completion_handler.rs
+++ b/crates/door/src/completion_handler.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         answer_body::{AnswerHead, AnswerStyle},
+        api_context::ApiContext,
         caller_api::{CompletionBody, DEFAULT_MAX_TOKENS},
-        door_shared::DoorShared,
         error_answer::ErrorAnswer,
         model_answer::ModelAnswer,
-        work_header::work_of,
+        work_header::work_from_headers,
     },
     axum::{
         body::Body,
@@ -30,13 +30,13 @@
 };
 
 /// How much of a body over the limit is read and dropped, bytes.
-const DRAIN_LIMIT: usize = 64 << 20;
+const MAX_DRAINED_BYTES: usize = 64 << 20;
 /// How long that may take.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 const GATE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request to a model in either style.
-pub(crate) struct ModelAsk {
+pub(crate) struct InferenceRequest {
     pub(crate) max_tokens: Option<u32>,
     pub(crate) model: Option<ModelId>,
     pub(crate) prompt: Arc<str>,
@@ -48,17 +48,17 @@
 
 /// Handles `POST /v1/completions`.
 pub async fn handle<E: ModelEngine>(
-    State(shared): State<Arc<DoorShared<E>>>,
+    State(context): State<Arc<ApiContext<E>>>,
     request: Request<Body>,
 ) -> Response {
     let arrived = Instant::now();
-    let work = work_of(request.headers(), shared.defaults.completions.as_ref());
+    let work = work_from_headers(request.headers(), context.defaults.completions.as_ref());
     let run_by = request.extensions().get().copied();
-    let body: CompletionBody = match read_json(request, shared.limits.body).await {
+    let body: CompletionBody = match read_json(request, context.limits.body).await {
         Ok(body) => body,
         Err(answer) => return answer.into_response(),
     };
-    let ask = ModelAsk {
+    let inference = InferenceRequest {
         max_tokens: body.max_tokens,
         model: body.model,
         prompt: body.prompt,
@@ -67,16 +67,16 @@
         style: AnswerStyle::Completion,
         work,
     };
-    run(shared, ask, arrived).await
+    run(context, inference, arrived).await
 }
 
 /// Runs a request in either style.
 pub(crate) async fn run<E: ModelEngine>(
-    shared: Arc<DoorShared<E>>,
-    ask: ModelAsk,
+    context: Arc<ApiContext<E>>,
+    inference: InferenceRequest,
     arrived: Instant,
 ) -> Response {
-    let pass = match shared.gate.enter() {
+    let pass = match context.gate.enter() {
         Ok(pass) => pass,
         Err(code) => {
             return ErrorAnswer::of(code)
@@ -84,38 +84,41 @@
                 .into_response();
         }
     };
-    let (row, model) = match check(&shared, &ask) {
+    let (row, model) = match check(&context, &inference) {
         Ok(checked) => checked,
         Err(answer) => return answer.into_response(),
     };
     let request = ModelRequest {
         arrived,
-        max_tokens: ask.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
+        max_tokens: inference.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
         model: model.clone(),
-        prompt: ask.prompt,
-        run_by: ask.run_by,
-        stream: ask.stream,
+        prompt: inference.prompt,
+        run_by: inference.run_by,
+        stream: inference.stream,
         work: row.work.clone(),
     };
-    let (key, events) = RequestDriver::start(shared.flow.clone(), request, &row);
+    let (key, events) = RequestDriver::start(context.flow.clone(), request, &row);
     let created = unix_time::since_epoch(SystemTime::now()).as_secs();
     let id = format!("cmpl-{}-{}-{}", key.instance, key.incarnation, key.serial).into();
     let head = AnswerHead {
         created,
         id,
         model,
-        style: ask.style,
+        style: inference.style,
     };
     let answer = ModelAnswer { events, head, pass };
-    if ask.stream {
+    if inference.stream {
         answer.stream().await
     } else {
         answer.whole().await
     }
 }
 
-fn check<E>(shared: &DoorShared<E>, ask: &ModelAsk) -> Result<(WorkRow, ModelId), ErrorAnswer> {
-    let row = shared.row(ask.work.clone())?;
+fn check<E>(
+    context: &ApiContext<E>,
+    inference: &InferenceRequest,
+) -> Result<(WorkRow, ModelId), ErrorAnswer> {
+    let row = context.row(inference.work.clone())?;
     let Some(model) = row.model.clone() else {
         let detail = format!(
             "the row {:?} is for the plain service {:?}",
@@ -123,7 +126,7 @@
         );
         return Err(invalid(detail));
     };
-    if let Some(asked) = &ask.model
+    if let Some(asked) = &inference.model
         && *asked != model
     {
         let detail = format!(
@@ -132,12 +135,12 @@
         );
         return Err(invalid(detail));
     }
-    if ask.prompt.is_empty() {
+    if inference.prompt.is_empty() {
         return Err(invalid("the prompt is empty"));
     }
-    let max_tokens = ask.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-    if max_tokens == 0 || max_tokens > shared.limits.max_tokens {
-        let detail = format!("max_tokens has to be 1 to {}", shared.limits.max_tokens);
+    let max_tokens = inference.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    if max_tokens == 0 || max_tokens > context.limits.max_tokens {
+        let detail = format!("max_tokens has to be 1 to {}", context.limits.max_tokens);
         return Err(invalid(detail));
     }
     Ok((row, model))
@@ -174,7 +177,7 @@
 }
 
 async fn drain(mut body: Body) {
-    let mut left = DRAIN_LIMIT;
+    let mut left = MAX_DRAINED_BYTES;
     while let Some(Ok(frame)) = body.frame().await {
         let size = frame.data_ref().map_or(0, Bytes::len);
         if size > left {
--- a/crates/door/src/model_answer.rs
+++ b/crates/door/src/model_answer.rs
@@ -21,7 +21,7 @@
 };
 
 /// How many events one write to the caller carries at most.
-const BATCH_LIMIT: usize = 32;
+const MAX_EVENTS_PER_WRITE: usize = 32;
 
 /// The events of one request on their way to its caller.
 pub struct ModelAnswer {
@@ -116,7 +116,7 @@
         // A driver that ends without a last event was cut off.
         let cut = AnswerEvent::Failed(FlowFailure::new(ResultCode::CutByClose));
         self.write(&mut chunk, first.unwrap_or(cut));
-        for _ in 1..BATCH_LIMIT {
+        for _ in 1..MAX_EVENTS_PER_WRITE {
             if self.is_ended {
                 break;
             }
--- a/crates/door/src/service_handler.rs
+++ b/crates/door/src/service_handler.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         admission_gate::GatePass,
-        door_shared::DoorShared,
+        api_context::ApiContext,
         error_answer::{ErrorAnswer, RESULT_HEADER},
-        work_header::{WORK_HEADER, work_of},
+        work_header::{WORK_HEADER, work_from_headers},
     },
     axum::{
         body::Body,
@@ -51,27 +51,27 @@
 
 /// Handles every method on `/services/{service}/{path}`.
 pub async fn handle<E: ModelEngine>(
-    State(shared): State<Arc<DoorShared<E>>>,
+    State(context): State<Arc<ApiContext<E>>>,
     Path((service, _)): Path<(String, String)>,
     request: Request<Body>,
 ) -> Response {
-    match forward(shared, service.into(), request).await {
+    match forward(context, service.into(), request).await {
         Ok(response) => response,
         Err(answer) => answer.into_response(),
     }
 }
 
 async fn forward<E: ModelEngine>(
-    shared: Arc<DoorShared<E>>,
+    context: Arc<ApiContext<E>>,
     service: ServiceId,
     request: Request<Body>,
 ) -> Result<Response, ErrorAnswer> {
-    let pass = shared
+    let pass = context
         .gate
         .enter()
         .map_err(|code| ErrorAnswer::of(code).with_retry_after(GATE_RETRY_AFTER))?;
-    let work = work_of(request.headers(), shared.defaults.services.get(&service));
-    let row = shared.row(work)?;
+    let work = work_from_headers(request.headers(), context.defaults.services.get(&service));
+    let row = context.row(work)?;
     if row.service != service || row.model.is_some() {
         let detail = format!(
             "the row {:?} is not for the plain service {service:?}",
@@ -79,26 +79,26 @@
         );
         return Err(ErrorAnswer::of(ResultCode::ServiceUnknown).with_detail(detail));
     }
-    let request = outgoing(request, &service)?;
-    let metrics = &shared.flow.metrics;
+    let request = upstream_request(request, &service)?;
+    let metrics = &context.flow.metrics;
     let refuse = |failure: FlowFailure| {
         metrics.count_end(failure.code, &row.work);
         ErrorAnswer::from(failure)
     };
     let entered = tokio::select! {
-        entered = shared.limiter.enter(&row) => entered,
-        () = shared.flow.cut.raised() => Err(FlowFailure::new(ResultCode::Closing)),
+        entered = context.limiter.enter(&row) => entered,
+        () = context.flow.cut.raised() => Err(FlowFailure::new(ResultCode::Closing)),
     };
     let limit = entered.map_err(refuse)?;
     let outcome = tokio::select! {
-        outcome = shared.plain.call(&row, request) => outcome,
-        () = shared.flow.cut.raised() => Err(FlowFailure::new(ResultCode::CutByClose)),
+        outcome = context.plain.call(&row, request) => outcome,
+        () = context.flow.cut.raised() => Err(FlowFailure::new(ResultCode::CutByClose)),
     };
     let (upstream, response) = outcome.map_err(refuse)?;
     metrics.count_end(ResultCode::Answered, &row.work);
     let body = |body| CountedBody {
         body,
-        caller: shared.plain.clone(),
+        caller: context.plain.clone(),
         _limit: limit,
         _pass: pass,
         service,
@@ -114,7 +114,10 @@
 }
 
 /// The request as the upstream gets it: the path behind the service's name.
-fn outgoing(mut request: Request<Body>, service: &str) -> Result<Request<Body>, ErrorAnswer> {
+fn upstream_request(
+    mut request: Request<Body>,
+    service: &str,
+) -> Result<Request<Body>, ErrorAnswer> {
     let prefix = format!("/services/{service}");
     let path = request
         .uri()
--- a/crates/door/src/ticket_answer.rs
+++ b/crates/door/src/ticket_answer.rs
@@ -66,7 +66,7 @@
 }
 
 /// The numbered result of an answer; none for one without.
-pub(crate) fn code_of(response: &Response) -> Option<ResultCode> {
+pub(crate) fn result_code(response: &Response) -> Option<ResultCode> {
     let value = response.headers().get(RESULT_HEADER)?;
     let number: u16 = value.to_str().ok()?.parse().ok()?;
     let mut codes = ResultCode::ALL.iter().copied();
--- a/crates/door/src/ticket_body.rs
+++ b/crates/door/src/ticket_body.rs
@@ -15,11 +15,11 @@
 };
 
 /// The most bytes of a body that is kept. The table may keep less.
-const KEPT_BYTES: usize = 64 << 10;
+const MAX_KEPT_BYTES: usize = 64 << 10;
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
 /// Tells the run's table when the answer is whole; dropped before, the outcome is unknown.
-pub(crate) struct KeptBody {
+pub(crate) struct RecordingBody {
     body: Body,
     head: ReplyHead,
     is_stream: bool,
@@ -28,7 +28,7 @@
     tail: Vec<u8>,
 }
 
-impl KeptBody {
+impl RecordingBody {
     /// The body of an answer that has begun.
     pub(crate) fn new(body: Body, head: ReplyHead, run: RunGuard) -> Self {
         let is_stream = head.headers.iter().any(|(name, value)| {
@@ -59,7 +59,7 @@
         };
         // A stream that broke off says so in its last event.
         if self.is_stream && !self.tail.trim_ascii_end().ends_with(DONE_MARKER.as_bytes()) {
-            run.lose(ResultCode::StreamCut);
+            run.mark_unknown(ResultCode::StreamCut);
             return;
         }
         run.finish(TicketAnswer {
@@ -75,7 +75,7 @@
         let Some(kept) = &mut self.kept else {
             return;
         };
-        if kept.len() + data.len() > KEPT_BYTES {
+        if kept.len() + data.len() > MAX_KEPT_BYTES {
             self.kept = None;
             return;
         }
@@ -92,7 +92,7 @@
     }
 }
 
-impl HttpBody for KeptBody {
+impl HttpBody for RecordingBody {
     type Data = Bytes;
     type Error = axum::Error;
 
@@ -105,7 +105,7 @@
             None => self.end(),
             Some(Err(_)) => {
                 if let Some(run) = self.run.take() {
-                    run.lose(ResultCode::StreamCut);
+                    run.mark_unknown(ResultCode::StreamCut);
                 }
             }
             Some(Ok(frame)) => {
--- a/crates/door/src/ticket_door.rs
+++ b/crates/door/src/ticket_dispatcher.rs
@@ -5,10 +5,10 @@
         admission_gate::{AdmissionGate, GatePass},
         error_answer::ErrorAnswer,
         ticket_answer::TicketAnswer,
-        ticket_desk::{DeskVerdict, TicketDesk},
-        ticket_forward::{ForwardEnd, forward, origin_gone},
-        ticket_metrics::ticket_happening,
+        ticket_forward::{ForwardOutcome, forward, origin_gone},
+        ticket_metrics::ticket_event,
         ticket_peers::TicketPeers,
+        ticket_registry::{SubmitDecision, TicketRegistry},
         ticket_request::{KEY_HEADER, TICKET_HEADER, TicketRequest},
         ticket_run::RunGuard,
     },
@@ -30,14 +30,14 @@
 };
 
 /// How long a repeated submission waits for the run of the first.
-const ATTACH_LIMIT: Duration = Duration::from_secs(120);
+const ATTACH_TIMEOUT: Duration = Duration::from_secs(120);
 /// To how many holders a request is passed on, one after the other, while its tickets move.
-const FORWARD_LIMIT: usize = 4;
+const MAX_FORWARDS: usize = 4;
 
 /// Decides for each request whether it runs here, elsewhere, or not again.
-pub struct TicketDoor<S> {
+pub struct TicketDispatcher<S> {
     pub(crate) claim_secret: u64,
-    pub(crate) desk: Arc<TicketDesk>,
+    pub(crate) registry: Arc<TicketRegistry>,
     pub(crate) gate: Arc<AdmissionGate>,
     pub(crate) handlers: Router,
     pub(crate) keeper: ClaimKeeper<S>,
@@ -46,14 +46,14 @@
 }
 
 /// What became of a submission here.
-pub(crate) enum LocalEnd {
+pub(crate) enum LocalOutcome {
     /// Its answer. The request comes back when it did not run.
     Answered(Response, Option<Unsent<TicketRequest>>),
     /// Its ticket is not held here; this life holds it, or may.
     Elsewhere(Unsent<TicketRequest>, LifeKey),
 }
 
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// Handles any request; one without ticket or key goes straight to its handler.
     pub(crate) async fn handle(&self, request: Request<Body>) -> Response {
         let headers = request.headers();
@@ -86,22 +86,22 @@
         &self,
         ticket: &Ticket,
         unsent: Unsent<TicketRequest>,
-    ) -> LocalEnd {
+    ) -> LocalOutcome {
         let digest = unsent.as_request().digest();
-        let end = time::Instant::now() + ATTACH_LIMIT;
+        let end = time::Instant::now() + ATTACH_TIMEOUT;
         loop {
-            let mut settled = std::pin::pin!(self.desk.settled());
+            let mut settled = std::pin::pin!(self.registry.settled());
             settled.as_mut().enable();
-            match self.desk.submit(ticket, digest) {
-                DeskVerdict::Attach => {
-                    self.desk.metrics.count(ticket_happening::ATTACHED);
+            match self.registry.submit(ticket, digest) {
+                SubmitDecision::Attach => {
+                    self.registry.metrics.count(ticket_event::ATTACHED);
                     if time::timeout_at(end, settled).await.is_err() {
-                        return LocalEnd::Answered(used(), None);
+                        return LocalOutcome::Answered(still_running(), None);
                     }
                 }
-                DeskVerdict::Decided(outcome) => return decided(outcome, unsent),
-                DeskVerdict::Elsewhere(life) => return LocalEnd::Elsewhere(unsent, life),
-                DeskVerdict::Run(permit) => return self.run(permit, unsent).await,
+                SubmitDecision::Decided(outcome) => return decided_outcome(outcome, unsent),
+                SubmitDecision::Elsewhere(life) => return LocalOutcome::Elsewhere(unsent, life),
+                SubmitDecision::Run(permit) => return self.run(permit, unsent).await,
             }
         }
     }
@@ -113,25 +113,25 @@
         unsent: Unsent<TicketRequest>,
     ) -> (Response, Option<Unsent<TicketRequest>>) {
         let mut unsent = unsent;
-        for _ in 0..FORWARD_LIMIT {
+        for _ in 0..MAX_FORWARDS {
             let (back, life) = match self.submit_here(ticket, unsent).await {
-                LocalEnd::Answered(response, back) => return (response, back),
-                LocalEnd::Elsewhere(back, life) => (back, life),
+                LocalOutcome::Answered(response, back) => return (response, back),
+                LocalOutcome::Elsewhere(back, life) => (back, life),
             };
             let pass = match self.gate.enter() {
                 Err(ResultCode::QueueFull) => return (self.too_busy(), None),
                 entered => entered.ok(),
             };
-            self.desk.metrics.count(ticket_happening::FORWARDED);
+            self.registry.metrics.count(ticket_event::FORWARDED);
             let end = self.forward(&life, ticket, back, pass).await;
             let (back, next) = match end {
-                ForwardEnd::Answered(response, back) => return (response, back),
-                ForwardEnd::Elsewhere(back, next) => (back, next),
-                ForwardEnd::Lost(response) => {
-                    self.desk.metrics.count(ticket_happening::GONE);
+                ForwardOutcome::Answered(response, back) => return (response, back),
+                ForwardOutcome::Elsewhere(back, next) => (back, next),
+                ForwardOutcome::Lost(response) => {
+                    self.registry.metrics.count(ticket_event::ORIGIN_GONE);
                     return (response, None);
                 }
-                ForwardEnd::Unreachable(back) => (back, None),
+                ForwardOutcome::Unreachable(back) => (back, None),
             };
             let next = match next {
                 Some(next) => Some(next),
@@ -140,10 +140,10 @@
             let Some(next) = next.filter(|next| *next != life) else {
                 break;
             };
-            self.desk.learn(ticket.life.clone(), next);
+            self.registry.learn(ticket.life.clone(), next);
             unsent = back;
         }
-        self.desk.metrics.count(ticket_happening::GONE);
+        self.registry.metrics.count(ticket_event::ORIGIN_GONE);
         let response = origin_gone(
             "this submission did not leave here, and nobody can say whether an earlier one of its ticket ran",
         );
@@ -151,18 +151,22 @@
     }
 
     /// Runs a request under its permit.
-    pub(crate) async fn run(&self, permit: RunPermit, unsent: Unsent<TicketRequest>) -> LocalEnd {
+    pub(crate) async fn run(
+        &self,
+        permit: RunPermit,
+        unsent: Unsent<TicketRequest>,
+    ) -> LocalOutcome {
         let run_by = permit.deadline();
         match permit.dispatch(Instant::now(), unsent) {
             PermitDispatch::Begun { request, run, sent } => {
-                let guard = RunGuard::new(self.desk.clone(), run, sent);
+                let guard = RunGuard::new(self.registry.clone(), run, sent);
                 let response = self.run_handler(request.into_http(run_by)).await;
-                LocalEnd::Answered(guard.settle(response), None)
+                LocalOutcome::Answered(guard.settle(response), None)
             }
             PermitDispatch::Late { permit, unsent } => {
                 let code = ResultCode::TicketExpired;
-                self.desk.refuse(permit, unsent, code);
-                LocalEnd::Answered(ErrorAnswer::of(code).into_response(), None)
+                self.registry.refuse(permit, unsent, code);
+                LocalOutcome::Answered(ErrorAnswer::of(code).into_response(), None)
             }
         }
     }
@@ -173,7 +177,7 @@
         ticket: &Ticket,
         unsent: Unsent<TicketRequest>,
         pass: Option<GatePass>,
-    ) -> ForwardEnd {
+    ) -> ForwardOutcome {
         forward(&self.peers.endpoint, life, ticket, unsent, pass).await
     }
 
@@ -189,7 +193,7 @@
 
     /// The origin has to be asked, and this instance has no room for one more request.
     fn too_busy(&self) -> Response {
-        self.desk.metrics.count(ticket_happening::GONE);
+        self.registry.metrics.count(ticket_event::ORIGIN_GONE);
         origin_gone(
             "this instance holds as many requests as it takes, and did not ask the ticket's origin",
         )
@@ -204,20 +208,23 @@
 }
 
 /// The answer to a repeated submission.
-fn decided(outcome: RequestOutcome<TicketAnswer>, unsent: Unsent<TicketRequest>) -> LocalEnd {
+fn decided_outcome(
+    outcome: RequestOutcome<TicketAnswer>,
+    unsent: Unsent<TicketRequest>,
+) -> LocalOutcome {
     let code = outcome.code();
     match outcome {
-        RequestOutcome::Answered(answer) => LocalEnd::Answered(answer.into_response(), None),
+        RequestOutcome::Answered(answer) => LocalOutcome::Answered(answer.into_response(), None),
         RequestOutcome::NotRun(_) => {
-            LocalEnd::Answered(ErrorAnswer::of(code).into_response(), Some(unsent))
+            LocalOutcome::Answered(ErrorAnswer::of(code).into_response(), Some(unsent))
         }
         RequestOutcome::Unknown(_) | RequestOutcome::Used => {
-            LocalEnd::Answered(ErrorAnswer::of(code).into_response(), None)
+            LocalOutcome::Answered(ErrorAnswer::of(code).into_response(), None)
         }
     }
 }
 
-fn used() -> Response {
+fn still_running() -> Response {
     ErrorAnswer::of(ResultCode::TicketUsed)
         .with_detail("the request still runs")
         .into_response()
--- a/crates/door/src/ticket_forward.rs
+++ b/crates/door/src/ticket_forward.rs
@@ -4,7 +4,7 @@
     crate::{
         admission_gate::GatePass,
         error_answer::ErrorAnswer,
-        ticket_answer::code_of,
+        ticket_answer::result_code,
         ticket_frame::{
             BODY_FRAME, ELSEWHERE_FRAME, END_FRAME, ElsewhereReply, HEAD_FRAME, ReplyHead,
             TICKET_TAG, read_value, send_body, send_value,
@@ -27,7 +27,7 @@
 const GONE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What passing a request on came to.
-pub(crate) enum ForwardEnd {
+pub(crate) enum ForwardOutcome {
     /// The origin's answer. The request comes back when the origin said that it did not run.
     Answered(Response, Option<Unsent<TicketRequest>>),
     /// The tickets are not held there, but by the named life, if that is known.
@@ -52,10 +52,10 @@
     ticket: &Ticket,
     unsent: Unsent<TicketRequest>,
     pass: Option<GatePass>,
-) -> ForwardEnd {
+) -> ForwardOutcome {
     let session = endpoint.open_session(&holder.instance, TICKET_TAG).await;
     let Ok((sender, receiver)) = session else {
-        return ForwardEnd::Unreachable(unsent);
+        return ForwardOutcome::Unreachable(unsent);
     };
     let (request, sent) = unsent.dispatch();
     let mut stream = ReplyStream {
@@ -73,7 +73,7 @@
         ELSEWHERE_FRAME => {
             let reply: Option<ElsewhereReply> = read_value(&frame.body);
             let unsent = sent.undone(UndoneDispatch::not_held(), request);
-            ForwardEnd::Elsewhere(unsent, reply.and_then(|reply| reply.holder))
+            ForwardOutcome::Elsewhere(unsent, reply.and_then(|reply| reply.holder))
         }
         HEAD_FRAME => match read_value(&frame.body) {
             Some(head) => answered(stream.into_response(head), sent, request),
@@ -92,8 +92,8 @@
 }
 
 /// The request is unsent again when its origin said that it did not run, and never will by its ticket.
-fn answered(response: Response, sent: Sent, request: TicketRequest) -> ForwardEnd {
-    let reply = reply_of(&response);
+fn answered(response: Response, sent: Sent, request: TicketRequest) -> ForwardOutcome {
+    let reply = origin_reply(&response);
     let unsent = match UndoneDispatch::from_origin(&reply) {
         Some(evidence) => Some(sent.undone(evidence, request)),
         None => {
@@ -101,19 +101,19 @@
             None
         }
     };
-    ForwardEnd::Answered(response, unsent)
+    ForwardOutcome::Answered(response, unsent)
 }
 
-fn lost(sent: Sent) -> ForwardEnd {
+fn lost(sent: Sent) -> ForwardOutcome {
     let outcome = sent.unknown::<()>(ResultCode::OriginGone);
     debug_assert_eq!(outcome.code(), ResultCode::OriginGone);
-    ForwardEnd::Lost(origin_gone(
+    ForwardOutcome::Lost(origin_gone(
         "the instance that holds the ticket took the request and gave no answer",
     ))
 }
 
-fn reply_of(response: &Response) -> OriginReply<()> {
-    match code_of(response) {
+fn origin_reply(response: &Response) -> OriginReply<()> {
+    match result_code(response) {
         Some(ResultCode::Answered) => OriginReply::Answered(()),
         Some(ResultCode::TicketUsed) => OriginReply::Used,
         Some(code) if code.not_run() => OriginReply::NotRun(code),
--- a/crates/door/src/ticket_frame.rs
+++ b/crates/door/src/ticket_frame.rs
@@ -12,7 +12,7 @@
 pub const TICKET_TAG: ProtocolTag = 0x30;
 
 /// The most bytes of a body in one frame.
-pub(crate) const CHUNK_BYTES: usize = 256 << 10;
+pub(crate) const MAX_CHUNK_BYTES: usize = 256 << 10;
 
 /// A piece of the body; both ways.
 pub(crate) const BODY_FRAME: ProtocolTag = 2;
@@ -82,7 +82,7 @@
 
 /// Sends a body in pieces, and its end.
 pub(crate) async fn send_body(sender: &mut SessionSender, body: &[u8]) -> Result<(), PeerError> {
-    for chunk in body.chunks(CHUNK_BYTES) {
+    for chunk in body.chunks(MAX_CHUNK_BYTES) {
         sender.send(BODY_FRAME, chunk).await?;
     }
     sender.send(END_FRAME, &[]).await
--- a/crates/door/src/ticket_host.rs
+++ b/crates/door/src/ticket_host.rs
@@ -2,15 +2,15 @@
 
 use {
     crate::{
-        ticket_desk::TicketDesk,
-        ticket_door::{LocalEnd, TicketDoor},
+        ticket_dispatcher::{LocalOutcome, TicketDispatcher},
         ticket_frame::{
-            BODY_FRAME, CHUNK_BYTES, ELSEWHERE_FRAME, END_FRAME, ElsewhereReply,
-            FINAL_RECORDS_FRAME, ForwardHead, HAND_OVER_FRAME, HAND_OVER_REPLY_FRAME, HEAD_FRAME,
-            HandOverAnswer, ReplyHead, SuccessorNotice, TicketHandOver, TicketQuery, read_body,
+            BODY_FRAME, ELSEWHERE_FRAME, END_FRAME, ElsewhereReply, FINAL_RECORDS_FRAME,
+            ForwardHead, HAND_OVER_FRAME, HAND_OVER_REPLY_FRAME, HEAD_FRAME, HandOverAnswer,
+            MAX_CHUNK_BYTES, ReplyHead, SuccessorNotice, TicketHandOver, TicketQuery, read_body,
             read_value, send_value,
         },
-        ticket_metrics::ticket_happening,
+        ticket_metrics::ticket_event,
+        ticket_registry::TicketRegistry,
         ticket_request::TicketRequest,
     },
     axum::{body::Body, response::Response},
@@ -24,11 +24,11 @@
 };
 
 /// The largest hand-over that is taken.
-const HAND_OVER_BYTES: usize = 64 << 20;
+const MAX_HAND_OVER_BYTES: usize = 64 << 20;
 
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// Serves other instances for as long as it is driven.
-    pub async fn run_peers(
+    pub async fn serve_peers(
         self: Arc<Self>,
         mut incoming: mpsc::Receiver<PeerIncoming>,
         pool: WorkerPool,
@@ -36,18 +36,18 @@
         while let Some(incoming) = incoming.recv().await {
             match incoming {
                 PeerIncoming::Call { body, reply, .. } => {
-                    let answer = read_value(&body).and_then(|query| self.desk.answer(&query));
+                    let answer = read_value(&body).and_then(|query| self.registry.answer(&query));
                     let Ok(answer) = wire::encode(&answer) else {
                         continue;
                     };
                     reply.send(answer);
                 }
-                PeerIncoming::Message { body, .. } => self.desk.take_notice(&body),
+                PeerIncoming::Message { body, .. } => self.registry.take_notice(&body),
                 PeerIncoming::Session {
                     receiver, sender, ..
                 } => {
-                    let door = self.clone();
-                    pool.spawn(async move { door.serve_session(receiver, sender).await });
+                    let dispatcher = self.clone();
+                    pool.spawn(async move { dispatcher.serve_session(receiver, sender).await });
                 }
             }
         }
@@ -60,7 +60,7 @@
             return;
         };
         match first.tag {
-            FINAL_RECORDS_FRAME => self.take_ends(&mut receiver, &mut sender).await,
+            FINAL_RECORDS_FRAME => self.accept_final_records(&mut receiver, &mut sender).await,
             HAND_OVER_FRAME => self.take_hand_over(&mut receiver, &mut sender).await,
             HEAD_FRAME => {
                 let Some(head) = read_value(&first.body) else {
@@ -87,7 +87,7 @@
         let Some(request) = TicketRequest::from_parts(head, body.into()) else {
             return;
         };
-        self.desk.metrics.count(ticket_happening::SERVED);
+        self.registry.metrics.count(ticket_event::SERVED_FOR_PEER);
         let unsent = Unsent::from_caller(request);
         // After its request the peer says nothing more: any word, or the end, means that its caller is gone.
         let gone = receiver.receive();
@@ -105,8 +105,8 @@
         sender: &mut SessionSender,
     ) {
         match self.submit_here(ticket, unsent).await {
-            LocalEnd::Answered(response, _) => send_response(sender, response).await,
-            LocalEnd::Elsewhere(_, life) => {
+            LocalOutcome::Answered(response, _) => send_response(sender, response).await,
+            LocalOutcome::Elsewhere(_, life) => {
                 let holder = Some(life).filter(|life| *life != ticket.life);
                 // A peer that is gone needs no answer.
                 let _ = send_value(sender, ELSEWHERE_FRAME, &ElsewhereReply { holder }).await;
@@ -114,20 +114,24 @@
         }
     }
 
-    async fn take_ends(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
-        let Some(content) = read_body(receiver, HAND_OVER_BYTES).await else {
+    async fn accept_final_records(
+        &self,
+        receiver: &mut SessionReceiver,
+        sender: &mut SessionSender,
+    ) {
+        let Some(content) = read_body(receiver, MAX_HAND_OVER_BYTES).await else {
             return;
         };
         let Some(message) = read_value::<TicketHandOver>(&content) else {
             return;
         };
-        self.desk.learn_ends(message);
+        self.registry.learn_final_records(message);
         self.answer_hand_over(sender, HandOverReply::Accepted).await;
     }
 
     async fn answer_hand_over(&self, sender: &mut SessionSender, reply: HandOverReply) {
         let answer = HandOverAnswer {
-            from: self.desk.life.clone(),
+            from: self.registry.life.clone(),
             reply,
         };
         // The sender asks again when this is lost.
@@ -135,25 +139,25 @@
     }
 
     async fn take_hand_over(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
-        let Some(content) = read_body(receiver, HAND_OVER_BYTES).await else {
+        let Some(content) = read_body(receiver, MAX_HAND_OVER_BYTES).await else {
             return;
         };
         let Some(message) = read_value::<TicketHandOver>(&content) else {
             return;
         };
         let lives: Vec<LifeKey> = message.lives.iter().map(|life| life.life.clone()).collect();
-        let reply = self.desk.accept(message);
+        let reply = self.registry.accept(message);
         if reply == HandOverReply::Accepted {
             tracing::info!(lives = lives.len(), "tickets are taken over");
-            self.desk.metrics.count(ticket_happening::TAKEN_OVER);
-            let successor = self.desk.life.clone();
+            self.registry.metrics.count(ticket_event::TAKEN_OVER);
+            let successor = self.registry.life.clone();
             self.peers.notify(&SuccessorNotice { lives, successor });
         }
         self.answer_hand_over(sender, reply).await;
     }
 }
 
-impl TicketDesk {
+impl TicketRegistry {
     fn answer(&self, query: &TicketQuery) -> Option<LifeKey> {
         match query {
             TicketQuery::Holder(life) => self.holder(life),
@@ -192,7 +196,7 @@
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        for chunk in data.chunks(CHUNK_BYTES) {
+        for chunk in data.chunks(MAX_CHUNK_BYTES) {
             sender.send(BODY_FRAME, chunk).await.ok()?;
         }
     }
--- a/crates/door/src/ticket_key.rs
+++ b/crates/door/src/ticket_key.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         error_answer::ErrorAnswer,
-        ticket_desk::{DeskVerdict, TicketDesk},
-        ticket_door::{LocalEnd, TicketDoor},
-        ticket_metrics::ticket_happening,
+        ticket_dispatcher::{LocalOutcome, TicketDispatcher},
+        ticket_metrics::ticket_event,
+        ticket_registry::{SubmitDecision, TicketRegistry},
         ticket_request::TicketRequest,
     },
     axum::{
@@ -29,16 +29,16 @@
 const KEY_LIFETIME: Duration = Duration::from_secs(3600);
 
 /// How often a claim whose origin refused is replaced before the refusal is passed on.
-const REPLACE_LIMIT: usize = 2;
+const MAX_CLAIM_ATTEMPTS: usize = 2;
 const PLATFORM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The permit of a claim that is not settled yet. Dropped before it is used, its ticket is sealed: it never runs.
-struct HeldPermit {
-    desk: Arc<TicketDesk>,
+struct PermitGuard {
+    registry: Arc<TicketRegistry>,
     permit: Option<RunPermit>,
 }
 
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// Handles a request with a caller's key.
     pub(crate) async fn handle_key(&self, key: &[u8], request: Request<Body>) -> Response {
         let request = match TicketRequest::read(request, self.limit).await {
@@ -46,7 +46,7 @@
             Err(answer) => return answer.into_response(),
         };
         let unsent = Unsent::from_caller(request);
-        self.desk.metrics.count(ticket_happening::KEYED);
+        self.registry.metrics.count(ticket_event::KEYED);
         match self.claim(key, unsent.as_request()) {
             Ok((claim, permit)) => self.settle(claim, permit, unsent).await,
             Err(code) => refusal(code),
@@ -58,10 +58,10 @@
         &self,
         key: &[u8],
         request: &TicketRequest,
-    ) -> Result<(KeyedClaim, HeldPermit), ResultCode> {
+    ) -> Result<(KeyedClaim, PermitGuard), ResultCode> {
         let digest = request.digest();
-        let ticket = self.desk.mint(KEY_LIFETIME)?;
-        let DeskVerdict::Run(permit) = self.desk.submit(&ticket, digest) else {
+        let ticket = self.registry.mint(KEY_LIFETIME)?;
+        let SubmitDecision::Run(permit) = self.registry.submit(&ticket, digest) else {
             return Err(ResultCode::Closing);
         };
         let clock = ClockReading {
@@ -72,8 +72,8 @@
         let scope = String::from_utf8_lossy(request.scope());
         let key = String::from_utf8_lossy(key);
         let row = claim_key(self.claim_secret, request.work(), &scope, &key);
-        let permit = HeldPermit {
-            desk: self.desk.clone(),
+        let permit = PermitGuard {
+            registry: self.registry.clone(),
             permit: Some(permit),
         };
         Ok((KeyedClaim::new(row, record), permit))
@@ -82,12 +82,12 @@
     async fn settle(
         &self,
         mut claim: KeyedClaim,
-        mut permit: HeldPermit,
+        mut permit: PermitGuard,
         mut unsent: Unsent<TicketRequest>,
     ) -> Response {
         let mut event = ClaimEvent::Start;
         let mut refused = None;
-        for _ in 0..REPLACE_LIMIT {
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
             match self.keeper.settle(&mut claim, event).await {
                 ClaimVerdict::Forward(ticket) => {
                     let (response, back) = self.submit_found(&ticket, unsent).await;
@@ -102,19 +102,19 @@
                     permit.refuse(unsent, code);
                     return refusal(code);
                 }
-                ClaimVerdict::Run => return self.run_held(permit, unsent).await,
+                ClaimVerdict::Run => return self.run_claimed(permit, unsent).await,
             }
         }
         refused.unwrap_or_else(|| refusal(ResultCode::PlatformDown))
     }
 
-    async fn run_held(&self, mut held: HeldPermit, unsent: Unsent<TicketRequest>) -> Response {
-        let Some(permit) = held.permit.take() else {
+    async fn run_claimed(&self, mut guard: PermitGuard, unsent: Unsent<TicketRequest>) -> Response {
+        let Some(permit) = guard.permit.take() else {
             return refusal(ResultCode::Closing);
         };
         match self.run(permit, unsent).await {
-            LocalEnd::Answered(response, _) => response,
-            LocalEnd::Elsewhere(..) => refusal(ResultCode::Closing),
+            LocalOutcome::Answered(response, _) => response,
+            LocalOutcome::Elsewhere(..) => refusal(ResultCode::Closing),
         }
     }
 
@@ -128,18 +128,18 @@
     }
 }
 
-impl HeldPermit {
+impl PermitGuard {
     fn refuse(&mut self, unsent: Unsent<TicketRequest>, code: ResultCode) {
         if let Some(permit) = self.permit.take() {
-            self.desk.refuse(permit, unsent, code);
+            self.registry.refuse(permit, unsent, code);
         }
     }
 }
 
-impl Drop for HeldPermit {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
-            self.desk.seal(permit, ResultCode::CallerGone);
+            self.registry.seal(permit, ResultCode::CallerGone);
         }
     }
 }
--- a/crates/door/src/ticket_metrics.rs
+++ b/crates/door/src/ticket_metrics.rs
@@ -3,33 +3,33 @@
 use prometheus::{IntCounterVec, Opts, Registry};
 
 /// What happened to a ticket, as the counter's label.
-pub(crate) mod ticket_happening {
+pub(crate) mod ticket_event {
     pub(crate) const ATTACHED: &str = "attached";
     pub(crate) const FORWARDED: &str = "forwarded";
-    pub(crate) const GONE: &str = "origin_gone";
+    pub(crate) const ORIGIN_GONE: &str = "origin_gone";
     pub(crate) const HANDED_OVER: &str = "lives_handed_over";
     pub(crate) const KEYED: &str = "keyed";
-    pub(crate) const LOST: &str = "outcome_unknown";
+    pub(crate) const OUTCOME_UNKNOWN: &str = "outcome_unknown";
     pub(crate) const MINTED: &str = "minted";
     pub(crate) const REFUSED: &str = "refused";
     pub(crate) const REPEATED: &str = "repeated";
     pub(crate) const RUN: &str = "run";
-    pub(crate) const SERVED: &str = "served_for_peer";
+    pub(crate) const SERVED_FOR_PEER: &str = "served_for_peer";
     pub(crate) const TAKEN_OVER: &str = "lives_taken_over";
 
     /// All of them.
     pub(crate) const ALL: [&str; 12] = [
         ATTACHED,
         FORWARDED,
-        GONE,
+        ORIGIN_GONE,
         HANDED_OVER,
         KEYED,
-        LOST,
+        OUTCOME_UNKNOWN,
         MINTED,
         REFUSED,
         REPEATED,
         RUN,
-        SERVED,
+        SERVED_FOR_PEER,
         TAKEN_OVER,
     ];
 }
@@ -37,21 +37,21 @@
 /// Counts what happens to tickets.
 #[derive(Debug)]
 pub struct TicketMetrics {
-    happenings: IntCounterVec,
+    events: IntCounterVec,
 }
 
 impl TicketMetrics {
     /// Counts one happening.
-    pub(crate) fn count(&self, happening: &str) {
-        self.happenings.with_label_values(&[happening]).inc();
+    pub(crate) fn count(&self, event: &str) {
+        self.events.with_label_values(&[event]).inc();
     }
 
     /// The counters by happening.
     pub(crate) fn counts(&self) -> serde_json::Map<String, serde_json::Value> {
         let mut counts = serde_json::Map::new();
-        for happening in ticket_happening::ALL {
-            let count = self.happenings.with_label_values(&[happening]).get();
-            counts.insert(happening.to_owned(), count.into());
+        for event in ticket_event::ALL {
+            let count = self.events.with_label_values(&[event]).get();
+            counts.insert(event.to_owned(), count.into());
         }
         counts
     }
@@ -67,13 +67,13 @@
             "What happened to tickets here, by happening.",
         );
         Ok(Self {
-            happenings: IntCounterVec::new(options, &["happening"])?,
+            events: IntCounterVec::new(options, &["happening"])?,
         })
     }
 
     /// Shows the counters in `registry`.
     pub(crate) fn register(&self, registry: &Registry) {
-        if let Err(error) = registry.register(Box::new(self.happenings.clone())) {
+        if let Err(error) = registry.register(Box::new(self.events.clone())) {
             tracing::debug!(%error, "the metric was registered before");
         }
     }
--- a/crates/door/src/ticket_mint.rs
+++ b/crates/door/src/ticket_mint.rs
@@ -4,7 +4,7 @@
     crate::{
         completion_handler::read_body,
         error_answer::{ErrorAnswer, RESULT_HEADER},
-        ticket_door::TicketDoor,
+        ticket_dispatcher::TicketDispatcher,
     },
     axum::{
         Json,
@@ -23,9 +23,9 @@
 /// How long a ticket is good for when its caller says nothing.
 const DEFAULT_LIFETIME: Duration = Duration::from_secs(600);
 /// The longest body of a call for a ticket.
-const MINT_BODY_BYTES: usize = 4 << 10;
+const MAX_MINT_BODY_BYTES: usize = 4 << 10;
 const MINT_RETRY_AFTER: Duration = Duration::from_secs(1);
-const SHORTEST_LIFETIME: Duration = Duration::from_millis(1);
+const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
 /// The body of a call for a ticket; it may be absent.
 #[serde_as]
@@ -47,7 +47,7 @@
     ticket: Ticket,
 }
 
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// Handles `POST /v1/tickets`.
     pub(crate) async fn handle_mint(&self, request: Request<Body>) -> Response {
         match self.mint(request).await {
@@ -62,17 +62,17 @@
     }
 
     async fn mint(&self, request: Request<Body>) -> Result<MintReply, ErrorAnswer> {
-        let body = read_body(request, MINT_BODY_BYTES).await?;
+        let body = read_body(request, MAX_MINT_BODY_BYTES).await?;
         let body: MintBody = match body.is_empty() {
             true => MintBody::default(),
             false => serde_json::from_slice(&body)
                 .map_err(|error| ErrorAnswer::of(ResultCode::RequestInvalid).with_detail(error))?,
         };
         let lifetime = body.lifetime.unwrap_or(DEFAULT_LIFETIME);
-        let lifetime = lifetime.clamp(SHORTEST_LIFETIME, self.desk.longest_expiry);
+        let lifetime = lifetime.clamp(MIN_LIFETIME, self.registry.max_expiry);
         let refused = |code| ErrorAnswer::of(code).with_retry_after(MINT_RETRY_AFTER);
         let _pass = self.gate.enter().map_err(refused)?;
-        let ticket = self.desk.mint(lifetime).map_err(refused)?;
+        let ticket = self.registry.mint(lifetime).map_err(refused)?;
         Ok(MintReply { lifetime, ticket })
     }
 }
--- a/crates/door/src/ticket_peers.rs
+++ b/crates/door/src/ticket_peers.rs
@@ -14,11 +14,11 @@
 };
 
 /// How many instances are asked for the holder of a ticket, and for a successor.
-const ASK_LIMIT: usize = 16;
+const MAX_QUERIED_PEERS: usize = 16;
 /// How long the successor may take to answer one copy of the hand-over.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How many copies of a hand-over are sent.
-const HAND_OVER_TRIES: u32 = 3;
+const HAND_OVER_ATTEMPTS: u32 = 3;
 
 /// Talks to other instances about tickets.
 pub(crate) struct TicketPeers {
@@ -30,8 +30,8 @@
     /// The life that holds the tickets of `life`, by the word of the instances in its availability zone.
     pub(crate) async fn find_holder(&self, life: &LifeKey, zone: &ZoneId) -> Option<LifeKey> {
         let query = TicketQuery::Holder(life.clone());
-        let names = self.heard_in(zone);
-        let asked = names.iter().map(|name| self.ask(name, &query));
+        let names = self.peers_in_zone(zone);
+        let asked = names.iter().map(|name| self.query(name, &query));
         let answers = join_all(asked).await;
         answers.into_iter().flatten().next()
     }
@@ -63,7 +63,7 @@
     ) -> Option<(LifeKey, HandOverReply)> {
         let content = wire::encode(message).ok()?;
         let to = &message.successor.instance;
-        for _ in 0..HAND_OVER_TRIES {
+        for _ in 0..HAND_OVER_ATTEMPTS {
             let sending = self.hand_over_once(to, tag, &content);
             let Ok(Some(answer)) = time::timeout(HAND_OVER_TIMEOUT, sending).await else {
                 continue;
@@ -88,15 +88,15 @@
             candidates.push((Reverse((serves, score)), &record.instance));
         }
         candidates.sort();
-        for (_, name) in candidates.into_iter().take(ASK_LIMIT) {
-            if let Some(life) = self.ask(name, &TicketQuery::Life).await {
+        for (_, name) in candidates.into_iter().take(MAX_QUERIED_PEERS) {
+            if let Some(life) = self.query(name, &TicketQuery::Life).await {
                 return Some(life);
             }
         }
         None
     }
 
-    async fn ask(&self, instance: &InstanceId, query: &TicketQuery) -> Option<LifeKey> {
+    async fn query(&self, instance: &InstanceId, query: &TicketQuery) -> Option<LifeKey> {
         let query = wire::encode(query).ok()?;
         let answer = self.endpoint.call(instance, TICKET_TAG, &query).await;
         read_value(&answer.ok()?)?
@@ -123,11 +123,14 @@
         read_value(&frame.body)
     }
 
-    fn heard_in(&self, zone: &ZoneId) -> Vec<InstanceId> {
+    fn peers_in_zone(&self, zone: &ZoneId) -> Vec<InstanceId> {
         let view = self.members.view();
         let own = self.endpoint.instance();
-        let heard = view.heard.iter().filter(|record| record.zone == *zone);
-        let names = heard.map(|record| record.instance.clone());
-        names.filter(|name| name != own).take(ASK_LIMIT).collect()
+        let members = view.heard.iter().filter(|record| record.zone == *zone);
+        let names = members.map(|record| record.instance.clone());
+        names
+            .filter(|name| name != own)
+            .take(MAX_QUERIED_PEERS)
+            .collect()
     }
 }
--- a/crates/door/src/ticket_plugin.rs
+++ b/crates/door/src/ticket_plugin.rs
@@ -1,7 +1,7 @@
 //! The tickets' part of the state dump and of the metrics.
 
 use {
-    crate::ticket_desk::TicketDesk,
+    crate::ticket_registry::TicketRegistry,
     kernel::{PluginEntry, StateMap},
     prometheus::Registry,
     serde_json::{Value, json},
@@ -16,23 +16,23 @@
 }
 
 fn dump_tickets(map: &StateMap) -> Option<Value> {
-    let desk = map.get::<TicketDesk>()?;
-    let (counts, is_open) = desk.counts();
+    let tickets = map.get::<TicketRegistry>()?;
+    let (counts, is_open) = tickets.counts();
     Some(json!({
-        "happenings": desk.metrics.counts(),
+        "happenings": tickets.metrics.counts(),
         "kept_bytes": counts.kept_bytes,
-        "life": desk.life,
+        "life": tickets.life,
         "lives": counts.lives,
         "open": is_open,
         "outstanding": counts.outstanding,
         "records": counts.records,
-        "successors": desk.successors(),
+        "successors": tickets.successors(),
     }))
 }
 
 fn register_tickets(map: &StateMap, registry: &Registry) {
-    let Some(desk) = map.get::<TicketDesk>() else {
+    let Some(tickets) = map.get::<TicketRegistry>() else {
         return;
     };
-    desk.metrics.register(registry);
+    tickets.metrics.register(registry);
 }
--- a/crates/door/src/ticket_desk.rs
+++ b/crates/door/src/ticket_registry.rs
@@ -4,7 +4,7 @@
     crate::{
         ticket_answer::TicketAnswer,
         ticket_frame::TicketHandOver,
-        ticket_metrics::{TicketMetrics, ticket_happening},
+        ticket_metrics::{TicketMetrics, ticket_event},
     },
     claim::{
         ClaimError, ClosedTable, ForwardCourse, ForwardTable, HandOverReply, LifeKey,
@@ -21,7 +21,7 @@
 
 /// The table, before or after its hand-over.
 #[derive(Debug)]
-enum TicketHolding {
+enum TableState {
     /// It was handed over.
     Closed(ClosedTable<TicketAnswer>),
     /// It gives out permits.
@@ -29,26 +29,26 @@
 }
 
 #[derive(Debug)]
-struct DeskState {
+struct RegistryState {
     forwards: ForwardTable,
     /// None only for the moment in which the table is handed over.
-    holding: Option<TicketHolding>,
+    table: Option<TableState>,
 }
 
 /// Holds the tickets and what is known of other lives' tickets.
 #[derive(Debug)]
-pub struct TicketDesk {
+pub struct TicketRegistry {
     pub(crate) life: LifeKey,
-    pub(crate) longest_expiry: Duration,
+    pub(crate) max_expiry: Duration,
     pub(crate) metrics: TicketMetrics,
     settled: Notify,
-    state: RankedLock<DeskState>,
+    state: RankedLock<RegistryState>,
     pub(crate) zone: ZoneId,
 }
 
 /// What a submission has to do here.
 #[derive(Debug)]
-pub(crate) enum DeskVerdict {
+pub(crate) enum SubmitDecision {
     /// The same request runs: wait.
     Attach,
     /// The outcome is known.
@@ -59,7 +59,7 @@
     Run(RunPermit),
 }
 
-impl TicketDesk {
+impl TicketRegistry {
     /// A desk of a life that starts now.
     ///
     /// # Errors
@@ -71,16 +71,16 @@
         settings: TicketSettings,
         zone: ZoneId,
     ) -> Result<Self, ClaimError> {
-        let longest_expiry = settings.longest_expiry;
+        let max_expiry = settings.longest_expiry;
         let retention = settings.longest_expiry + settings.retention;
         let table = TicketTable::new(Instant::now(), life.clone(), zone.clone(), settings)?;
-        let state = DeskState {
+        let state = RegistryState {
             forwards: ForwardTable::new(retention),
-            holding: Some(TicketHolding::Open(table)),
+            table: Some(TableState::Open(table)),
         };
         Ok(Self {
             life,
-            longest_expiry,
+            max_expiry,
             metrics,
             settled: Notify::new(),
             state: RankedLock::new(LockRank::Claims, state),
@@ -91,26 +91,26 @@
     /// Takes over the tickets of a closing instance.
     pub(crate) fn accept(&self, message: TicketHandOver) -> HandOverReply {
         let mut state = self.state.lock();
-        match &mut state.holding {
-            Some(TicketHolding::Closed(table)) => table.accept_hand_over(&message),
-            Some(TicketHolding::Open(table)) => table.accept_hand_over(Instant::now(), message),
+        match &mut state.table {
+            Some(TableState::Closed(table)) => table.accept_hand_over(&message),
+            Some(TableState::Open(table)) => table.accept_hand_over(Instant::now(), message),
             None => HandOverReply::Refused,
         }
     }
 
     /// How much it holds, and whether it gives out permits.
     pub(crate) fn counts(&self) -> (TicketCounts, bool) {
-        match &self.state.lock().holding {
-            Some(TicketHolding::Open(table)) => (table.counts(), true),
+        match &self.state.lock().table {
+            Some(TableState::Open(table)) => (table.counts(), true),
             _ => (TicketCounts::default(), false),
         }
     }
 
     /// Records the whole answer of a run.
     pub(crate) fn finish(&self, run: RunTicket, sent: Sent, answer: TicketAnswer) {
-        let _ = match &mut self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) => table.finish(run, sent, answer),
-            Some(TicketHolding::Open(table)) => table.finish(run, sent, answer),
+        let _ = match &mut self.state.lock().table {
+            Some(TableState::Closed(table)) => table.finish(run, sent, answer),
+            Some(TableState::Open(table)) => table.finish(run, sent, answer),
             None => sent.answered(answer),
         };
         self.settled.notify_waiters();
@@ -118,8 +118,8 @@
 
     /// The records as they are after the last run, when a successor holds the tickets.
     pub(crate) fn final_records(&self) -> Option<TicketHandOver> {
-        match &self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) if table.is_accepted() => {
+        match &self.state.lock().table {
+            Some(TableState::Closed(table)) if table.is_accepted() => {
                 Some(table.final_records(Instant::now()))
             }
             _ => None,
@@ -129,26 +129,26 @@
     /// Gives all tickets to `successor`; none when that was done before.
     pub(crate) fn hand_over(&self, successor: LifeKey) -> Option<TicketHandOver> {
         let mut state = self.state.lock();
-        let table = match state.holding.take() {
-            Some(TicketHolding::Open(table)) => table,
-            holding => {
-                state.holding = holding;
+        let table = match state.table.take() {
+            Some(TableState::Open(table)) => table,
+            table => {
+                state.table = table;
                 return None;
             }
         };
         let (message, closed) = table.hand_over(Instant::now(), successor);
-        state.holding = Some(TicketHolding::Closed(closed));
+        state.table = Some(TableState::Closed(closed));
         Some(message)
     }
 
     /// The life that holds the tickets of `life`, as far as this instance knows.
     pub(crate) fn holder(&self, life: &LifeKey) -> Option<LifeKey> {
         let state = self.state.lock();
-        match &state.holding {
-            Some(TicketHolding::Closed(table)) if table.holds(life) => {
+        match &state.table {
+            Some(TableState::Closed(table)) if table.holds(life) => {
                 return table.is_accepted().then(|| table.successor().clone());
             }
-            Some(TicketHolding::Open(table)) if table.holds(life) => {
+            Some(TableState::Open(table)) if table.holds(life) => {
                 return Some(self.life.clone());
             }
             _ => {}
@@ -160,7 +160,7 @@
 
     /// Whether it gives out permits.
     pub(crate) fn is_open(&self) -> bool {
-        matches!(self.state.lock().holding, Some(TicketHolding::Open(_)))
+        matches!(self.state.lock().table, Some(TableState::Open(_)))
     }
 
     /// Learns that a life was handed over.
@@ -170,20 +170,20 @@
     }
 
     /// Learns how the runs of a closing instance ended.
-    pub(crate) fn learn_ends(&self, message: TicketHandOver) {
-        if let Some(TicketHolding::Open(table)) = &mut self.state.lock().holding {
+    pub(crate) fn learn_final_records(&self, message: TicketHandOver) {
+        if let Some(TableState::Open(table)) = &mut self.state.lock().table {
             table.learn_ends(message);
         }
     }
 
     /// Records that nobody knows what became of a run.
-    pub(crate) fn lose(&self, run: RunTicket, sent: Sent, code: ResultCode) {
-        let _ = match &mut self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) => table.lose(run, sent, code),
-            Some(TicketHolding::Open(table)) => table.lose(run, sent, code),
+    pub(crate) fn record_unknown(&self, run: RunTicket, sent: Sent, code: ResultCode) {
+        let _ = match &mut self.state.lock().table {
+            Some(TableState::Closed(table)) => table.lose(run, sent, code),
+            Some(TableState::Open(table)) => table.lose(run, sent, code),
             None => sent.unknown(code),
         };
-        self.metrics.count(ticket_happening::LOST);
+        self.metrics.count(ticket_event::OUTCOME_UNKNOWN);
         self.settled.notify_waiters();
     }
 
@@ -194,37 +194,37 @@
     /// Why there is none: this instance closes, or too many are outstanding.
     pub(crate) fn mint(&self, lifetime: Duration) -> Result<Ticket, ResultCode> {
         let mut state = self.state.lock();
-        let Some(TicketHolding::Open(table)) = &mut state.holding else {
+        let Some(TableState::Open(table)) = &mut state.table else {
             return Err(ResultCode::Closing);
         };
         let ticket = table.mint(Instant::now(), lifetime);
-        self.metrics.count(ticket_happening::MINTED);
+        self.metrics.count(ticket_event::MINTED);
         ticket.map_err(|_| ResultCode::QueueFull)
     }
 
     /// Hears what the successor says to the hand-over.
     pub(crate) fn on_reply(&self, from: &LifeKey, reply: HandOverReply) {
-        if let Some(TicketHolding::Closed(table)) = &mut self.state.lock().holding {
+        if let Some(TableState::Closed(table)) = &mut self.state.lock().table {
             table.on_reply(from, reply);
         }
     }
 
     /// Seals a ticket as refused; its request did not run.
     pub(crate) fn refuse<T>(&self, permit: RunPermit, unsent: Unsent<T>, code: ResultCode) {
-        let _ = match &mut self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) => table.refuse(permit, unsent, code),
-            Some(TicketHolding::Open(table)) => table.refuse(permit, unsent, code),
+        let _ = match &mut self.state.lock().table {
+            Some(TableState::Closed(table)) => table.refuse(permit, unsent, code),
+            Some(TableState::Open(table)) => table.refuse(permit, unsent, code),
             None => unsent.into_not_run(code),
         };
-        self.metrics.count(ticket_happening::REFUSED);
+        self.metrics.count(ticket_event::REFUSED);
         self.settled.notify_waiters();
     }
 
     /// Seals a ticket whose request goes on by another one, or not at all.
     pub(crate) fn seal(&self, permit: RunPermit, code: ResultCode) {
-        match &mut self.state.lock().holding {
-            Some(TicketHolding::Closed(table)) => table.seal(permit, code),
-            Some(TicketHolding::Open(table)) => table.seal(permit, code),
+        match &mut self.state.lock().table {
+            Some(TableState::Closed(table)) => table.seal(permit, code),
+            Some(TableState::Open(table)) => table.seal(permit, code),
             None => {}
         }
         self.settled.notify_waiters();
@@ -244,30 +244,28 @@
     }
 
     /// Decides on a request that comes with a ticket.
-    pub(crate) fn submit(&self, ticket: &Ticket, digest: RequestDigest) -> DeskVerdict {
+    pub(crate) fn submit(&self, ticket: &Ticket, digest: RequestDigest) -> SubmitDecision {
         let mut state = self.state.lock();
-        let (verdict, successor) = match &mut state.holding {
-            Some(TicketHolding::Closed(table)) => {
+        let (verdict, successor) = match &mut state.table {
+            Some(TableState::Closed(table)) => {
                 let successor = table.holds(&ticket.life).then(|| table.successor().clone());
                 (table.submit(ticket, digest), successor)
             }
-            Some(TicketHolding::Open(table)) => {
-                (table.submit(Instant::now(), ticket, digest), None)
-            }
+            Some(TableState::Open(table)) => (table.submit(Instant::now(), ticket, digest), None),
             None => (SubmitVerdict::Elsewhere, None),
         };
         match verdict {
-            SubmitVerdict::Attach => DeskVerdict::Attach,
+            SubmitVerdict::Attach => SubmitDecision::Attach,
             SubmitVerdict::Decided(outcome) => {
-                self.metrics.count(ticket_happening::REPEATED);
-                DeskVerdict::Decided(outcome)
-            }
-            SubmitVerdict::Elsewhere => {
-                DeskVerdict::Elsewhere(successor.unwrap_or_else(|| route(&state.forwards, ticket)))
+                self.metrics.count(ticket_event::REPEATED);
+                SubmitDecision::Decided(outcome)
             }
+            SubmitVerdict::Elsewhere => SubmitDecision::Elsewhere(
+                successor.unwrap_or_else(|| route(&state.forwards, ticket)),
+            ),
             SubmitVerdict::Run(permit) => {
-                self.metrics.count(ticket_happening::RUN);
-                DeskVerdict::Run(permit)
+                self.metrics.count(ticket_event::RUN);
+                SubmitDecision::Run(permit)
             }
         }
     }
--- a/crates/door/src/ticket_run.rs
+++ b/crates/door/src/ticket_run.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        ticket_answer::{TicketAnswer, code_of},
-        ticket_body::KeptBody,
-        ticket_desk::TicketDesk,
+        ticket_answer::{TicketAnswer, result_code},
+        ticket_body::RecordingBody,
         ticket_frame::ReplyHead,
+        ticket_registry::TicketRegistry,
     },
     axum::{body::Body, response::Response},
     claim::{RunTicket, Sent, UndoneDispatch, Unsent},
@@ -19,7 +19,7 @@
 /// A run whose outcome the table has not heard yet. Dropped before, its outcome is unknown.
 #[derive(Debug)]
 pub(crate) struct RunGuard {
-    desk: Arc<TicketDesk>,
+    registry: Arc<TicketRegistry>,
     run: Option<(RunTicket, Sent)>,
 }
 
@@ -27,39 +27,39 @@
     /// The whole answer was read from the upstream.
     pub(crate) fn finish(mut self, answer: TicketAnswer) {
         if let Some((run, sent)) = self.run.take() {
-            self.desk.finish(run, sent, answer);
+            self.registry.finish(run, sent, answer);
         }
     }
 
     /// The outcome is unknown, for this reason.
-    pub(crate) fn lose(mut self, code: ResultCode) {
+    pub(crate) fn mark_unknown(mut self, code: ResultCode) {
         if let Some((run, sent)) = self.run.take() {
-            self.desk.lose(run, sent, code);
+            self.registry.record_unknown(run, sent, code);
         }
     }
 
     /// A run that has begun.
-    pub(crate) fn new(desk: Arc<TicketDesk>, run: RunTicket, sent: Sent) -> Self {
+    pub(crate) fn new(registry: Arc<TicketRegistry>, run: RunTicket, sent: Sent) -> Self {
         Self {
-            desk,
+            registry,
             run: Some((run, sent)),
         }
     }
 
     /// Settles the run by the answer of its handler. The body of a whole answer settles it at its end.
     pub(crate) fn settle(mut self, response: Response) -> Response {
-        let code = code_of(&response).unwrap_or(ResultCode::UpstreamGarbled);
+        let code = result_code(&response).unwrap_or(ResultCode::UpstreamGarbled);
         if code == ResultCode::Answered {
             let head = ReplyHead::of(&response);
-            return response.map(|body| Body::new(KeptBody::new(body, head, self)));
+            return response.map(|body| Body::new(RecordingBody::new(body, head, self)));
         }
         let Some(evidence) = UndoneDispatch::from_verdict(code) else {
-            self.lose(code);
+            self.mark_unknown(code);
             return response;
         };
         if let Some((run, sent)) = self.run.take() {
             let (permit, unsent): (_, Unsent<()>) = run.undone(sent, evidence, ());
-            self.desk.refuse(permit, unsent, code);
+            self.registry.refuse(permit, unsent, code);
         }
         response
     }
@@ -68,7 +68,7 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         if let Some((run, sent)) = self.run.take() {
-            self.desk.lose(run, sent, ABANDONED);
+            self.registry.record_unknown(run, sent, ABANDONED);
         }
     }
 }
--- a/crates/door/src/ticket_service.rs
+++ b/crates/door/src/ticket_service.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        admission_gate::AdmissionGate, ticket_desk::TicketDesk, ticket_door::TicketDoor,
-        ticket_peers::TicketPeers,
+        admission_gate::AdmissionGate, ticket_dispatcher::TicketDispatcher,
+        ticket_peers::TicketPeers, ticket_registry::TicketRegistry,
     },
     axum::{Router, body::Body, routing},
     bon::bon,
@@ -15,12 +15,12 @@
 };
 
 #[bon]
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// A door before `handlers`. `claim_secret` has to be the same at all instances.
     #[builder]
     pub fn new(
         claim_secret: u64,
-        desk: Arc<TicketDesk>,
+        registry: Arc<TicketRegistry>,
         endpoint: PeerEndpoint,
         gate: Arc<AdmissionGate>,
         handlers: Router,
@@ -31,7 +31,7 @@
     ) -> Self {
         Self {
             claim_secret,
-            desk,
+            registry,
             gate,
             handlers,
             keeper: ClaimKeeper::new(store),
@@ -41,17 +41,17 @@
     }
 }
 
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// The routes of callers, with tickets.
     pub fn routes(self: Arc<Self>) -> Router {
         let minting = self.clone();
         let mint = move |request: Request<Body>| {
-            let door = minting.clone();
-            async move { door.handle_mint(request).await }
+            let dispatcher = minting.clone();
+            async move { dispatcher.handle_mint(request).await }
         };
         let handle = move |request: Request<Body>| {
-            let door = self.clone();
-            async move { door.handle(request).await }
+            let dispatcher = self.clone();
+            async move { dispatcher.handle(request).await }
         };
         Router::new()
             .route("/v1/tickets", routing::post(mint))
--- a/crates/door/src/work_header.rs
+++ b/crates/door/src/work_header.rs
@@ -9,7 +9,7 @@
 pub const WORK_HEADER: HeaderName = HeaderName::from_static("trestlewalk-work");
 
 /// The kind of work that the headers name, or else the default.
-pub fn work_of(headers: &HeaderMap, default: Option<&WorkId>) -> Option<WorkId> {
+pub fn work_from_headers(headers: &HeaderMap, default: Option<&WorkId>) -> Option<WorkId> {
     let named = headers
         .get(WORK_HEADER)
         .and_then(|value| value.to_str().ok());
--- a/crates/engine/src/completion_engine.rs
+++ b/crates/engine/src/completion_engine.rs
@@ -21,7 +21,7 @@
 };
 
 /// The most bytes that an answer other than a stream may have.
-const REPLY_LIMIT: usize = 16 << 20;
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
 type EngineBody = PooledBody<Full<Bytes>>;
 
@@ -50,17 +50,17 @@
 }
 
 impl CompletionEngine {
-    async fn control<T: DeserializeOwned>(
+    async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
     ) -> Result<T, CallError> {
-        let request = build(Method::GET, address, path, None, Bytes::new())?;
+        let request = build_request(Method::GET, address, path, None, Bytes::new())?;
         let call = async {
             let response = self.pool.send(address, request, false).await?;
-            read_json(accept(response).await?).await
+            read_json(check_status(response).await?).await
         };
-        within(self.control_timeout, call).await
+        with_timeout(self.control_timeout, call).await
     }
 
     async fn post<T: Serialize>(
@@ -72,9 +72,9 @@
     ) -> Result<Response<EngineBody>, CallError> {
         let body = serde_json::to_vec(body)
             .map_err(|error| CallError::not_run(CallCause::Refused, error))?;
-        let request = build(Method::POST, address, path, Some(stream), body.into())?;
+        let request = build_request(Method::POST, address, path, Some(stream), body.into())?;
         let response = self.pool.send(address, request, false).await?;
-        accept(response).await
+        check_status(response).await
     }
 }
 
@@ -86,12 +86,12 @@
         address: SocketAddr,
         after: u64,
     ) -> Result<CacheEvents, CallError> {
-        self.control(address, &format!("/cache/events?after={after}"))
+        self.get_json(address, &format!("/cache/events?after={after}"))
             .await
     }
 
     async fn cancel(&self, address: SocketAddr, stream: &str) -> Result<bool, CallError> {
-        let request = build(
+        let request = build_request(
             Method::DELETE,
             address,
             &format!("/streams/{stream}"),
@@ -107,7 +107,7 @@
             }
             Err(CallError::not_run(CallCause::Refused, status))
         };
-        within(self.control_timeout, call).await
+        with_timeout(self.control_timeout, call).await
     }
 
     async fn decode(
@@ -117,12 +117,12 @@
         call: &CompletionCall,
     ) -> Result<TokenStream, CallError> {
         let posting = self.post(address, "/v1/completions", stream, call);
-        let response = within(self.idle_timeout, posting).await?;
+        let response = with_timeout(self.idle_timeout, posting).await?;
         Ok(TokenStream::new(response.into_body(), self.idle_timeout, 0))
     }
 
     async fn load(&self, address: SocketAddr) -> Result<EngineLoad, CallError> {
-        self.control(address, "/load").await
+        self.get_json(address, "/load").await
     }
 
     async fn order(&self, address: SocketAddr, order: &EngineOrder) -> Result<(), CallError> {
@@ -130,7 +130,7 @@
             let response = self.post(address, "/orders", "order", order).await?;
             read_body(response).await.map(|_| ())
         };
-        within(self.control_timeout, ordering).await
+        with_timeout(self.control_timeout, ordering).await
     }
 
     async fn prefill(
@@ -143,7 +143,7 @@
             let response = self.post(address, "/v1/completions", stream, call).await?;
             read_json::<CompletionChunk>(response).await
         };
-        let chunk = within(self.prefill_timeout, reading).await?;
+        let chunk = with_timeout(self.prefill_timeout, reading).await?;
         match chunk.kv_transfer_params {
             Some(params) => Ok(PrefillReply { params }),
             None => Err(CallError::unknown(
@@ -160,9 +160,9 @@
         offset: u32,
     ) -> Result<TokenStream, CallError> {
         let path = format!("/streams/{stream}?offset={offset}");
-        let request = build(Method::GET, address, &path, None, Bytes::new())?;
-        let call = async { accept(self.pool.send(address, request, false).await?).await };
-        let response = within(self.control_timeout, call).await?;
+        let request = build_request(Method::GET, address, &path, None, Bytes::new())?;
+        let call = async { check_status(self.pool.send(address, request, false).await?).await };
+        let response = with_timeout(self.control_timeout, call).await?;
         Ok(TokenStream::new(
             response.into_body(),
             self.idle_timeout,
@@ -171,7 +171,7 @@
     }
 
     async fn streams(&self, address: SocketAddr) -> Result<Vec<StreamRecord>, CallError> {
-        self.control(address, "/streams").await
+        self.get_json(address, "/streams").await
     }
 }
 
@@ -191,7 +191,7 @@
     }
 }
 
-async fn accept(response: Response<EngineBody>) -> Result<Response<EngineBody>, CallError> {
+async fn check_status(response: Response<EngineBody>) -> Result<Response<EngineBody>, CallError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -203,7 +203,7 @@
     }
 }
 
-fn build(
+fn build_request(
     method: Method,
     address: SocketAddr,
     path: &str,
@@ -224,7 +224,7 @@
 }
 
 async fn read_body(response: Response<EngineBody>) -> Result<Bytes, CallError> {
-    let limited = Limited::new(response.into_body(), REPLY_LIMIT);
+    let limited = Limited::new(response.into_body(), MAX_REPLY_BYTES);
     match limited.collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) => Err(CallError::unknown(CallCause::Lost, error)),
@@ -236,7 +236,7 @@
     serde_json::from_slice(&body).map_err(|error| CallError::unknown(CallCause::Garbled, error))
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
--- a/crates/engine/src/http_pool.rs
+++ b/crates/engine/src/http_pool.rs
@@ -19,9 +19,9 @@
 };
 
 /// How many idle connections an upstream keeps.
-const IDLE_LIMIT: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 /// How often a request that was never written is tried on another idle connection before a new one is made.
-const REUSE_TRIES: usize = 2;
+const MAX_REUSE_ATTEMPTS: usize = 2;
 
 /// Idle connections by address.
 pub(crate) type IdleTable<B> = RankedLock<HashMap<SocketAddr, Vec<SendRequest<B>>>>;
@@ -85,7 +85,7 @@
         fresh: bool,
     ) -> Result<Response<PooledBody<B>>, SendFailure<B>> {
         let mut request = request;
-        for _ in 0..REUSE_TRIES {
+        for _ in 0..MAX_REUSE_ATTEMPTS {
             if fresh {
                 break;
             }
@@ -191,7 +191,7 @@
     }
     let mut idle = idle.lock();
     let senders = idle.entry(address).or_default();
-    if senders.len() < IDLE_LIMIT {
+    if senders.len() < MAX_IDLE_CONNECTIONS {
         senders.push(sender);
     }
 }
--- a/crates/engine/src/pooled_body.rs
+++ b/crates/engine/src/pooled_body.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_connection(&mut self) {
         let Some(sender) = self.sender.take() else {
             return;
         };
@@ -59,7 +59,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(context);
         if let Poll::Ready(None) = polled {
-            self.give_back();
+            self.return_connection();
         }
         polled
     }
--- a/crates/engine/src/sse_reader.rs
+++ b/crates/engine/src/sse_reader.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// The most bytes that one event may have.
-pub const EVENT_LIMIT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 const DATA_FIELD: &[u8] = b"data:";
 
@@ -21,9 +21,9 @@
         !self.buffer.is_empty() || self.data.is_some()
     }
 
-    /// Whether the event being read is larger than [`EVENT_LIMIT`].
+    /// Whether the event being read is larger than [`MAX_EVENT_BYTES`].
     pub fn is_too_large(&self) -> bool {
-        self.buffer.len() + self.data.as_ref().map_or(0, BytesMut::len) > EVENT_LIMIT
+        self.buffer.len() + self.data.as_ref().map_or(0, BytesMut::len) > MAX_EVENT_BYTES
     }
 
     /// An empty reader.
--- a/crates/engine/src/token_stream.rs
+++ b/crates/engine/src/token_stream.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    async fn fill(&mut self) -> Result<(), CallError> {
+    async fn read_chunk(&mut self) -> Result<(), CallError> {
         let reading = time::timeout(self.idle_timeout, self.body.frame()).await;
         let Ok(frame) = reading else {
             return Err(CallError::unknown(
@@ -148,7 +148,7 @@
     async fn next(&mut self) -> Result<TokenEvent, CallError> {
         loop {
             let Some(data) = self.reader.next_event() else {
-                self.fill().await?;
+                self.read_chunk().await?;
                 continue;
             };
             if data == DONE_MARKER {
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -13,14 +13,14 @@
 //! Refusals before anything ran are 429 or 503 with [`EngineError`], whose `ran` is `false`.
 
 use {
+    engine_role::EngineRole,
     kernel::{BlockHash, FencingToken, ModelId},
-    route_role::EngineRole,
     serde::{Deserialize, Serialize},
     std::sync::Arc,
 };
 
 /// The role of an engine.
-pub mod route_role {
+pub mod engine_role {
     use serde::{Deserialize, Serialize};
 
     /// What an engine does.
--- a/crates/fake/src/model/core_life.rs
+++ b/crates/fake/src/model/core_life.rs
@@ -7,7 +7,7 @@
         engine_run::{EngineRun, RunEnd, RunId, RunPhase, RunView},
     },
     crate::expected_answer::{expected_length, prompt_tokens},
-    engine::wire::{EngineError, route_role::EngineRole},
+    engine::wire::{EngineError, engine_role::EngineRole},
     std::{sync::Arc, time::Instant},
 };
 
--- a/crates/fake/src/model/engine_core.rs
+++ b/crates/fake/src/model/engine_core.rs
@@ -12,7 +12,7 @@
         prefix_cache::PrefixCache,
     },
     crate::share_table::ShareTable,
-    engine::wire::{CacheEvents, EngineLoad, StreamRecord, route_role::EngineRole},
+    engine::wire::{CacheEvents, EngineLoad, StreamRecord, engine_role::EngineRole},
     kernel::{FencingToken, ModelId},
     std::{
         collections::{BTreeMap, BTreeSet},
--- a/crates/fake/src/model/engine_settings.rs
+++ b/crates/fake/src/model/engine_settings.rs
@@ -3,7 +3,7 @@
 use {
     crate::{expected_answer::LengthSpread, platform::platform_settings::loopback},
     bon::Builder,
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     kernel::ModelId,
     serde::{Deserialize, Serialize},
     serde_with::{DurationMicroSeconds, DurationMilliSeconds, serde_as},
--- a/crates/fake/src/model/load_history.rs
+++ b/crates/fake/src/model/load_history.rs
@@ -1,7 +1,7 @@
 //! What an engine's load was a while ago.
 
 use {
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     kernel::ModelId,
     std::{
         collections::VecDeque,
--- a/crates/fake/tests/engine_client.rs
+++ b/crates/fake/tests/engine_client.rs
@@ -3,7 +3,7 @@
 use {
     engine::{
         CallCause, CompletionEngine, ModelEngine, TokenEvent, TokenSource,
-        wire::{CompletionCall, EngineOrder, KvTransferParams, OrderKind, route_role::EngineRole},
+        wire::{CompletionCall, EngineOrder, KvTransferParams, OrderKind, engine_role::EngineRole},
     },
     fake::{
         EngineFaults, EngineSettings, StandInEngine, block_hashes, expected_answer::expected_text,
--- a/crates/fake/tests/engine_fuzz.rs
+++ b/crates/fake/tests/engine_fuzz.rs
@@ -4,7 +4,7 @@
 mod virtual_engine;
 
 use {
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     fake::{
         EngineFaults, EngineSettings,
         model::{EngineCall, EngineEvent, KvAnswer, RunId},
--- a/crates/fake/tests/engine_http.rs
+++ b/crates/fake/tests/engine_http.rs
@@ -6,7 +6,7 @@
     bytes::Bytes,
     engine::wire::{
         CompletionCall, CompletionChunk, EngineError, EngineLoad, KvTransferParams, StreamRecord,
-        StreamState, route_role::EngineRole,
+        StreamState, engine_role::EngineRole,
     },
     fake::{
         EngineFaults, EngineSettings, StandInEngine, expected_answer::expected_text,
--- a/crates/fake/tests/engine_prefill.rs
+++ b/crates/fake/tests/engine_prefill.rs
@@ -4,7 +4,7 @@
 mod virtual_engine;
 
 use {
-    engine::wire::{EngineOrder, OrderKind, StreamState, route_role::EngineRole},
+    engine::wire::{EngineOrder, OrderKind, StreamState, engine_role::EngineRole},
     fake::{
         EngineFaults, EngineSettings, block_hashes,
         model::{EngineCall, EngineEvent, RunEnd, core_prefill::ExportMiss},
--- a/crates/fake/tests/support/virtual_engine.rs
+++ b/crates/fake/tests/support/virtual_engine.rs
@@ -6,7 +6,7 @@
 )]
 
 use {
-    engine::wire::{StreamState, route_role::EngineRole},
+    engine::wire::{StreamState, engine_role::EngineRole},
     fake::{
         EngineCore, EngineSettings, ShareTable,
         model::{
--- a/crates/flow/src/engine_watch.rs
+++ b/crates/flow/src/engine_watch.rs
@@ -2,7 +2,7 @@
 
 use {
     admit::{AdmitEvent, LinkInfo},
-    engine::wire::{EngineLoad, route_role::EngineRole},
+    engine::wire::{EngineLoad, engine_role::EngineRole},
     kernel::UpstreamId,
     plat::InstanceRecord,
     route::{LoadReport, UpstreamInfo, UpstreamRole, load_report::LeavingCause},
--- a/crates/relay/src/stage_controller.rs
+++ b/crates/relay/src/stage_controller.rs
@@ -4,7 +4,7 @@
 use {
     crate::{OrderDialect, OrderState, RelayCore, StageOrder, UpstreamDialect},
     bytes::Bytes,
-    engine::wire::{EngineOrder, OrderKind, route_role::EngineRole},
+    engine::wire::{EngineOrder, OrderKind, engine_role::EngineRole},
     http::{Request, StatusCode},
     http_body_util::Full,
     kernel::{InstanceId, ServiceId, UpstreamId, seeded_rng, steady_clock},
--- a/crates/trestlewalk/src/demo/demo_system.rs
+++ b/crates/trestlewalk/src/demo/demo_system.rs
@@ -12,7 +12,7 @@
         run_error::{FakeSnafu, KeysSnafu, PlatformSnafu, TableInvalidSnafu},
         settings::{EntrySettings, KeySettings, TestKeys},
     },
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     fake::{PlatformSettings, StandInEngine, StandInPlatform, StandInService, model::EngineLinks},
     kernel::{StateMap, unix_time},
     peer::PeerKeys,
--- a/crates/trestlewalk/src/demo/system_plan.rs
+++ b/crates/trestlewalk/src/demo/system_plan.rs
@@ -1,7 +1,7 @@
 //! The configuration of the system of the demonstration.
 
 use {
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     fake::{EngineSettings, LengthSpread, ServiceSettings},
     plat::{InstanceKind, InstanceRecord, InstanceState},
     std::{net::SocketAddr, sync::Arc, time::Duration},
--- a/crates/trestlewalk/src/entry/entry_tickets.rs
+++ b/crates/trestlewalk/src/entry/entry_tickets.rs
@@ -8,7 +8,7 @@
         run_error::{MetricsSnafu, TicketsSnafu},
     },
     claim::{ClaimKeeper, LifeKey, TicketSettings, claim_sweep},
-    door::{AdmissionGate, TICKET_TAG, TicketDesk, TicketDoor, TicketMetrics},
+    door::{AdmissionGate, TICKET_TAG, TicketDispatcher, TicketMetrics, TicketRegistry},
     kernel::{InstanceId, seeded_rng},
     peer::PeerDriver,
     snafu::ResultExt,
@@ -23,7 +23,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The ticket layer in front of the handlers of this process.
-pub type EntryTickets = TicketDoor<EntryPlatform>;
+pub type EntryTickets = TicketDispatcher<EntryPlatform>;
 
 /// Creates the ticket layer in front of `handlers`, and starts the tasks that answer other instances and sweep claims.
 ///
@@ -37,14 +37,14 @@
     handlers: axum::Router,
     members: Arc<PeerDriver>,
 ) -> Result<Arc<EntryTickets>, RunError> {
-    let desk = Arc::new(make_desk(parts)?);
-    parts.map.insert(desk.clone());
+    let registry = Arc::new(make_registry(parts)?);
+    parts.map.insert(registry.clone());
     let store = Arc::new(components.platform.clone());
     let keeper = ClaimKeeper::new(store.clone());
     components.pool.spawn(sweep_claims(keeper, members.clone()));
-    let door = TicketDoor::builder()
+    let dispatcher = TicketDispatcher::builder()
         .claim_secret(shared_secret(parts))
-        .desk(desk)
+        .registry(registry)
         .endpoint(components.endpoint.clone())
         .gate(gate)
         .handlers(handlers)
@@ -52,15 +52,17 @@
         .members(members)
         .store(store)
         .build();
-    let door = Arc::new(door);
+    let dispatcher = Arc::new(dispatcher);
     let incoming = components.endpoint.register(TICKET_TAG);
-    components
-        .pool
-        .spawn(door.clone().run_peers(incoming, components.pool.clone()));
-    Ok(door)
+    components.pool.spawn(
+        dispatcher
+            .clone()
+            .serve_peers(incoming, components.pool.clone()),
+    );
+    Ok(dispatcher)
 }
 
-fn make_desk(parts: &EntryParts) -> Result<TicketDesk, RunError> {
+fn make_registry(parts: &EntryParts) -> Result<TicketRegistry, RunError> {
     let identity = &parts.identity;
     let life = LifeKey {
         incarnation: identity.incarnation,
@@ -68,7 +70,7 @@
     };
     let metrics = TicketMetrics::new().context(MetricsSnafu)?;
     let settings = TicketSettings::builder().secret(own_secret(parts)).build();
-    TicketDesk::new(life, metrics, settings, identity.zone.clone()).context(TicketsSnafu)
+    TicketRegistry::new(life, metrics, settings, identity.zone.clone()).context(TicketsSnafu)
 }
 
 /// The secret that this process signs its tickets with: that of the settings, or one derived from the incarnation and
--- a/crates/trestlewalk/src/entry/path_components.rs
+++ b/crates/trestlewalk/src/entry/path_components.rs
@@ -7,7 +7,7 @@
         run_error::{MetricsSnafu, PlatformSnafu},
         settings::{EntrySettings, UpstreamSettings},
     },
-    door::{AdmissionGate, DoorDefaults, DoorLimits, DoorShared},
+    door::{AdmissionGate, ApiContext, ApiDefaults, ApiLimits},
     engine::CompletionEngine,
     flow::{
         CellHub, CurrentTable, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView,
@@ -115,12 +115,12 @@
     }
 
     /// The state that the handlers of callers' requests share.
-    pub fn door_shared(
+    pub fn api_context(
         &self,
         parts: &EntryParts,
         cut: ShutdownSignal,
         gate: Arc<AdmissionGate>,
-    ) -> DoorShared<CompletionEngine> {
+    ) -> ApiContext<CompletionEngine> {
         let settings = &parts.settings;
         let plain = PlainCaller::builder()
             .registry(self.registry.clone())
@@ -137,12 +137,12 @@
             hub: self.hub.clone(),
             metrics: self.metrics.clone(),
         };
-        DoorShared {
-            defaults: door_defaults(settings),
+        ApiContext {
+            defaults: api_defaults(settings),
             flow: Arc::new(flow),
             gate,
             limiter: self.limiter.clone(),
-            limits: door_limits(settings),
+            limits: api_limits(settings),
             plain: Arc::new(plain),
             tables: self.current_table.clone(),
             zone: parts.identity.zone.clone(),
@@ -178,16 +178,16 @@
     }
 }
 
-fn door_defaults(settings: &EntrySettings) -> DoorDefaults {
-    DoorDefaults {
+fn api_defaults(settings: &EntrySettings) -> ApiDefaults {
+    ApiDefaults {
         chat: settings.defaults.chat.clone(),
         completions: settings.defaults.completions.clone(),
         services: settings.defaults.services.clone(),
     }
 }
 
-fn door_limits(settings: &EntrySettings) -> DoorLimits {
-    DoorLimits::builder()
+fn api_limits(settings: &EntrySettings) -> ApiLimits {
+    ApiLimits::builder()
         .body(settings.limits.body as usize)
         .headers(settings.limits.headers as usize)
         .open_requests(settings.limits.open_requests as usize)
--- a/crates/trestlewalk/src/entry/request_path.rs
+++ b/crates/trestlewalk/src/entry/request_path.rs
@@ -10,7 +10,7 @@
         },
         run_error::PeersSnafu,
     },
-    door::{AdmissionGate, DoorServer},
+    door::{AdmissionGate, ApiServer},
     flow::CurrentTable,
     kernel::ShutdownSignal,
     peer::PeerEndpoint,
@@ -43,10 +43,10 @@
     /// counts those that it cuts off. Then it tells the members and closes the links to peers.
     pub async fn close(self, limit: Duration) -> CloseReport {
         let started = Instant::now();
-        self.gate.shut();
+        self.gate.close();
         self.tickets.hand_over().await;
-        let ended = time::timeout(limit, self.gate.empty()).await.is_ok();
-        self.tickets.hand_over_ends().await;
+        let ended = time::timeout(limit, self.gate.wait_drained()).await.is_ok();
+        self.tickets.send_final_records().await;
         let cut = if ended { 0 } else { self.gate.open() as u64 };
         self.cut.raise();
         self.signal.raise();
@@ -101,9 +101,9 @@
         let gate = Arc::new(AdmissionGate::new(
             parts.settings.limits.open_requests as usize,
         ));
-        let shared = components.door_shared(parts, cut.clone(), gate.clone());
+        let shared = components.api_context(parts, cut.clone(), gate.clone());
         let signal = ShutdownSignal::new();
-        let server = DoorServer::new(callers, Arc::new(shared));
+        let server = ApiServer::new(callers, Arc::new(shared));
         let members = control.members();
         let tickets = start_tickets(&components, parts, gate.clone(), server.router(), members)?;
         let server = server.with_router(tickets.clone().routes());
