--- a/crates/door/src/admission_gate.rs
+++ b/crates/door/src/admission_gate.rs
@@ -1,4 +1,4 @@
-//! Counts the open requests, and lets none in once the instance closes.
+//! Limits the number of open requests and refuses new ones during shutdown.
 
 use {
     kernel::{ResultCode, ShutdownSignal},
@@ -9,7 +9,7 @@
     tokio::sync::Notify,
 };
 
-/// Lets requests in, up to a limit, until it is shut.
+/// Admits requests up to a limit until it is closed.
 #[derive(Debug)]
 pub struct AdmissionGate {
     drained: Notify,
@@ -18,14 +18,14 @@
     closed: ShutdownSignal,
 }
 
-/// The right of one request to be worked on; given back when dropped.
+/// Counts one request as open until it is dropped.
 #[derive(Debug)]
 pub struct GatePass {
     gate: Arc<AdmissionGate>,
 }
 
 impl AdmissionGate {
-    /// Waits until no request is open.
+    /// Waits until no requests are open.
     pub async fn wait_drained(&self) {
         loop {
             let drained = self.drained.notified();
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Lets one request in.
+    /// Admits one request.
     ///
     /// # Errors
     ///
-    /// The code of the refusal, when the gate is shut or full.
+    /// [`ResultCode::Closing`] if the gate is closed, [`ResultCode::QueueFull`] if the limit is reached.
     pub fn enter(self: &Arc<Self>) -> Result<GatePass, ResultCode> {
         let before = self.open.fetch_add(1, Ordering::AcqRel);
         let pass = GatePass { gate: self.clone() };
@@ -53,7 +53,7 @@
         Ok(pass)
     }
 
-    /// An open gate.
+    /// Creates a gate that admits up to `limit` requests at once.
     pub fn new(limit: usize) -> Self {
         Self {
             drained: Notify::new(),
@@ -63,12 +63,12 @@
         }
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Lets no further request in.
+    /// Refuses all further requests.
     pub fn close(&self) {
         self.closed.raise();
     }
--- a/crates/door/src/answer_body.rs
+++ b/crates/door/src/answer_body.rs
@@ -1,8 +1,8 @@
-//! The two styles of answers: completions and chat, whole or as chunks of a stream.
+//! The JSON bodies of completion and chat answers, complete or as chunks of a stream.
 
 use {crate::caller_api::UsageObject, kernel::ModelId, serde::Serialize, std::sync::Arc};
 
-/// The form of the answer.
+/// The API whose response format an answer uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerStyle {
     /// `/v1/chat/completions`.
@@ -11,16 +11,16 @@
     Completion,
 }
 
-/// What every body of one answer repeats.
+/// The fields that all bodies of one answer share.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
-    /// When the answer was begun, Unix seconds.
+    /// When the answer was started, in Unix seconds.
     pub created: u64,
-    /// Names the answer.
+    /// The `id` field, unique to the answer.
     pub id: Arc<str>,
-    /// The model.
+    /// The model that generates the answer.
     pub model: ModelId,
-    /// The form.
+    /// The response format.
     pub style: AnswerStyle,
 }
 
@@ -66,7 +66,7 @@
 const ASSISTANT: &str = "assistant";
 
 impl AnswerHead {
-    /// One chunk of a stream.
+    /// Serialises one chunk of a stream. Only the first chunk of a chat carries the role.
     pub fn chunk(&self, text: &str, finish_reason: Option<&str>, is_first: bool) -> Vec<u8> {
         match self.style {
             AnswerStyle::Chat => {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The whole answer.
+    /// Serialises the complete answer.
     pub fn whole(
         &self,
         text: &str,
@@ -140,7 +140,7 @@
             object,
             usage,
         };
-        // Text and numbers always have a JSON form.
+        // Strings and numbers always serialise to JSON.
         serde_json::to_vec(&answer).unwrap_or_default()
     }
 }
--- a/crates/door/src/api_context.rs
+++ b/crates/door/src/api_context.rs
@@ -1,4 +1,4 @@
-//! What all handlers of the door share.
+//! The state that all request handlers share.
 
 use {
     crate::{admission_gate::AdmissionGate, api_limits::ApiLimits, error_answer::ErrorAnswer},
@@ -9,46 +9,46 @@
     table::WorkRow,
 };
 
-/// When to come back to an instance that has no table yet, or is closing: another one is there.
+/// `Retry-After` of an instance that has no table yet. Another instance can serve the retry.
 const OTHER_INSTANCE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The kind of work of a request that names none.
+/// The default kinds of work for requests that name none.
 #[derive(Clone, Debug, Default)]
 pub struct ApiDefaults {
-    /// Of `/v1/chat/completions`.
+    /// The default for `/v1/chat/completions`.
     pub chat: Option<WorkId>,
-    /// Of `/v1/completions`.
+    /// The default for `/v1/completions`.
     pub completions: Option<WorkId>,
-    /// Of `/services/{service}/…`, by service.
+    /// The defaults for `/services/{service}/…`, keyed by service.
     pub services: BTreeMap<ServiceId, WorkId>,
 }
 
-/// What all handlers share.
+/// The state that all request handlers share.
 pub struct ApiContext<E> {
-    /// The kinds of work of requests that name none.
+    /// The default kinds of work.
     pub defaults: ApiDefaults,
-    /// The requests to models.
+    /// Runs requests to models.
     pub flow: Arc<FlowShared<E>>,
-    /// Counts the open requests.
+    /// Limits the number of open requests.
     pub gate: Arc<AdmissionGate>,
-    /// Holds plain rows to their limits.
+    /// Enforces the limits of rows for plain services.
     pub limiter: Arc<PlainLimiter>,
-    /// The limits.
+    /// The limits on requests.
     pub limits: ApiLimits,
-    /// The requests to plain services.
+    /// Runs requests to plain services.
     pub plain: Arc<PlainCaller<Body>>,
-    /// The table in force.
+    /// The current table.
     pub tables: Arc<CurrentTable>,
     /// The availability zone of this instance.
     pub zone: ZoneId,
 }
 
 impl<E> ApiContext<E> {
-    /// The row of a kind of work, if it may run here.
+    /// Returns the row of a kind of work if it may run in this availability zone.
     ///
     /// # Errors
     ///
-    /// The answer for the caller.
+    /// Returns the answer for the caller if there is no table, no such row, or the row excludes this availability zone.
     pub fn row(&self, work: Option<WorkId>) -> Result<WorkRow, ErrorAnswer> {
         let Some(table) = self.tables.table() else {
             return Err(
--- a/crates/door/src/api_limits.rs
+++ b/crates/door/src/api_limits.rs
@@ -1,23 +1,23 @@
-//! What the door takes on.
+//! The limits of the HTTP interface for callers.
 
 use {bon::Builder, std::time::Duration};
 
-/// The door's limits.
+/// Limits on the requests of callers.
 #[derive(Builder, Clone, Debug)]
 pub struct ApiLimits {
-    /// The largest body of a request to a model, bytes.
+    /// The maximum size of the body of a model request, in bytes.
     #[builder(default = 4 << 20)]
     pub body: usize,
-    /// The longest wait for a request's headers.
+    /// The timeout for reading the headers of a request.
     #[builder(default = Duration::from_secs(10))]
     pub header_timeout: Duration,
-    /// The largest headers of a request, bytes.
+    /// The maximum size of the headers of a request, in bytes.
     #[builder(default = 64 << 10)]
     pub headers: usize,
-    /// The most tokens that a request may ask for.
+    /// The maximum `max_tokens` that a request may specify.
     #[builder(default = 32_768)]
     pub max_tokens: u32,
-    /// How many requests may be open at once.
+    /// The maximum number of open requests.
     #[builder(default = 10_000)]
     pub open_requests: usize,
 }
--- a/crates/door/src/api_server.rs
+++ b/crates/door/src/api_server.rs
@@ -1,4 +1,4 @@
-//! Listens for callers.
+//! The HTTP server for callers.
 
 use {
     crate::{
@@ -18,10 +18,10 @@
     tokio::{net::TcpListener, time},
 };
 
-/// The wait after a connection that could not be taken, such as for want of file handles.
+/// The delay after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Serves callers until it is closed.
+/// Accepts the connections of callers and serves their requests.
 pub struct ApiServer<E> {
     listener: TcpListener,
     router: Router,
@@ -29,7 +29,7 @@
 }
 
 impl<E: ModelEngine> ApiServer<E> {
-    /// A server of the callers that connect to `listener`.
+    /// Creates a server with the default routes on `listener`.
     pub fn new(listener: TcpListener, context: Arc<ApiContext<E>>) -> Self {
         let router = routes(context.clone());
         Self {
@@ -39,19 +39,19 @@
         }
     }
 
-    /// The handlers of callers' requests.
+    /// The current routes.
     pub fn router(&self) -> Router {
         self.router.clone()
     }
 
-    /// The same server with other routes, such as those that put tickets before the handlers.
+    /// Replaces the routes, for example with those that handle tickets first.
     pub fn with_router(mut self, router: Router) -> Self {
         self.router = router;
         self
     }
 
-    /// Serves until the signal; then takes no connection, and waits up to `limit` for those under way. `false` when the
-    /// limit ended some.
+    /// Serves until `signal` is raised, then stops accepting connections and waits up to `limit` for the open ones.
+    /// Returns `false` if some were still open at the limit.
     pub async fn run(self, signal: ShutdownSignal, limit: Duration) -> bool {
         let graceful = GracefulShutdown::new();
         loop {
@@ -63,7 +63,7 @@
                 time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
-            // A socket that refuses the option still serves.
+            // The connection works without the option.
             let _ = stream.set_nodelay(true);
             let service = TowerToHyperService::new(self.router.clone());
             let connection = http1::Builder::new()
@@ -73,7 +73,7 @@
                 .serve_connection(TokioIo::new(stream), service);
             let watched = graceful.watch(connection);
             tokio::spawn(async move {
-                // The caller sees the error on its own side.
+                // The caller sees a connection error itself.
                 let _ = watched.await;
             });
         }
--- a/crates/door/src/caller_api.rs
+++ b/crates/door/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! The bodies that callers send and get, in the form of OpenAI's completions and chat.
+//! Request bodies and usage counts of OpenAI's completions and chat completions APIs.
 
 use {
     engine::wire::TokenUsage,
@@ -7,19 +7,19 @@
     std::sync::Arc,
 };
 
-/// The tokens of an answer when the caller names no limit.
+/// The token limit of an answer if the caller does not set one.
 pub const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The body of `POST /v1/completions`. Fields that the engines don't take are ignored.
+/// The body of `POST /v1/completions`. Fields that the engines don't support are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CompletionBody {
-    /// The most tokens wanted.
+    /// The maximum number of tokens to generate.
     pub max_tokens: Option<u32>,
-    /// The model; it has to be the row's, or absent.
+    /// The model. If present, it must match the model of the row.
     pub model: Option<ModelId>,
-    /// The prompt.
+    /// The prompt, which must not be empty.
     pub prompt: Arc<str>,
-    /// Whether the answer comes as server-sent events.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -27,30 +27,30 @@
 /// One message of a chat.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ChatMessage {
-    /// The text.
+    /// The text of the message.
     pub content: Arc<str>,
-    /// Who says it.
+    /// The author, such as `user` or `assistant`.
     pub role: Arc<str>,
 }
 
 /// The body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatBody {
-    /// The newer name of `max_tokens`.
+    /// The newer name of `max_tokens`, which it overrides.
     pub max_completion_tokens: Option<u32>,
-    /// The most tokens wanted.
+    /// The maximum number of tokens to generate.
     pub max_tokens: Option<u32>,
-    /// The chat so far.
+    /// The conversation so far, which must not be empty.
     pub messages: Vec<ChatMessage>,
-    /// The model; it has to be the row's, or absent.
+    /// The model. If present, it must match the model of the row.
     pub model: Option<ModelId>,
-    /// Whether the answer comes as server-sent events.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
 impl ChatBody {
-    /// The chat as one prompt: a line `role: content` for each message, then the assistant's turn.
+    /// Renders the chat as one prompt: a line `role: content` for each message, then `assistant:`.
     pub fn prompt(&self) -> Arc<str> {
         let mut prompt = String::new();
         for message in &self.messages {
@@ -64,14 +64,14 @@
     }
 }
 
-/// Token counts as callers get them.
+/// The token counts in an answer to a caller.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct UsageObject {
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Tokens read.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Both.
+    /// The sum of both counts.
     pub total_tokens: u32,
 }
 
--- a/crates/door/src/chat_handler.rs
+++ b/crates/door/src/chat_handler.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`.
+//! The handler of `POST /v1/chat/completions`.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     std::{sync::Arc, time::Instant},
 };
 
-/// Handles `POST /v1/chat/completions`.
+/// Handles a chat completion request.
 pub async fn handle<E: ModelEngine>(
     State(context): State<Arc<ApiContext<E>>>,
     request: Request<Body>,
--- a/crates/door/src/completion_handler.rs
+++ b/crates/door/src/completion_handler.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`, and what chat shares with it.
+//! The handler of `POST /v1/completions` and the code that it shares with the chat handler.
 
 use {
     crate::{
@@ -29,13 +29,13 @@
     tokio::time,
 };
 
-/// How much of a body over the limit is read and dropped, bytes.
+/// The number of bytes of an oversized body that are read and discarded.
 const MAX_DRAINED_BYTES: usize = 64 << 20;
-/// How long that may take.
+/// How long reading and discarding an oversized body may take.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 const GATE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request to a model in either style.
+/// A parsed completion or chat request.
 pub(crate) struct InferenceRequest {
     pub(crate) max_tokens: Option<u32>,
     pub(crate) model: Option<ModelId>,
@@ -46,7 +46,7 @@
     pub(crate) work: Option<WorkId>,
 }
 
-/// Handles `POST /v1/completions`.
+/// Handles a completion request.
 pub async fn handle<E: ModelEngine>(
     State(context): State<Arc<ApiContext<E>>>,
     request: Request<Body>,
@@ -70,7 +70,7 @@
     run(context, inference, arrived).await
 }
 
-/// Runs a request in either style.
+/// Validates and runs a completion or chat request.
 pub(crate) async fn run<E: ModelEngine>(
     context: Arc<ApiContext<E>>,
     inference: InferenceRequest,
@@ -126,11 +126,11 @@
         );
         return Err(invalid(detail));
     };
-    if let Some(asked) = &inference.model
-        && *asked != model
+    if let Some(requested) = &inference.model
+        && *requested != model
     {
         let detail = format!(
-            "the row {:?} is for the model {model:?}, not {asked:?}",
+            "the row {:?} is for the model {model:?}, not {requested:?}",
             row.work
         );
         return Err(invalid(detail));
@@ -146,7 +146,7 @@
     Ok((row, model))
 }
 
-/// Reads a JSON body up to a limit.
+/// Reads a JSON body of up to `limit` bytes.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Body>,
     limit: usize,
@@ -155,8 +155,8 @@
     serde_json::from_slice(&body).map_err(invalid)
 }
 
-/// Reads a body up to a limit. What is over it is read and dropped before the answer: a caller that still sends when its
-/// connection closes would never see why.
+/// Reads a body of up to `limit` bytes. The rest of an oversized body is read and discarded before the answer: a caller
+/// that is still sending when its connection closes would never see the error.
 pub(crate) async fn read_body(request: Request<Body>, limit: usize) -> Result<Bytes, ErrorAnswer> {
     let mut body = request.into_body();
     let mut content = BytesMut::new();
@@ -167,7 +167,7 @@
         };
         if content.len() + data.len() > limit {
             drop(content);
-            // Whoever sends on and on is cut off.
+            // The timeout cuts off a caller that never stops sending.
             let _ = time::timeout(DRAIN_TIMEOUT, drain(body)).await;
             return Err(too_large(limit));
         }
@@ -177,13 +177,13 @@
 }
 
 async fn drain(mut body: Body) {
-    let mut left = MAX_DRAINED_BYTES;
+    let mut remaining = MAX_DRAINED_BYTES;
     while let Some(Ok(frame)) = body.frame().await {
         let size = frame.data_ref().map_or(0, Bytes::len);
-        if size > left {
+        if size > remaining {
             return;
         }
-        left -= size;
+        remaining -= size;
     }
 }
 
--- a/crates/door/src/error_answer.rs
+++ b/crates/door/src/error_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that say why there is no answer.
+//! Error answers to callers.
 
 use {
     axum::{
@@ -12,37 +12,37 @@
     std::time::Duration,
 };
 
-/// The header that carries the numbered result of every answer.
+/// The header with the number of the result code, present in every answer.
 pub const RESULT_HEADER: HeaderName = HeaderName::from_static("trestlewalk-result");
 
-/// The error object of an answer, as JSON or as an event of a stream.
+/// The error object in a JSON body or in an event of a stream.
 #[derive(Clone, Debug, Serialize)]
 pub struct ErrorObject {
-    /// The result code's number.
+    /// The number of the result code.
     pub code: u16,
-    /// What the caller sent that is wrong, where that helps.
+    /// A description of the error in the request, if there is one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<String>,
-    /// What the code means.
+    /// The text of the result code.
     pub message: &'static str,
-    /// When to come back, milliseconds.
+    /// The delay before a retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Whether the request certainly did not run.
+    /// Whether it is certain that the request did not run.
     pub not_run: bool,
-    /// The name that OpenAI-style clients look for.
+    /// The error type that OpenAI-compatible clients read: `not_run` or `outcome_unknown`.
     #[serde(rename = "type")]
     pub kind: &'static str,
 }
 
-/// The body of an error answer.
+/// The JSON body of an error answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// The error object.
     pub error: ErrorObject,
 }
 
-/// One error answer.
+/// An error answer that can be sent as a response or as an event of a stream.
 #[derive(Clone, Debug)]
 pub struct ErrorAnswer {
     detail: Option<String>,
@@ -50,7 +50,7 @@
 }
 
 impl ErrorAnswer {
-    /// The body.
+    /// Builds the JSON body.
     pub fn body(&self) -> ErrorBody {
         let code = self.failure.code;
         ErrorBody {
@@ -69,18 +69,18 @@
         }
     }
 
-    /// An answer of a code alone.
+    /// Creates an answer with a result code only.
     pub fn of(code: ResultCode) -> Self {
         FlowFailure::new(code).into()
     }
 
-    /// Adds what is wrong.
+    /// Adds a description of the error.
     pub fn with_detail(mut self, detail: impl ToString) -> Self {
         self.detail = Some(detail.to_string());
         self
     }
 
-    /// Adds when to come back.
+    /// Adds a delay before a retry.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.failure.retry_after = Some(retry_after);
         self
@@ -118,7 +118,7 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// `Retry-After` has whole seconds; a caller that comes back too early is refused again, so that they are rounded up.
+/// Rounds up, because `Retry-After` has whole seconds and a caller that retries too early is refused again.
 fn whole_seconds(duration: Duration) -> u64 {
     duration.as_secs() + u64::from(duration.subsec_nanos() > 0)
 }
--- a/crates/door/src/lib.rs
+++ b/crates/door/src/lib.rs
@@ -1,7 +1,7 @@
-//! The callers' side: completions, chat, plain services and tickets over HTTP.
+//! The HTTP interface for callers: completions, chat, plain services and tickets.
 //!
-//! [`TicketDispatcher`] is first: it sends a request with a ticket or a key to where that may run. [`ApiServer`] has the
-//! handlers behind it, and [`AdmissionGate`] counts the requests that are open.
+//! [`TicketDispatcher`] comes first and routes a request with a ticket or an idempotency key to the instance where it
+//! may run. [`ApiServer`] provides the handlers behind it, and [`AdmissionGate`] limits the number of open requests.
 
 pub mod admission_gate;
 pub mod answer_body;
--- a/crates/door/src/model_answer.rs
+++ b/crates/door/src/model_answer.rs
@@ -1,4 +1,4 @@
-//! Turns the events of one request into the caller's answer.
+//! Converts the events of a model request into the answer to its caller.
 
 use {
     crate::{
@@ -20,29 +20,30 @@
     tokio::sync::mpsc::UnboundedReceiver,
 };
 
-/// How many events one write to the caller carries at most.
+/// The maximum number of events in one write to the caller.
 const MAX_EVENTS_PER_WRITE: usize = 32;
 
-/// The events of one request on their way to its caller.
+/// The pending answer to a model request.
 pub struct ModelAnswer {
-    /// The events.
+    /// Receives the events of the request.
     pub events: UnboundedReceiver<AnswerEvent>,
-    /// What every body repeats.
+    /// The fields that all bodies share.
     pub head: AnswerHead,
-    /// Held until the answer is out.
+    /// Keeps the request counted as open until the answer is sent.
     pub pass: GatePass,
 }
 
-/// A stream under way.
+/// The state of a stream in progress.
 struct StreamState {
     answer: ModelAnswer,
-    held: Option<AnswerEvent>,
+    pending: Option<AnswerEvent>,
     is_ended: bool,
     is_first: bool,
 }
 
 impl ModelAnswer {
-    /// The answer as server-sent events. Before its first token it can still be an error with a status of its own.
+    /// Sends the answer as server-sent events. A failure before the first token becomes an error response with its own
+    /// status.
     pub async fn stream(mut self) -> Response {
         let first = self.events.recv().await;
         let first = match first {
@@ -54,7 +55,7 @@
         };
         let state = StreamState {
             answer: self,
-            held: Some(first),
+            pending: Some(first),
             is_ended: false,
             is_first: true,
         };
@@ -76,7 +77,7 @@
         response
     }
 
-    /// The answer as one JSON body, sent only when it is whole.
+    /// Sends the answer as one JSON body once it is complete.
     pub async fn whole(mut self) -> Response {
         let mut text = String::new();
         let mut reason = None;
@@ -103,17 +104,17 @@
 }
 
 impl StreamState {
-    /// The events that are there, as bytes; `None` after the last one.
+    /// Encodes the events that are available, waiting for at least one. Returns `None` after the last event.
     async fn next_chunk(&mut self) -> Option<Bytes> {
         if self.is_ended {
             return None;
         }
         let mut chunk = BytesMut::new();
-        let first = match self.held.take() {
+        let first = match self.pending.take() {
             Some(event) => Some(event),
             None => self.answer.events.recv().await,
         };
-        // A driver that ends without a last event was cut off.
+        // A driver that ends without a final event was aborted.
         let cut = AnswerEvent::Failed(FlowFailure::new(ResultCode::CutByClose));
         self.write(&mut chunk, first.unwrap_or(cut));
         for _ in 1..MAX_EVENTS_PER_WRITE {
--- a/crates/door/src/service_handler.rs
+++ b/crates/door/src/service_handler.rs
@@ -1,4 +1,4 @@
-//! `/services/{service}/{path}`: plain services, streamed both ways.
+//! The handler of `/services/{service}/{path}`, which forwards requests to plain services with streamed bodies.
 
 use {
     crate::{
@@ -28,7 +28,7 @@
 
 const GATE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -39,7 +39,7 @@
     header::UPGRADE,
 ];
 
-/// The body of a plain service's answer; ends the call's count when it is dropped.
+/// The body of a plain service's answer. The call counts as in flight until it is dropped.
 struct CountedBody {
     body: PooledBody<Body>,
     caller: Arc<PlainCaller<Body>>,
@@ -113,7 +113,8 @@
     Ok(response)
 }
 
-/// The request as the upstream gets it: the path behind the service's name.
+/// Rewrites a request for the upstream: keeps only the path after the service name and removes hop-by-hop headers
+/// and the work header.
 fn upstream_request(
     mut request: Request<Body>,
     service: &str,
--- a/crates/door/src/ticket_answer.rs
+++ b/crates/door/src/ticket_answer.rs
@@ -1,4 +1,4 @@
-//! An answer that is kept for repeated submissions of its ticket.
+//! An answer that is stored and returned to repeated submissions of its ticket.
 
 use {
     crate::{
@@ -14,7 +14,7 @@
     std::sync::Arc,
 };
 
-/// A whole answer; without a body when that was too large to be kept.
+/// A complete answer. `body` is `None` if it was too large to store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TicketAnswer {
     pub(crate) body: Option<Vec<u8>>,
@@ -33,7 +33,7 @@
 }
 
 impl TicketAnswer {
-    /// The answer for a caller.
+    /// Converts the stored answer into a response to a caller.
     pub(crate) fn into_response(self) -> Response {
         self.head
             .into_response(Body::from(self.body.unwrap_or_default()))
@@ -41,7 +41,7 @@
 }
 
 impl ReplyHead {
-    /// The head of an answer.
+    /// Copies the status and headers of a response.
     pub(crate) fn of(response: &Response) -> Self {
         Self {
             headers: header_pairs(response.headers()),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// An answer with this head. Headers that can't be read are left out.
+    /// Builds a response with this head. Invalid headers are omitted.
     pub(crate) fn into_response(self, body: Body) -> Response {
         let mut response = Response::new(body);
         *response.status_mut() =
@@ -65,7 +65,7 @@
     }
 }
 
-/// The numbered result of an answer; none for one without.
+/// Returns the result code in the headers of a response, or `None` if it is missing or unknown.
 pub(crate) fn result_code(response: &Response) -> Option<ResultCode> {
     let value = response.headers().get(RESULT_HEADER)?;
     let number: u16 = value.to_str().ok()?.parse().ok()?;
--- a/crates/door/src/ticket_body.rs
+++ b/crates/door/src/ticket_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller, kept for repeated submissions as far as it is small.
+//! Streams the body of an answer to the caller and records small bodies for repeated submissions.
 
 use {
     crate::{ticket_answer::TicketAnswer, ticket_frame::ReplyHead, ticket_run::RunGuard},
@@ -14,22 +14,23 @@
     },
 };
 
-/// The most bytes of a body that is kept. The table may keep less.
-const MAX_KEPT_BYTES: usize = 64 << 10;
+/// Larger bodies are not recorded. The ticket table may apply a lower limit.
+const MAX_RECORDED_BYTES: usize = 64 << 10;
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// Tells the run's table when the answer is whole; dropped before, the outcome is unknown.
+/// Records the answer in the ticket table when the body is complete. If it is dropped earlier, the outcome of the run
+/// is unknown.
 pub(crate) struct RecordingBody {
     body: Body,
     head: ReplyHead,
     is_stream: bool,
-    kept: Option<Vec<u8>>,
+    recorded: Option<Vec<u8>>,
     run: Option<RunGuard>,
     tail: Vec<u8>,
 }
 
 impl RecordingBody {
-    /// The body of an answer that has begun.
+    /// Wraps the body of an answer whose head is already known.
     pub(crate) fn new(body: Body, head: ReplyHead, run: RunGuard) -> Self {
         let is_stream = head.headers.iter().any(|(name, value)| {
             **name == *header::CONTENT_TYPE.as_str() && value.starts_with(EVENT_STREAM)
@@ -38,7 +39,7 @@
             body,
             head,
             is_stream,
-            kept: Some(Vec::new()),
+            recorded: Some(Vec::new()),
             run: Some(run),
             tail: Vec::new(),
         };
@@ -46,7 +47,7 @@
         this
     }
 
-    /// A reader that knows the length asks for nothing after the last byte.
+    /// A reader that knows the content length does not poll again after the last byte.
     fn check_end(&mut self) {
         if self.body.is_end_stream() {
             self.end();
@@ -57,33 +58,33 @@
         let Some(run) = self.run.take() else {
             return;
         };
-        // A stream that broke off says so in its last event.
+        // A stream that failed ends with an error event instead of the end marker.
         if self.is_stream && !self.tail.trim_ascii_end().ends_with(DONE_MARKER.as_bytes()) {
             run.mark_unknown(ResultCode::StreamCut);
             return;
         }
         run.finish(TicketAnswer {
-            body: self.kept.take(),
+            body: self.recorded.take(),
             head: self.head.clone(),
         });
     }
 
-    fn keep(&mut self, data: &[u8]) {
+    fn record(&mut self, data: &[u8]) {
         if self.is_stream {
-            self.keep_tail(data);
+            self.record_tail(data);
         }
-        let Some(kept) = &mut self.kept else {
+        let Some(recorded) = &mut self.recorded else {
             return;
         };
-        if kept.len() + data.len() > MAX_KEPT_BYTES {
-            self.kept = None;
+        if recorded.len() + data.len() > MAX_RECORDED_BYTES {
+            self.recorded = None;
             return;
         }
-        kept.extend_from_slice(data);
+        recorded.extend_from_slice(data);
     }
 
-    /// The last bytes, in which the end marker stands.
-    fn keep_tail(&mut self, data: &[u8]) {
+    /// Keeps the last bytes of a stream, which contain the end marker.
+    fn record_tail(&mut self, data: &[u8]) {
         const TAIL_BYTES: usize = 32;
         self.tail
             .extend_from_slice(&data[data.len().saturating_sub(TAIL_BYTES)..]);
@@ -110,7 +111,7 @@
             }
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
-                    self.keep(data);
+                    self.record(data);
                 }
                 self.check_end();
             }
--- a/crates/door/src/ticket_dispatcher.rs
+++ b/crates/door/src/ticket_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Requests with a ticket or an idempotency key, before they come to the handlers.
+//! Dispatches requests with a ticket or an idempotency key before they reach the handlers.
 
 use {
     crate::{
@@ -29,12 +29,12 @@
     tower::ServiceExt,
 };
 
-/// How long a repeated submission waits for the run of the first.
+/// How long a repeated submission waits for the run of the first one.
 const ATTACH_TIMEOUT: Duration = Duration::from_secs(120);
-/// To how many holders a request is passed on, one after the other, while its tickets move.
+/// A request is forwarded to at most this many holders in turn while its tickets are being handed over.
 const MAX_FORWARDS: usize = 4;
 
-/// Decides for each request whether it runs here, elsewhere, or not again.
+/// Decides for each request whether it runs here, is forwarded to another instance, or must not run again.
 pub struct TicketDispatcher<S> {
     pub(crate) claim_secret: u64,
     pub(crate) registry: Arc<TicketRegistry>,
@@ -45,16 +45,16 @@
     pub(crate) peers: TicketPeers,
 }
 
-/// What became of a submission here.
+/// The outcome of a submission to this instance.
 pub(crate) enum LocalOutcome {
-    /// Its answer. The request comes back when it did not run.
+    /// The answer, and the request if it did not run.
     Answered(Response, Option<Unsent<TicketRequest>>),
-    /// Its ticket is not held here; this life holds it, or may.
+    /// The ticket is not held here, but possibly by this incarnation.
     Elsewhere(Unsent<TicketRequest>, LifeKey),
 }
 
 impl<S: RowStore + 'static> TicketDispatcher<S> {
-    /// Handles any request; one without ticket or key goes straight to its handler.
+    /// Handles any request. One without a ticket or key goes directly to its handler.
     pub(crate) async fn handle(&self, request: Request<Body>) -> Response {
         let headers = request.headers();
         let ticket = headers.get(TICKET_HEADER).cloned();
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Submits a request here. The same request that runs already is waited for.
+    /// Submits a request to this instance. If the same request is already running, waits for its outcome.
     pub(crate) async fn submit_here(
         &self,
         ticket: &Ticket,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Submits a request here or where its ticket is held.
+    /// Submits a request to this instance or forwards it to the holder of its ticket.
     pub(crate) async fn submit(
         &self,
         ticket: &Ticket,
@@ -114,24 +114,24 @@
     ) -> (Response, Option<Unsent<TicketRequest>>) {
         let mut unsent = unsent;
         for _ in 0..MAX_FORWARDS {
-            let (back, life) = match self.submit_here(ticket, unsent).await {
-                LocalOutcome::Answered(response, back) => return (response, back),
-                LocalOutcome::Elsewhere(back, life) => (back, life),
+            let (returned, life) = match self.submit_here(ticket, unsent).await {
+                LocalOutcome::Answered(response, returned) => return (response, returned),
+                LocalOutcome::Elsewhere(returned, life) => (returned, life),
             };
             let pass = match self.gate.enter() {
                 Err(ResultCode::QueueFull) => return (self.too_busy(), None),
                 entered => entered.ok(),
             };
             self.registry.metrics.count(ticket_event::FORWARDED);
-            let end = self.forward(&life, ticket, back, pass).await;
-            let (back, next) = match end {
-                ForwardOutcome::Answered(response, back) => return (response, back),
-                ForwardOutcome::Elsewhere(back, next) => (back, next),
+            let end = self.forward(&life, ticket, returned, pass).await;
+            let (returned, next) = match end {
+                ForwardOutcome::Answered(response, returned) => return (response, returned),
+                ForwardOutcome::Elsewhere(returned, next) => (returned, next),
                 ForwardOutcome::Lost(response) => {
                     self.registry.metrics.count(ticket_event::ORIGIN_GONE);
                     return (response, None);
                 }
-                ForwardOutcome::Unreachable(back) => (back, None),
+                ForwardOutcome::Unreachable(returned) => (returned, None),
             };
             let next = match next {
                 Some(next) => Some(next),
@@ -140,8 +140,8 @@
             let Some(next) = next.filter(|next| *next != life) else {
                 break;
             };
-            self.registry.learn(ticket.life.clone(), next);
-            unsent = back;
+            self.registry.record_successor(ticket.life.clone(), next);
+            unsent = returned;
         }
         self.registry.metrics.count(ticket_event::ORIGIN_GONE);
         let response = origin_gone(
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The origin has to be asked, and this instance has no room for one more request.
+    /// The answer when the ticket's origin would have to be asked, but this instance has reached its request limit.
     fn too_busy(&self) -> Response {
         self.registry.metrics.count(ticket_event::ORIGIN_GONE);
         origin_gone(
@@ -207,7 +207,7 @@
     }
 }
 
-/// The answer to a repeated submission.
+/// Builds the answer to a repeated submission from the recorded outcome.
 fn decided_outcome(
     outcome: RequestOutcome<TicketAnswer>,
     unsent: Unsent<TicketRequest>,
--- a/crates/door/src/ticket_forward.rs
+++ b/crates/door/src/ticket_forward.rs
@@ -1,4 +1,4 @@
-//! Passing a request on to the instance that holds its ticket, and its answer back.
+//! Forwards a request to the instance that holds its ticket and streams the answer back.
 
 use {
     crate::{
@@ -23,29 +23,29 @@
     std::time::Duration,
 };
 
-/// When to ask again for the outcome of a request whose origin is silent.
+/// `Retry-After` for a request whose origin does not answer.
 const GONE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What passing a request on came to.
+/// The outcome of forwarding a request.
 pub(crate) enum ForwardOutcome {
-    /// The origin's answer. The request comes back when the origin said that it did not run.
+    /// The origin's answer, and the request if the origin confirmed that it did not run.
     Answered(Response, Option<Unsent<TicketRequest>>),
-    /// The tickets are not held there, but by the named life, if that is known.
+    /// The ticket is not held there. The incarnation that holds it, or `None` if that is unknown.
     Elsewhere(Unsent<TicketRequest>, Option<LifeKey>),
-    /// It left this instance, and no answer came.
+    /// The request was sent, but no answer arrived, so it may have run.
     Lost(Response),
-    /// It never left this instance.
+    /// The request was never sent.
     Unreachable(Unsent<TicketRequest>),
 }
 
-/// A session on which an answer comes back. Dropping it tells the origin that the caller is gone.
+/// The session that carries the answer back. Dropping it signals to the origin that the caller has disconnected.
 struct ReplyStream {
     _pass: Option<GatePass>,
     receiver: SessionReceiver,
     sender: SessionSender,
 }
 
-/// Passes a request on to `holder`, which holds the life of `ticket`.
+/// Forwards a request to `holder`, which holds the tickets issued by the incarnation in `ticket`.
 pub(crate) async fn forward(
     endpoint: &PeerEndpoint,
     holder: &LifeKey,
@@ -83,7 +83,7 @@
     }
 }
 
-/// The answer when nobody who knows the ticket can be asked: an earlier submission of it may have run.
+/// The answer if no instance that knows the ticket can be reached. An earlier submission of it may have run.
 pub(crate) fn origin_gone(detail: &str) -> Response {
     ErrorAnswer::of(ResultCode::OriginGone)
         .with_detail(detail)
@@ -91,7 +91,7 @@
         .into_response()
 }
 
-/// The request is unsent again when its origin said that it did not run, and never will by its ticket.
+/// Returns the request as unsent if the origin confirmed that it did not run and never will under its ticket.
 fn answered(response: Response, sent: Sent, request: TicketRequest) -> ForwardOutcome {
     let reply = origin_reply(&response);
     let unsent = match UndoneDispatch::from_origin(&reply) {
@@ -123,7 +123,7 @@
 }
 
 impl ReplyStream {
-    /// The answer with its body, which streams.
+    /// Builds the response with a streamed body.
     fn into_response(self, head: ReplyHead) -> Response {
         let chunks = stream::unfold(Some(self), |stream| async {
             let mut stream = stream?;
--- a/crates/door/src/ticket_frame.rs
+++ b/crates/door/src/ticket_frame.rs
@@ -1,4 +1,4 @@
-//! The messages between entry instances about tickets.
+//! The messages that entry instances exchange about tickets.
 
 use {
     crate::ticket_answer::TicketAnswer,
@@ -8,25 +8,25 @@
     std::sync::Arc,
 };
 
-/// The tag of all messages about tickets.
+/// The protocol tag of all messages about tickets.
 pub const TICKET_TAG: ProtocolTag = 0x30;
 
-/// The most bytes of a body in one frame.
+/// The maximum size of one body frame.
 pub(crate) const MAX_CHUNK_BYTES: usize = 256 << 10;
 
-/// A piece of the body; both ways.
+/// A chunk of the body of a request, an answer or a hand-over.
 pub(crate) const BODY_FRAME: ProtocolTag = 2;
-/// The answer to a request that is not held here: who holds its ticket, if that is known.
+/// The answer to a request whose ticket is not held here. Names the holder if it is known.
 pub(crate) const ELSEWHERE_FRAME: ProtocolTag = 4;
-/// The body is whole; both ways.
+/// Marks the end of the body of a request, an answer or a hand-over.
 pub(crate) const END_FRAME: ProtocolTag = 3;
-/// The first frame of a request, and of its answer.
+/// The first frame of a request and of its answer.
 pub(crate) const HEAD_FRAME: ProtocolTag = 1;
-/// The first frame of a hand-over, whose content follows as a body.
+/// The first frame of a hand-over. Its content follows as a body.
 pub(crate) const HAND_OVER_FRAME: ProtocolTag = 5;
-/// The first frame of the records as they are after the last run, whose content follows as a body.
+/// The first frame of the records after the last run. Their content follows as a body.
 pub(crate) const FINAL_RECORDS_FRAME: ProtocolTag = 7;
-/// What the successor says to a hand-over.
+/// The successor's reply to a hand-over.
 pub(crate) const HAND_OVER_REPLY_FRAME: ProtocolTag = 6;
 
 /// A header's name and value.
@@ -35,7 +35,7 @@
 /// The tickets of a closing instance.
 pub(crate) type TicketHandOver = claim::HandOver<TicketAnswer>;
 
-/// What goes before the body of a request that is passed on.
+/// The head of a forwarded request, sent before its body.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ForwardHead {
     pub(crate) headers: Vec<HeaderPair>,
@@ -44,7 +44,7 @@
     pub(crate) ticket: Ticket,
 }
 
-/// What goes before the body of its answer.
+/// The head of the answer to a forwarded request, sent before its body.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ReplyHead {
     pub(crate) headers: Vec<HeaderPair>,
@@ -54,33 +54,35 @@
 /// The answer of an instance that does not hold a ticket.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct ElsewhereReply {
+    /// The incarnation that holds the ticket, or `None` if it is unknown.
     pub(crate) holder: Option<LifeKey>,
 }
 
-/// The answer to a hand-over, by the life that gives it.
+/// The reply to a hand-over.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct HandOverAnswer {
+    /// The incarnation that replies.
     pub(crate) from: LifeKey,
     pub(crate) reply: HandOverReply,
 }
 
-/// A short question.
+/// A query that is answered with an incarnation, if one is known.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) enum TicketQuery {
-    /// Which life holds the tickets of this one.
+    /// Asks which incarnation holds the tickets of this one.
     Holder(LifeKey),
-    /// Which life answers here.
+    /// Asks for the incarnation of the queried instance. It answers only while it issues permits.
     Life,
 }
 
-/// Tells of lives that were handed over, and to whom.
+/// Announces that the tickets of `lives` were handed over to `successor`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct SuccessorNotice {
     pub(crate) lives: Vec<LifeKey>,
     pub(crate) successor: LifeKey,
 }
 
-/// Sends a body in pieces, and its end.
+/// Sends a body in chunks, followed by the end frame.
 pub(crate) async fn send_body(sender: &mut SessionSender, body: &[u8]) -> Result<(), PeerError> {
     for chunk in body.chunks(MAX_CHUNK_BYTES) {
         sender.send(BODY_FRAME, chunk).await?;
@@ -97,7 +99,7 @@
     sender.send(tag, &wire::encode(value)?).await
 }
 
-/// Reads a body to its end; none when it breaks off or is larger than `limit`.
+/// Reads a body to its end. Returns `None` if the session breaks off or the body exceeds `limit` bytes.
 pub(crate) async fn read_body(receiver: &mut SessionReceiver, limit: usize) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     while let Ok(Some(frame)) = receiver.receive().await {
@@ -112,7 +114,7 @@
     None
 }
 
-/// Reads a value from a frame's body.
+/// Decodes a value from the body of a frame. Returns `None` if it is malformed.
 pub(crate) fn read_value<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     wire::decode(body).ok()
 }
--- a/crates/door/src/ticket_host.rs
+++ b/crates/door/src/ticket_host.rs
@@ -1,4 +1,4 @@
-//! What other instances ask of the tickets here.
+//! Serves ticket queries, forwarded requests and hand-overs from other instances.
 
 use {
     crate::{
@@ -23,11 +23,11 @@
     tokio::sync::mpsc,
 };
 
-/// The largest hand-over that is taken.
+/// The maximum size of a hand-over. Larger ones are dropped.
 const MAX_HAND_OVER_BYTES: usize = 64 << 20;
 
 impl<S: RowStore + 'static> TicketDispatcher<S> {
-    /// Serves other instances for as long as it is driven.
+    /// Serves other instances until `incoming` is closed.
     pub async fn serve_peers(
         self: Arc<Self>,
         mut incoming: mpsc::Receiver<PeerIncoming>,
@@ -42,7 +42,7 @@
                     };
                     reply.send(answer);
                 }
-                PeerIncoming::Message { body, .. } => self.registry.take_notice(&body),
+                PeerIncoming::Message { body, .. } => self.registry.apply_notice(&body),
                 PeerIncoming::Session {
                     receiver, sender, ..
                 } => {
@@ -54,14 +54,14 @@
     }
 
     async fn serve_session(&self, mut receiver: SessionReceiver, mut sender: SessionSender) {
-        // Held to the last acknowledged frame, so that a close waits for it.
+        // Held until the last frame is acknowledged, so that a shutdown waits for it.
         let _pass = self.gate.enter().ok();
         let Ok(Some(first)) = receiver.receive().await else {
             return;
         };
         match first.tag {
             FINAL_RECORDS_FRAME => self.accept_final_records(&mut receiver, &mut sender).await,
-            HAND_OVER_FRAME => self.take_hand_over(&mut receiver, &mut sender).await,
+            HAND_OVER_FRAME => self.accept_hand_over(&mut receiver, &mut sender).await,
             HEAD_FRAME => {
                 let Some(head) = read_value(&first.body) else {
                     return;
@@ -73,7 +73,7 @@
         sender.close().await;
     }
 
-    /// Runs the request of a peer's caller. A peer that breaks the session off cancels it.
+    /// Runs a forwarded request. It is cancelled if the peer closes the session.
     async fn serve_request(
         &self,
         head: ForwardHead,
@@ -89,12 +89,13 @@
         };
         self.registry.metrics.count(ticket_event::SERVED_FOR_PEER);
         let unsent = Unsent::from_caller(request);
-        // After its request the peer says nothing more: any word, or the end, means that its caller is gone.
-        let gone = receiver.receive();
+        // The peer sends nothing after its request. Any further frame, or the end, means that its caller has
+        // disconnected.
+        let disconnected = receiver.receive();
         let answering = self.answer_peer(&ticket, unsent, sender);
         tokio::select! {
             () = answering => {}
-            _ = gone => {}
+            _ = disconnected => {}
         }
     }
 
@@ -108,7 +109,7 @@
             LocalOutcome::Answered(response, _) => send_response(sender, response).await,
             LocalOutcome::Elsewhere(_, life) => {
                 let holder = Some(life).filter(|life| *life != ticket.life);
-                // A peer that is gone needs no answer.
+                // A peer that has closed the session needs no answer.
                 let _ = send_value(sender, ELSEWHERE_FRAME, &ElsewhereReply { holder }).await;
             }
         }
@@ -134,11 +135,11 @@
             from: self.registry.life.clone(),
             reply,
         };
-        // The sender asks again when this is lost.
+        // The sender retries if the reply is lost.
         let _ = send_value(sender, HAND_OVER_REPLY_FRAME, &answer).await;
     }
 
-    async fn take_hand_over(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
+    async fn accept_hand_over(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
         let Some(content) = read_body(receiver, MAX_HAND_OVER_BYTES).await else {
             return;
         };
@@ -146,9 +147,9 @@
             return;
         };
         let lives: Vec<LifeKey> = message.lives.iter().map(|life| life.life.clone()).collect();
-        let reply = self.registry.accept(message);
+        let reply = self.registry.accept_hand_over(message);
         if reply == HandOverReply::Accepted {
-            tracing::info!(lives = lives.len(), "tickets are taken over");
+            tracing::info!(lives = lives.len(), "tickets taken over");
             self.registry.metrics.count(ticket_event::TAKEN_OVER);
             let successor = self.registry.life.clone();
             self.peers.notify(&SuccessorNotice { lives, successor });
@@ -165,7 +166,7 @@
         }
     }
 
-    fn take_notice(&self, body: &[u8]) {
+    fn apply_notice(&self, body: &[u8]) {
         let Some(notice) = read_value::<SuccessorNotice>(body) else {
             return;
         };
@@ -173,12 +174,12 @@
             if life == self.life {
                 continue;
             }
-            self.learn(life, notice.successor.clone());
+            self.record_successor(life, notice.successor.clone());
         }
     }
 }
 
-/// Sends an answer with its body; a peer that is gone ends it, which cancels what still runs.
+/// Sends an answer with its body. If the peer has closed the session, the body is dropped, which cancels the run.
 async fn send_response(sender: &mut SessionSender, response: Response) {
     let head = ReplyHead::of(&response);
     if send_value(sender, HEAD_FRAME, &head).await.is_err() {
@@ -190,7 +191,7 @@
     let _ = sender.send(END_FRAME, &[]).await;
 }
 
-/// Sends the pieces of a body; none when it breaks off.
+/// Sends a body in chunks. Returns `None` if the body or the session breaks off.
 async fn send_frames(sender: &mut SessionSender, mut body: Body) -> Option<()> {
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
--- a/crates/door/src/ticket_key.rs
+++ b/crates/door/src/ticket_key.rs
@@ -1,4 +1,4 @@
-//! Requests with an `Idempotency-Key`: a conditional insert at the platform turns the key into a ticket.
+//! Handles requests with an `Idempotency-Key`: a conditional insert into the platform maps the key to a ticket.
 
 use {
     crate::{
@@ -25,21 +25,21 @@
     },
 };
 
-/// How long a key stands for its request.
+/// How long a key identifies its request.
 const KEY_LIFETIME: Duration = Duration::from_secs(3600);
 
-/// How often a claim whose origin refused is replaced before the refusal is passed on.
+/// A claim is attempted this often if its origin refuses. After that the refusal is returned to the caller.
 const MAX_CLAIM_ATTEMPTS: usize = 2;
 const PLATFORM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The permit of a claim that is not settled yet. Dropped before it is used, its ticket is sealed: it never runs.
+/// The permit of a claim that is not settled yet. If it is dropped unused, its ticket is sealed and never runs.
 struct PermitGuard {
     registry: Arc<TicketRegistry>,
     permit: Option<RunPermit>,
 }
 
 impl<S: RowStore + 'static> TicketDispatcher<S> {
-    /// Handles a request with a caller's key.
+    /// Handles a request with an idempotency key.
     pub(crate) async fn handle_key(&self, key: &[u8], request: Request<Body>) -> Response {
         let request = match TicketRequest::read(request, self.limit).await {
             Ok(request) => request,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The claim of a request, and the permit of its ticket, which is out before the row is written.
+    /// Creates the claim of a request and the permit of its ticket. The permit is issued before the row is written.
     fn claim(
         &self,
         key: &[u8],
@@ -90,11 +90,11 @@
         for _ in 0..MAX_CLAIM_ATTEMPTS {
             match self.keeper.settle(&mut claim, event).await {
                 ClaimVerdict::Forward(ticket) => {
-                    let (response, back) = self.submit_found(&ticket, unsent).await;
-                    let Some(back) = back else {
+                    let (response, returned) = self.submit_found(&ticket, unsent).await;
+                    let Some(returned) = returned else {
                         return response;
                     };
-                    unsent = back;
+                    unsent = returned;
                     refused = Some(response);
                     event = ClaimEvent::OriginRefused;
                 }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Attaches to the run that the key stands for.
+    /// Attaches to the existing run of the key.
     async fn submit_found(
         &self,
         ticket: &Ticket,
--- a/crates/door/src/ticket_metrics.rs
+++ b/crates/door/src/ticket_metrics.rs
@@ -1,8 +1,8 @@
-//! The counters of tickets.
+//! Counters of ticket events.
 
 use prometheus::{IntCounterVec, Opts, Registry};
 
-/// What happened to a ticket, as the counter's label.
+/// The label values of the ticket counter.
 pub(crate) mod ticket_event {
     pub(crate) const ATTACHED: &str = "attached";
     pub(crate) const FORWARDED: &str = "forwarded";
@@ -17,7 +17,7 @@
     pub(crate) const SERVED_FOR_PEER: &str = "served_for_peer";
     pub(crate) const TAKEN_OVER: &str = "lives_taken_over";
 
-    /// All of them.
+    /// All label values.
     pub(crate) const ALL: [&str; 12] = [
         ATTACHED,
         FORWARDED,
@@ -34,19 +34,19 @@
     ];
 }
 
-/// Counts what happens to tickets.
+/// Counts ticket events.
 #[derive(Debug)]
 pub struct TicketMetrics {
     events: IntCounterVec,
 }
 
 impl TicketMetrics {
-    /// Counts one happening.
+    /// Increments the counter of an event.
     pub(crate) fn count(&self, event: &str) {
         self.events.with_label_values(&[event]).inc();
     }
 
-    /// The counters by happening.
+    /// The counters, keyed by event.
     pub(crate) fn counts(&self) -> serde_json::Map<String, serde_json::Value> {
         let mut counts = serde_json::Map::new();
         for event in ticket_event::ALL {
@@ -56,11 +56,11 @@
         counts
     }
 
-    /// Fresh counters.
+    /// Creates counters that are not yet registered.
     ///
     /// # Errors
     ///
-    /// Those of the metrics library, for names that it doesn't take.
+    /// Returns the error of the metrics library if it rejects a name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let options = Opts::new(
             "trestlewalk_tickets_total",
@@ -71,10 +71,10 @@
         })
     }
 
-    /// Shows the counters in `registry`.
+    /// Registers the counters with `registry`.
     pub(crate) fn register(&self, registry: &Registry) {
         if let Err(error) = registry.register(Box::new(self.events.clone())) {
-            tracing::debug!(%error, "the metric was registered before");
+            tracing::debug!(%error, "the ticket metric could not be registered");
         }
     }
 }
--- a/crates/door/src/ticket_mint.rs
+++ b/crates/door/src/ticket_mint.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/tickets`.
+//! `POST /v1/tickets`: issues tickets.
 
 use {
     crate::{
@@ -20,14 +20,14 @@
     std::time::Duration,
 };
 
-/// How long a ticket is good for when its caller says nothing.
+/// The lifetime of a ticket if the caller does not specify one.
 const DEFAULT_LIFETIME: Duration = Duration::from_secs(600);
-/// The longest body of a call for a ticket.
+/// The maximum size of a request body.
 const MAX_MINT_BODY_BYTES: usize = 4 << 10;
 const MINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
-/// The body of a call for a ticket; it may be absent.
+/// The request body, which may be empty.
 #[serde_as]
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -37,7 +37,7 @@
     lifetime: Option<Duration>,
 }
 
-/// A new ticket.
+/// The response body: the new ticket and its actual lifetime.
 #[serde_as]
 #[derive(Debug, Serialize)]
 struct MintReply {
--- a/crates/door/src/ticket_peers.rs
+++ b/crates/door/src/ticket_peers.rs
@@ -1,4 +1,4 @@
-//! The other entry instances, as far as tickets need them.
+//! The client for ticket messages to other entry instances.
 
 use {
     crate::ticket_frame::{
@@ -13,35 +13,36 @@
     tokio::time,
 };
 
-/// How many instances are asked for the holder of a ticket, and for a successor.
+/// The maximum number of instances queried for the holder of a ticket or for a successor.
 const MAX_QUERIED_PEERS: usize = 16;
-/// How long the successor may take to answer one copy of the hand-over.
+/// How long to wait for the reply to one attempt.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many copies of a hand-over are sent.
+/// The number of attempts to send a hand-over.
 const HAND_OVER_ATTEMPTS: u32 = 3;
 
-/// Talks to other instances about tickets.
+/// Sends queries, hand-overs and notices to other instances.
 pub(crate) struct TicketPeers {
     pub(crate) endpoint: PeerEndpoint,
     members: Arc<PeerDriver>,
 }
 
 impl TicketPeers {
-    /// The life that holds the tickets of `life`, by the word of the instances in its availability zone.
+    /// Queries the instances in `zone` for the incarnation that holds the tickets of `life`.
     pub(crate) async fn find_holder(&self, life: &LifeKey, zone: &ZoneId) -> Option<LifeKey> {
         let query = TicketQuery::Holder(life.clone());
         let names = self.peers_in_zone(zone);
-        let asked = names.iter().map(|name| self.query(name, &query));
-        let answers = join_all(asked).await;
+        let queries = names.iter().map(|name| self.query(name, &query));
+        let answers = join_all(queries).await;
         answers.into_iter().flatten().next()
     }
 
-    /// The peers over an endpoint, and who they are.
+    /// Creates a client that sends through `endpoint` to the instances in `members`.
     pub(crate) fn new(endpoint: PeerEndpoint, members: Arc<PeerDriver>) -> Self {
         Self { endpoint, members }
     }
 
-    /// Tells all members where the tickets of closed lives are. Whoever misses it can ask.
+    /// Announces to all members who holds the tickets of closed incarnations. A member that misses the notice can query
+    /// the holder.
     pub(crate) fn notify(&self, notice: &SuccessorNotice) {
         let Ok(message) = wire::encode(notice) else {
             return;
@@ -50,12 +51,12 @@
             if member.instance == *self.endpoint.instance() {
                 continue;
             }
-            // Best effort.
+            // Best effort: a member can still query the holder.
             let _ = self.endpoint.send(&member.instance, TICKET_TAG, &message);
         }
     }
 
-    /// Sends a hand-over, or what follows one, until the successor answers, a bounded number of times.
+    /// Sends a hand-over or its final records. Retries a bounded number of times until the successor answers.
     pub(crate) async fn send_hand_over(
         &self,
         tag: ProtocolTag,
@@ -73,19 +74,20 @@
         None
     }
 
-    /// A life of the same availability zone that answers now: one that takes requests, as far as is known here.
+    /// Returns an incarnation in the same availability zone that answers a query, or `None` if none does. Instances
+    /// known to be serving requests are queried first.
     pub(crate) async fn successor(&self, zone: &ZoneId) -> Option<LifeKey> {
         let view = self.members.view();
         let own = self.endpoint.instance();
         let mut candidates = Vec::new();
         for record in &view.heard {
-            let leaves = record.state == MemberState::Leaving;
-            if record.zone != *zone || record.instance == *own || leaves {
+            let is_leaving = record.state == MemberState::Leaving;
+            if record.zone != *zone || record.instance == *own || is_leaving {
                 continue;
             }
-            let serves = record.state == MemberState::Serving;
+            let is_serving = record.state == MemberState::Serving;
             let score = seeded_rng::rendezvous_score(own, &record.instance);
-            candidates.push((Reverse((serves, score)), &record.instance));
+            candidates.push((Reverse((is_serving, score)), &record.instance));
         }
         candidates.sort();
         for (_, name) in candidates.into_iter().take(MAX_QUERIED_PEERS) {
--- a/crates/door/src/ticket_plugin.rs
+++ b/crates/door/src/ticket_plugin.rs
@@ -1,4 +1,4 @@
-//! The tickets' part of the state dump and of the metrics.
+//! The ticket section of the state dump and of the metrics.
 
 use {
     crate::ticket_registry::TicketRegistry,
--- a/crates/door/src/ticket_registry.rs
+++ b/crates/door/src/ticket_registry.rs
@@ -1,4 +1,4 @@
-//! The tickets of one entry instance, for all who handle requests.
+//! The tickets of one entry instance, shared by all request handlers.
 
 use {
     crate::{
@@ -19,23 +19,23 @@
     tokio::sync::{Notify, futures::Notified},
 };
 
-/// The table, before or after its hand-over.
+/// The ticket table before or after its hand-over.
 #[derive(Debug)]
 enum TableState {
-    /// It was handed over.
+    /// Handed over to a successor; issues no permits.
     Closed(ClosedTable<TicketAnswer>),
-    /// It gives out permits.
+    /// Issues permits.
     Open(TicketTable<TicketAnswer>),
 }
 
 #[derive(Debug)]
 struct RegistryState {
     forwards: ForwardTable,
-    /// None only for the moment in which the table is handed over.
+    /// `None` only while the table is being converted during a hand-over.
     table: Option<TableState>,
 }
 
-/// Holds the tickets and what is known of other lives' tickets.
+/// Holds the tickets of this incarnation and the known successors of closed incarnations.
 #[derive(Debug)]
 pub struct TicketRegistry {
     pub(crate) life: LifeKey,
@@ -46,25 +46,25 @@
     pub(crate) zone: ZoneId,
 }
 
-/// What a submission has to do here.
+/// How a submission is to be handled.
 #[derive(Debug)]
 pub(crate) enum SubmitDecision {
-    /// The same request runs: wait.
+    /// The same request is already running: wait for its outcome.
     Attach,
-    /// The outcome is known.
+    /// The outcome is already known.
     Decided(RequestOutcome<TicketAnswer>),
-    /// Pass it on to this life.
+    /// Forward the request to this incarnation.
     Elsewhere(LifeKey),
-    /// Run it, once.
+    /// Run the request under this permit, which allows one run.
     Run(RunPermit),
 }
 
 impl TicketRegistry {
-    /// A desk of a life that starts now.
+    /// Creates the registry of an incarnation that starts now.
     ///
     /// # Errors
     ///
-    /// [`ClaimError::NameInvalid`] when a ticket can't carry the names.
+    /// [`ClaimError::NameInvalid`] if a ticket can't contain the names.
     pub fn new(
         life: LifeKey,
         metrics: TicketMetrics,
@@ -89,7 +89,7 @@
     }
 
     /// Takes over the tickets of a closing instance.
-    pub(crate) fn accept(&self, message: TicketHandOver) -> HandOverReply {
+    pub(crate) fn accept_hand_over(&self, message: TicketHandOver) -> HandOverReply {
         let mut state = self.state.lock();
         match &mut state.table {
             Some(TableState::Closed(table)) => table.accept_hand_over(&message),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// How much it holds, and whether it gives out permits.
+    /// Returns the sizes of the table and whether it issues permits. The sizes are zero after a hand-over.
     pub(crate) fn counts(&self) -> (TicketCounts, bool) {
         match &self.state.lock().table {
             Some(TableState::Open(table)) => (table.counts(), true),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Records the whole answer of a run.
+    /// Records the complete answer of a run.
     pub(crate) fn finish(&self, run: RunTicket, sent: Sent, answer: TicketAnswer) {
         let _ = match &mut self.state.lock().table {
             Some(TableState::Closed(table)) => table.finish(run, sent, answer),
@@ -116,7 +116,7 @@
         self.settled.notify_waiters();
     }
 
-    /// The records as they are after the last run, when a successor holds the tickets.
+    /// Returns the records after the last run, if a successor has accepted the tickets.
     pub(crate) fn final_records(&self) -> Option<TicketHandOver> {
         match &self.state.lock().table {
             Some(TableState::Closed(table)) if table.is_accepted() => {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Gives all tickets to `successor`; none when that was done before.
+    /// Prepares the hand-over of all tickets to `successor`. Returns `None` if they were handed over before.
     pub(crate) fn hand_over(&self, successor: LifeKey) -> Option<TicketHandOver> {
         let mut state = self.state.lock();
         let table = match state.table.take() {
@@ -141,7 +141,7 @@
         Some(message)
     }
 
-    /// The life that holds the tickets of `life`, as far as this instance knows.
+    /// Returns the incarnation that holds the tickets of `life`, or `None` if this instance does not know it.
     pub(crate) fn holder(&self, life: &LifeKey) -> Option<LifeKey> {
         let state = self.state.lock();
         match &state.table {
@@ -158,25 +158,25 @@
         known.map(|(_, successor)| successor.clone())
     }
 
-    /// Whether it gives out permits.
+    /// Whether the table issues permits.
     pub(crate) fn is_open(&self) -> bool {
         matches!(self.state.lock().table, Some(TableState::Open(_)))
     }
 
-    /// Learns that a life was handed over.
-    pub(crate) fn learn(&self, life: LifeKey, successor: LifeKey) {
+    /// Records that the tickets of `life` were handed over to `successor`.
+    pub(crate) fn record_successor(&self, life: LifeKey, successor: LifeKey) {
         let now = Instant::now();
         self.state.lock().forwards.learn(now, life, successor);
     }
 
-    /// Learns how the runs of a closing instance ended.
+    /// Updates the records with the outcomes of the last runs of a closing instance.
     pub(crate) fn learn_final_records(&self, message: TicketHandOver) {
         if let Some(TableState::Open(table)) = &mut self.state.lock().table {
             table.learn_ends(message);
         }
     }
 
-    /// Records that nobody knows what became of a run.
+    /// Records that the outcome of a run is unknown.
     pub(crate) fn record_unknown(&self, run: RunTicket, sent: Sent, code: ResultCode) {
         let _ = match &mut self.state.lock().table {
             Some(TableState::Closed(table)) => table.lose(run, sent, code),
@@ -187,11 +187,12 @@
         self.settled.notify_waiters();
     }
 
-    /// Mints a ticket.
+    /// Issues a new ticket.
     ///
     /// # Errors
     ///
-    /// Why there is none: this instance closes, or too many are outstanding.
+    /// [`ResultCode::Closing`] if this instance is closing, [`ResultCode::QueueFull`] if too many tickets are
+    /// outstanding.
     pub(crate) fn mint(&self, lifetime: Duration) -> Result<Ticket, ResultCode> {
         let mut state = self.state.lock();
         let Some(TableState::Open(table)) = &mut state.table else {
@@ -202,14 +203,14 @@
         ticket.map_err(|_| ResultCode::QueueFull)
     }
 
-    /// Hears what the successor says to the hand-over.
+    /// Processes the successor's reply to the hand-over.
     pub(crate) fn on_reply(&self, from: &LifeKey, reply: HandOverReply) {
         if let Some(TableState::Closed(table)) = &mut self.state.lock().table {
             table.on_reply(from, reply);
         }
     }
 
-    /// Seals a ticket as refused; its request did not run.
+    /// Seals a ticket whose request was refused and did not run.
     pub(crate) fn refuse<T>(&self, permit: RunPermit, unsent: Unsent<T>, code: ResultCode) {
         let _ = match &mut self.state.lock().table {
             Some(TableState::Closed(table)) => table.refuse(permit, unsent, code),
@@ -220,7 +221,7 @@
         self.settled.notify_waiters();
     }
 
-    /// Seals a ticket whose request goes on by another one, or not at all.
+    /// Seals a ticket whose request runs under another ticket or not at all.
     pub(crate) fn seal(&self, permit: RunPermit, code: ResultCode) {
         match &mut self.state.lock().table {
             Some(TableState::Closed(table)) => table.seal(permit, code),
@@ -230,12 +231,12 @@
         self.settled.notify_waiters();
     }
 
-    /// Becomes ready when a run ends after this call.
+    /// Resolves when any run ends after this call.
     pub(crate) fn settled(&self) -> Notified<'_> {
         self.settled.notified()
     }
 
-    /// The successors of closed lives that this instance knows, by life.
+    /// The known successors of closed incarnations, keyed by the closed incarnation.
     pub(crate) fn successors(&self) -> BTreeMap<String, String> {
         let state = self.state.lock();
         let successors = state.forwards.successors();
@@ -243,7 +244,7 @@
         names.collect()
     }
 
-    /// Decides on a request that comes with a ticket.
+    /// Decides how to handle a request with a ticket.
     pub(crate) fn submit(&self, ticket: &Ticket, digest: RequestDigest) -> SubmitDecision {
         let mut state = self.state.lock();
         let (verdict, successor) = match &mut state.table {
@@ -271,7 +272,8 @@
     }
 }
 
-/// Whom to ask for a ticket that is not held here. Whether that life still runs shows when it is asked.
+/// Returns the incarnation to ask about a ticket that is not held here. It is treated as alive: the call itself shows
+/// whether it still runs.
 fn route(forwards: &ForwardTable, ticket: &Ticket) -> LifeKey {
     match forwards.route(&ticket.life, |_| false, |_| true) {
         ForwardCourse::Remote(life) => life,
--- a/crates/door/src/ticket_request.rs
+++ b/crates/door/src/ticket_request.rs
@@ -1,4 +1,4 @@
-//! A request that is held whole, so that it can be compared and passed on.
+//! A fully buffered request that can be compared and forwarded.
 
 use {
     crate::{
@@ -14,12 +14,12 @@
     std::{sync::Arc, time::Instant},
 };
 
-/// A caller's own name for a request.
+/// The idempotency key that a caller chose for a request.
 pub const KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 /// The ticket of a request.
 pub const TICKET_HEADER: HeaderName = HeaderName::from_static("trestlewalk-ticket");
 
-/// Headers that speak of the way the body came, or of one connection.
+/// Headers that describe the transfer of the body or apply to a single connection.
 const FRAMING_HEADERS: [HeaderName; 5] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -28,7 +28,7 @@
     TICKET_HEADER,
 ];
 
-/// One whole request. Copies share the body.
+/// A complete request. Clones share the body.
 #[derive(Clone, Debug)]
 pub(crate) struct TicketRequest {
     pub(crate) body: Bytes,
@@ -38,8 +38,8 @@
 }
 
 impl TicketRequest {
-    /// What tells this request from another one under the same ticket or key: the method, the target, the kind of work,
-    /// who sends it, and the body.
+    /// Distinguishes this request from others under the same ticket or key. Covers the method, the target, the kind of
+    /// work, the caller and the body.
     pub(crate) fn digest(&self) -> RequestDigest {
         let parts = [
             self.method.as_str().as_bytes(),
@@ -56,7 +56,7 @@
         digest
     }
 
-    /// The request as a peer sent it; none when its head can't be read.
+    /// Rebuilds a request that a peer forwarded. Returns `None` if its head is invalid.
     pub(crate) fn from_parts(head: ForwardHead, body: Bytes) -> Option<Self> {
         let mut headers = HeaderMap::new();
         for (name, value) in head.headers {
@@ -71,7 +71,7 @@
         })
     }
 
-    /// What goes before the body on the way to the origin of `ticket`.
+    /// The head of the message that forwards this request to the origin of `ticket`.
     pub(crate) fn head(&self, ticket: &Ticket) -> ForwardHead {
         let mut headers = Vec::with_capacity(self.headers.len());
         for (name, value) in &self.headers {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The request for the handlers, to be dispatched to an upstream before `run_by`.
+    /// Converts it into a request for the handlers, to be dispatched to an upstream before `run_by`.
     pub(crate) fn into_http(self, run_by: Instant) -> Request<Body> {
         let mut request = Request::new(Body::from(self.body));
         *request.headers_mut() = self.headers;
@@ -95,11 +95,11 @@
         request
     }
 
-    /// Reads a caller's request.
+    /// Reads and buffers a caller's request.
     ///
     /// # Errors
     ///
-    /// The answer for the caller, when the body is over the limit or breaks off.
+    /// Returns the answer for the caller if the target is invalid, the body exceeds `limit` bytes or breaks off.
     pub(crate) async fn read(request: Request<Body>, limit: usize) -> Result<Self, ErrorAnswer> {
         let (mut parts, body) = request.into_parts();
         let target = parts.uri.path_and_query().map(|path| path.as_str());
@@ -120,12 +120,12 @@
         })
     }
 
-    /// Who sends it, as far as its headers say.
+    /// Identifies the caller by its `Authorization` header; empty without one.
     pub(crate) fn scope(&self) -> &[u8] {
         self.header_bytes(&header::AUTHORIZATION)
     }
 
-    /// The kind of work that it names; the path stands for the default one.
+    /// The kind of work that the request names. Without one, the path stands for the default kind.
     pub(crate) fn work(&self) -> &str {
         let named = self.headers.get(WORK_HEADER);
         let named = named.and_then(|value| value.to_str().ok());
--- a/crates/door/src/ticket_run.rs
+++ b/crates/door/src/ticket_run.rs
@@ -1,4 +1,4 @@
-//! One run under a ticket, until its table has heard what became of it.
+//! Ensures that the outcome of every run under a ticket is recorded.
 
 use {
     crate::{
@@ -13,10 +13,10 @@
     std::sync::Arc,
 };
 
-/// The outcome of a run whose caller went away before it ended.
+/// The outcome of a run whose caller disconnected before it ended.
 const ABANDONED: ResultCode = ResultCode::StreamCut;
 
-/// A run whose outcome the table has not heard yet. Dropped before, its outcome is unknown.
+/// A run whose outcome is not recorded yet. If it is dropped, the outcome is recorded as unknown.
 #[derive(Debug)]
 pub(crate) struct RunGuard {
     registry: Arc<TicketRegistry>,
@@ -24,21 +24,21 @@
 }
 
 impl RunGuard {
-    /// The whole answer was read from the upstream.
+    /// Records the complete answer of the upstream.
     pub(crate) fn finish(mut self, answer: TicketAnswer) {
         if let Some((run, sent)) = self.run.take() {
             self.registry.finish(run, sent, answer);
         }
     }
 
-    /// The outcome is unknown, for this reason.
+    /// Records that the outcome is unknown, with `code` as the reason.
     pub(crate) fn mark_unknown(mut self, code: ResultCode) {
         if let Some((run, sent)) = self.run.take() {
             self.registry.record_unknown(run, sent, code);
         }
     }
 
-    /// A run that has begun.
+    /// Guards a run that has started.
     pub(crate) fn new(registry: Arc<TicketRegistry>, run: RunTicket, sent: Sent) -> Self {
         Self {
             registry,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Settles the run by the answer of its handler. The body of a whole answer settles it at its end.
+    /// Records the outcome that the response of the handler shows. For a successful response this happens when its body
+    /// is complete.
     pub(crate) fn settle(mut self, response: Response) -> Response {
         let code = result_code(&response).unwrap_or(ResultCode::UpstreamGarbled);
         if code == ResultCode::Answered {
--- a/crates/door/src/ticket_service.rs
+++ b/crates/door/src/ticket_service.rs
@@ -1,4 +1,4 @@
-//! Puts tickets before the handlers of a server.
+//! Builds the router that handles tickets in front of the request handlers.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
 
 #[bon]
 impl<S: RowStore + 'static> TicketDispatcher<S> {
-    /// A door before `handlers`. `claim_secret` has to be the same at all instances.
+    /// Creates a dispatcher in front of `handlers`. `claim_secret` must be the same at all instances.
     #[builder]
     pub fn new(
         claim_secret: u64,
@@ -24,7 +24,7 @@
         endpoint: PeerEndpoint,
         gate: Arc<AdmissionGate>,
         handlers: Router,
-        /// The largest body, bytes.
+        /// The maximum size of a request body, in bytes.
         limit: usize,
         members: Arc<PeerDriver>,
         store: Arc<S>,
@@ -42,11 +42,11 @@
 }
 
 impl<S: RowStore + 'static> TicketDispatcher<S> {
-    /// The routes of callers, with tickets.
+    /// The routes for callers, including `POST /v1/tickets`.
     pub fn routes(self: Arc<Self>) -> Router {
-        let minting = self.clone();
+        let dispatcher = self.clone();
         let mint = move |request: Request<Body>| {
-            let dispatcher = minting.clone();
+            let dispatcher = dispatcher.clone();
             async move { dispatcher.handle_mint(request).await }
         };
         let handle = move |request: Request<Body>| {
--- a/crates/door/src/work_header.rs
+++ b/crates/door/src/work_header.rs
@@ -1,14 +1,14 @@
-//! The header by which a request names its kind of work.
+//! The header that names the kind of work of a request.
 
 use {
     http::{HeaderMap, HeaderName},
     kernel::WorkId,
 };
 
-/// Names the row of the table.
+/// Names the kind of work and thereby the row of the table.
 pub const WORK_HEADER: HeaderName = HeaderName::from_static("trestlewalk-work");
 
-/// The kind of work that the headers name, or else the default.
+/// Returns the kind of work that the headers name, or else the default.
 pub fn work_from_headers(headers: &HeaderMap, default: Option<&WorkId>) -> Option<WorkId> {
     let named = headers
         .get(WORK_HEADER)
--- a/crates/engine/src/call_error.rs
+++ b/crates/engine/src/call_error.rs
@@ -1,23 +1,23 @@
-//! Why a call to an upstream gave no whole answer, and whether it may have run.
+//! The error of a call to an upstream, with its cause and whether the call may have run.
 
 use snafu::Snafu;
 
-/// What went wrong with a call.
+/// The cause of a failed call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallCause {
     /// The KV cache was evicted before its transfer.
     Evicted,
-    /// The engine has no place.
+    /// The engine has no free slot.
     Full,
-    /// The answer can't be read.
+    /// The answer is malformed.
     Garbled,
-    /// The upstream says that it is leaving.
+    /// The upstream reports that it is draining.
     Leaving,
     /// The connection was lost.
     Lost,
     /// The upstream refused the call for another reason.
     Refused,
-    /// No answer within the time allowed.
+    /// No answer within the timeout.
     Silent,
 }
 
@@ -25,16 +25,16 @@
 #[derive(Clone, Debug, Snafu)]
 #[snafu(visibility(pub), display("{cause:?}: {detail}"))]
 pub struct CallError {
-    /// What went wrong.
+    /// The cause of the failure.
     pub cause: CallCause,
-    /// What the connection or the upstream said.
+    /// The error message of the connection or of the upstream.
     pub detail: String,
-    /// Whether the call may have run; `false` only when it is certain that it did not.
+    /// Whether the call may have run. `false` only if it is certain that it did not.
     pub may_have_run: bool,
 }
 
 impl CallError {
-    /// An error of a call that was never written, or that the upstream says did not run.
+    /// Creates the error of a call that was never sent, or that did not run according to the upstream.
     pub fn not_run(cause: CallCause, detail: impl ToString) -> Self {
         Self {
             cause,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// An error of a call that may have run.
+    /// Creates the error of a call that may have run.
     pub fn unknown(cause: CallCause, detail: impl ToString) -> Self {
         Self {
             cause,
--- a/crates/engine/src/completion_engine.rs
+++ b/crates/engine/src/completion_engine.rs
@@ -1,4 +1,4 @@
-//! Engines that speak the completions protocol of [`crate::wire`].
+//! A client for engines that implement the completions protocol of [`crate::wire`].
 
 use {
     crate::{
@@ -20,12 +20,12 @@
     tokio::time,
 };
 
-/// The most bytes that an answer other than a stream may have.
+/// The maximum size of an answer that is not a stream.
 const MAX_REPLY_BYTES: usize = 16 << 20;
 
 type EngineBody = PooledBody<Full<Bytes>>;
 
-/// The client of engines that speak the completions protocol. Clones share their connections.
+/// A client for the completions protocol. Clones share their connections.
 #[derive(Clone, Debug)]
 pub struct CompletionEngine {
     control_timeout: Duration,
@@ -36,8 +36,8 @@
 
 #[bon::bon]
 impl CompletionEngine {
-    /// A client with its timeouts: `connect` for a connection, `control` for a short call, `idle` from one token to the
-    /// next, `prefill` for reading a prompt.
+    /// Creates a client with these timeouts: `connect` for opening a connection, `control` for a control call, `idle`
+    /// for the gap between two tokens, `prefill` for prefilling a prompt.
     #[builder]
     pub fn new(connect: Duration, control: Duration, idle: Duration, prefill: Duration) -> Self {
         Self {
@@ -139,11 +139,11 @@
         stream: &str,
         call: &CompletionCall,
     ) -> Result<PrefillReply, CallError> {
-        let reading = async {
+        let prefilling = async {
             let response = self.post(address, "/v1/completions", stream, call).await?;
             read_json::<CompletionChunk>(response).await
         };
-        let chunk = with_timeout(self.prefill_timeout, reading).await?;
+        let chunk = with_timeout(self.prefill_timeout, prefilling).await?;
         match chunk.kv_transfer_params {
             Some(params) => Ok(PrefillReply { params }),
             None => Err(CallError::unknown(
@@ -175,7 +175,7 @@
     }
 }
 
-/// What an engine's own error means. An engine's word counts only until it gave a token.
+/// Converts an error that an engine reports. Its claim that the call did not run is ignored once it has sent a token.
 pub(crate) fn engine_failure(failure: &EngineError, has_tokens: bool) -> CallError {
     let cause = match &*failure.error {
         "evicted" => CallCause::Evicted,
--- a/crates/engine/src/http_pool.rs
+++ b/crates/engine/src/http_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams. Unlike a general client it tells a request that was never written from one that may have
-//! run, and it never sends a request twice.
+//! Connections to upstreams. Unlike a general-purpose client, the pool distinguishes a request that was never written
+//! from one that may have run, and never sends a request twice.
 
 use {
     crate::{
@@ -18,15 +18,16 @@
     tokio::{net::TcpStream, time},
 };
 
-/// How many idle connections an upstream keeps.
+/// The maximum number of idle connections to one upstream.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// How often a request that was never written is tried on another idle connection before a new one is made.
+/// A request is attempted on at most this many idle connections, as long as it was never written, before a new
+/// connection is opened.
 const MAX_REUSE_ATTEMPTS: usize = 2;
 
-/// Idle connections by address.
+/// Idle connections, keyed by address.
 pub(crate) type IdleTable<B> = RankedLock<HashMap<SocketAddr, Vec<SendRequest<B>>>>;
 
-/// A pool of HTTP/1.1 connections. Clones share one pool.
+/// A pool of HTTP/1.1 connections. Clones share the connections.
 #[derive(Debug)]
 pub struct HttpPool<B> {
     connect_timeout: Duration,
@@ -47,7 +48,7 @@
     B: Body<Data = Bytes> + Send + Unpin + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(connect_timeout: Duration) -> Self {
         Self {
             connect_timeout,
@@ -55,14 +56,14 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
-    /// `fresh` asks for a connection of its own, so that no idle connection which the upstream is just closing can make
-    /// the outcome unknown.
+    /// `fresh` requests a new connection. On an idle connection that the upstream is just closing, the outcome could be
+    /// unknown.
     ///
     /// # Errors
     ///
-    /// [`CallError::may_have_run`] is `false` when the request was never written.
+    /// [`CallError::may_have_run`] is `false` if the request was never written.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -73,11 +74,11 @@
         sending.map_err(|failure| failure.error)
     }
 
-    /// As [`HttpPool::send`], giving a request back that was never written.
+    /// Like [`HttpPool::send`], but returns a request that was never written.
     ///
     /// # Errors
     ///
-    /// A failure whose `unsent` is there exactly when the request was never written.
+    /// [`SendFailure::unsent`] is present exactly if the request was never written.
     pub async fn try_send(
         &self,
         address: SocketAddr,
@@ -122,13 +123,13 @@
                 ));
             }
         };
-        // A socket that refuses the option still carries the call.
+        // The connection works without the option.
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) =
             handshake.map_err(|error| CallError::not_run(CallCause::Lost, error))?;
         tokio::spawn(async move {
-            // The error reaches the caller through its sender.
+            // Connection errors reach the caller through its sender.
             let _ = connection.await;
         });
         Ok(sender)
@@ -175,16 +176,17 @@
     }
 }
 
-/// A request that got no answer.
+/// A request that received no response.
 #[derive(Debug)]
 pub struct SendFailure<B> {
-    /// What went wrong.
+    /// The error of the call.
     pub error: CallError,
-    /// The request, when it was never written.
+    /// The request if it was never written, otherwise `None`.
     pub unsent: Option<Request<B>>,
 }
 
-/// Keeps a connection whose answer was read to its end.
+/// Returns a connection to the pool after its response was read to the end. It is dropped if the pool already has
+/// enough idle connections to the upstream.
 pub(crate) fn keep_idle<B>(idle: &IdleTable<B>, address: SocketAddr, sender: SendRequest<B>) {
     if sender.is_closed() {
         return;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients for upstreams: model engines and plain services.
 //!
-//! [`ModelEngine`] is what the request path asks of an engine, and [`CompletionEngine`] the one dialect so far. Both
-//! kinds of upstreams are reached over an [`HttpPool`].
+//! [`ModelEngine`] is the interface of an engine that the request path uses, and [`CompletionEngine`] its only
+//! implementation so far. Both kinds of upstreams are called through an [`HttpPool`].
 
 pub mod call_error;
 pub mod completion_engine;
--- a/crates/engine/src/model_engine.rs
+++ b/crates/engine/src/model_engine.rs
@@ -1,4 +1,5 @@
-//! What the request path asks of a model engine. Another engine's dialect is one more implementation.
+//! The interface of a model engine that the request path uses. Support for another engine protocol is one more
+//! implementation.
 
 use {
     crate::{
@@ -11,39 +12,39 @@
     std::{future::Future, net::SocketAddr},
 };
 
-/// What a prefill engine answers once it has read the prompt.
+/// The answer of a prefill engine after it has prefilled the prompt.
 #[derive(Clone, Debug)]
 pub struct PrefillReply {
-    /// What the decode call has to carry.
+    /// The parameters to pass on in the decode call.
     pub params: KvTransferParams,
 }
 
-/// The tokens of one answer.
+/// A source of the tokens of one answer.
 pub trait TokenSource: Send {
-    /// The next event; after [`TokenEvent::Done`] or an error the source is at its end.
+    /// Returns the next event. [`TokenEvent::Done`] or an error is the last one.
     fn next(&mut self) -> impl Future<Output = Result<TokenEvent, CallError>> + Send;
 }
 
-/// One dialect of model engines.
+/// A client for one protocol of model engines.
 pub trait ModelEngine: Clone + Send + Sync + 'static {
-    /// The tokens of one answer.
+    /// The source of the tokens of one answer.
     type Tokens: TokenSource;
 
-    /// Blocks that came and went after a sequence number.
+    /// Returns the cache blocks that were stored or evicted after a sequence number.
     fn cache_events(
         &self,
         address: SocketAddr,
         after: u64,
     ) -> impl Future<Output = Result<CacheEvents, CallError>> + Send;
 
-    /// Cancels a stream at any phase; `false` when the engine doesn't hold it, or not yet.
+    /// Cancels a stream in any phase. Returns `false` if the engine does not hold it, or not yet.
     fn cancel(
         &self,
         address: SocketAddr,
         stream: &str,
     ) -> impl Future<Output = Result<bool, CallError>> + Send;
 
-    /// Starts the transfer of the KV cache and the generation.
+    /// Starts the transfer of the KV cache and then the decoding.
     fn decode(
         &self,
         address: SocketAddr,
@@ -51,20 +52,20 @@
         call: &CompletionCall,
     ) -> impl Future<Output = Result<Self::Tokens, CallError>> + Send;
 
-    /// The engine's load report.
+    /// Fetches the load report of the engine.
     fn load(
         &self,
         address: SocketAddr,
     ) -> impl Future<Output = Result<EngineLoad, CallError>> + Send;
 
-    /// Gives the engine an order.
+    /// Sends the engine an order.
     fn order(
         &self,
         address: SocketAddr,
         order: &EngineOrder,
     ) -> impl Future<Output = Result<(), CallError>> + Send;
 
-    /// Reads a prompt and keeps its KV cache for a transfer.
+    /// Prefills a prompt and keeps its KV cache for a transfer.
     fn prefill(
         &self,
         address: SocketAddr,
@@ -72,7 +73,7 @@
         call: &CompletionCall,
     ) -> impl Future<Output = Result<PrefillReply, CallError>> + Send;
 
-    /// Takes a stream up again from a token on.
+    /// Resumes a stream at the token with index `offset`.
     fn resume(
         &self,
         address: SocketAddr,
@@ -80,7 +81,7 @@
         offset: u32,
     ) -> impl Future<Output = Result<Self::Tokens, CallError>> + Send;
 
-    /// The streams that the engine holds.
+    /// Lists the streams that the engine holds.
     fn streams(
         &self,
         address: SocketAddr,
--- a/crates/engine/src/pooled_body.rs
+++ b/crates/engine/src/pooled_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, which gives its connection back when it was read to its end.
+//! A response body that returns its connection to the pool once it has been read to the end.
 
 use {
     crate::http_pool::{IdleTable, keep_idle},
@@ -15,7 +15,7 @@
     },
 };
 
-/// A body whose connection goes back to the pool. Dropped before its end, the connection is closed.
+/// A body that returns its connection to the pool at its end. If it is dropped earlier, the connection is closed.
 pub struct PooledBody<B> {
     address: SocketAddr,
     body: Incoming,
--- a/crates/engine/src/sse_reader.rs
+++ b/crates/engine/src/sse_reader.rs
@@ -1,13 +1,13 @@
-//! Splits a stream of bytes into the data of server-sent events.
+//! A parser for server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes that one event may have.
+/// The maximum size of one event.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 const DATA_FIELD: &[u8] = b"data:";
 
-/// Takes chunks of bytes and gives the data of whole events.
+/// Buffers chunks of bytes and returns the data of complete events. Fields other than `data` are ignored.
 #[derive(Debug, Default)]
 pub struct SseReader {
     buffer: BytesMut,
@@ -16,22 +16,22 @@
 }
 
 impl SseReader {
-    /// Whether bytes of an unfinished event are left.
+    /// Whether the buffer contains an incomplete event.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty() || self.data.is_some()
     }
 
-    /// Whether the event being read is larger than [`MAX_EVENT_BYTES`].
+    /// Whether the incomplete event exceeds [`MAX_EVENT_BYTES`].
     pub fn is_too_large(&self) -> bool {
         self.buffer.len() + self.data.as_ref().map_or(0, BytesMut::len) > MAX_EVENT_BYTES
     }
 
-    /// An empty reader.
+    /// Creates a reader with an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The data of the next whole event.
+    /// Returns the data of the next complete event, or `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<Bytes> {
         while let Some(line) = self.next_line() {
             if line.is_empty() {
@@ -55,7 +55,7 @@
         None
     }
 
-    /// Takes a chunk.
+    /// Appends a chunk to the buffer.
     pub fn push(&mut self, chunk: &[u8]) {
         self.buffer.extend_from_slice(chunk);
     }
--- a/crates/engine/src/token_stream.rs
+++ b/crates/engine/src/token_stream.rs
@@ -1,4 +1,4 @@
-//! The tokens of one answer, read from an engine's SSE body.
+//! Reads the tokens of an answer from an engine's SSE body.
 
 use {
     crate::{
@@ -16,24 +16,24 @@
     tokio::time,
 };
 
-/// One step of an answer.
+/// An event of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TokenEvent {
-    /// The engine's own end marker came: the answer is whole.
+    /// The engine sent its end marker: the answer is complete.
     Done {
-        /// Token counts, if the engine gave them.
+        /// The token counts, if the engine reported them.
         usage: Option<TokenUsage>,
     },
-    /// One token.
+    /// A generated token.
     Token {
         /// Set on the last token.
         finish_reason: Option<Arc<str>>,
-        /// Its text.
+        /// The text of the token.
         text: Arc<str>,
     },
 }
 
-/// One event's data: a chunk, or the engine's error.
+/// The data of one event: a chunk or an error of the engine.
 #[derive(Deserialize)]
 struct StreamData {
     #[serde(default)]
@@ -45,7 +45,7 @@
     usage: Option<TokenUsage>,
 }
 
-/// An engine's SSE body as tokens.
+/// A stream of tokens from an engine's SSE body. Tokens that are repeated after a resume are skipped.
 pub struct TokenStream {
     body: PooledBody<Full<Bytes>>,
     idle_timeout: Duration,
@@ -94,7 +94,7 @@
     }
 
     async fn finish(&mut self) -> TokenEvent {
-        // Reading on to the end gives the connection back; what comes after the marker is dropped.
+        // Reading to the end returns the connection to the pool. Anything after the marker is discarded.
         while let Ok(Some(Ok(_))) = time::timeout(self.idle_timeout, self.body.frame()).await {}
         TokenEvent::Done {
             usage: self.usage.take(),
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,14 +1,14 @@
-//! What a model engine's HTTP interface carries, in the form that disaggregated-prefill connectors publish.
+//! The messages of a model engine's HTTP interface, in the format of disaggregated-prefill connectors.
 //!
 //! | call | what it does |
 //! |---|---|
 //! | `POST /v1/completions` | runs a prompt; `kv_transfer_params` tells prefill from decode; `X-Request-Id` names the stream |
 //! | `GET /streams` | [`StreamRecord`] of each stream the engine holds |
 //! | `GET /streams/{id}?offset=N` | resumes a stream as SSE from token `N` |
-//! | `DELETE /streams/{id}` | cancels a stream, its waiting, reading, exported KV cache or decode place; 204, 404 if unknown |
+//! | `DELETE /streams/{id}` | cancels a waiting, prefilling, exported or decoding stream; 204, or 404 if unknown |
 //! | `GET /load` | [`EngineLoad`] |
 //! | `GET /cache/events?after=SEQ` | [`CacheEvents`] |
-//! | `POST /orders` | [`EngineOrder`]; 409 with [`OrderRefusal`] for an old fencing number, if it checks |
+//! | `POST /orders` | [`EngineOrder`]; 409 with [`OrderRefusal`] for an outdated fencing token, if it checks |
 //!
 //! Refusals before anything ran are 429 or 503 with [`EngineError`], whose `ran` is `false`.
 
@@ -23,25 +23,25 @@
 pub mod engine_role {
     use serde::{Deserialize, Serialize};
 
-    /// What an engine does.
+    /// The stage of requests that an engine runs.
     #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
     #[serde(rename_all = "lowercase")]
     pub enum EngineRole {
         /// Generates tokens from an imported KV cache.
         Decode,
-        /// Reads prompts and exports the KV cache.
+        /// Prefills prompts and exports their KV caches.
         Prefill,
     }
 }
 
 /// The header that names a stream.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// The data of the event that ends a whole SSE stream.
+/// The data of the event that ends a complete SSE stream.
 pub const DONE_MARKER: &str = "[DONE]";
-/// Bytes of prompt text a token, for whoever has no tokeniser.
+/// The estimated bytes of prompt text per token, for use without a tokeniser.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// How the KV cache moves.
+/// The parameters of the KV cache transfer between a prefill and a decode engine.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KvTransferParams {
     /// Set on a prefill call: keep the KV cache for a remote decode engine.
@@ -50,10 +50,10 @@
     /// Set on a decode call: import the KV cache from the remote prefill engine.
     #[serde(default)]
     pub do_remote_prefill: bool,
-    /// The handle of the exported KV cache.
+    /// The block ids that identify the exported KV cache.
     #[serde(default)]
     pub remote_block_ids: Option<Vec<u64>>,
-    /// The prefill engine.
+    /// The prefill engine's id.
     #[serde(default)]
     pub remote_engine_id: Option<Arc<str>>,
     /// The prefill engine's address.
@@ -67,25 +67,25 @@
 /// The body of `POST /v1/completions`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CompletionCall {
-    /// How the KV cache moves.
+    /// The parameters of the KV cache transfer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv_transfer_params: Option<KvTransferParams>,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u32>,
     /// The model.
     pub model: ModelId,
-    /// Lower runs first.
+    /// The scheduling priority. Lower values run first.
     #[serde(default)]
     pub priority: i32,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// Whether the answer comes as SSE.
+    /// Whether to stream the answer as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// One choice of an answer; this system asks for one.
+/// One choice of an answer. This system always requests a single choice.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CompletionChoice {
     /// `length` or `stop` on the last chunk.
@@ -94,159 +94,159 @@
     /// Always 0.
     #[serde(default)]
     pub index: u32,
-    /// The text.
+    /// The generated text.
     #[serde(default)]
     pub text: Arc<str>,
 }
 
-/// Token counts of an answer.
+/// The token counts of an answer.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TokenUsage {
-    /// Tokens generated.
+    /// Number of generated tokens.
     #[serde(default)]
     pub completion_tokens: u32,
-    /// Tokens read.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u32,
 }
 
-/// A whole answer, or one chunk of a stream: one token a chunk.
+/// A complete answer or one chunk of a stream, which carries one token.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CompletionChunk {
-    /// One choice.
+    /// At most one choice.
     #[serde(default)]
     pub choices: Vec<CompletionChoice>,
-    /// The stream's name: the call's `X-Request-Id`.
+    /// The stream's id, which is the `X-Request-Id` of the call.
     #[serde(default)]
     pub id: Arc<str>,
-    /// Set on a prefill call's answer: what to send with the decode call.
+    /// Set in the answer to a prefill call: the parameters to send with the decode call.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv_transfer_params: Option<KvTransferParams>,
     /// The model.
     #[serde(default)]
     pub model: Arc<str>,
-    /// `text_completion`.
+    /// Always `text_completion`.
     #[serde(default)]
     pub object: Arc<str>,
-    /// The offset of the chunk's token in the answer. Engines that resume streams give it; a reader drops repeats by it
-    /// and sees gaps.
+    /// The index of the chunk's token in the answer. Engines that can resume streams set it, so that a client can skip
+    /// repeated tokens and detect gaps.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_index: Option<u32>,
-    /// Set on the last chunk and on whole answers.
+    /// Set in the last chunk and in complete answers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<TokenUsage>,
 }
 
-/// An engine's error.
+/// An error that an engine reports.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineError {
     /// `full`, `evicted`, `leaving`, `model_missing`, `bad_request` or `internal`.
     pub error: Arc<str>,
-    /// Whether any of the call's work was done.
+    /// Whether any work on the call was done.
     pub ran: bool,
 }
 
-/// What a stream is doing.
+/// The phase of a stream at an engine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StreamState {
     /// Generates tokens.
     Decoding,
-    /// Its KV cache waits to be imported.
+    /// The KV cache is exported and waits to be imported.
     Exported,
-    /// Its prompt is being read.
+    /// The prompt is being prefilled.
     Prefilling,
-    /// Its KV cache crosses the link.
+    /// The KV cache is being transferred.
     Transferring,
-    /// Waits to be read.
+    /// Waits for the prefill to start.
     Waiting,
 }
 
 /// One stream that an engine holds.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StreamRecord {
-    /// Whether a connection waits for its answer; absent when the engine doesn't say.
+    /// Whether a client is connected to receive the answer. Absent if the engine does not report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub connected: Option<bool>,
-    /// Its name.
+    /// The stream's id.
     pub id: Arc<str>,
-    /// What it is doing.
+    /// The current phase.
     pub state: StreamState,
-    /// Tokens so far.
+    /// Number of tokens generated so far.
     pub tokens: u32,
 }
 
-/// What an engine says of itself.
+/// The load report of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineLoad {
-    /// Between-token seconds at one stream.
+    /// Seconds between tokens with a single stream.
     pub decode_base_seconds: f64,
-    /// Streams that its memory holds.
+    /// The number of decode slots that fit into its memory.
     pub decode_places: u32,
-    /// Between-token seconds added by each further stream.
+    /// Seconds between tokens added by each further stream.
     pub decode_slope_seconds: f64,
-    /// Streams that hold a place.
+    /// The number of decode slots in use.
     pub decode_used: u32,
-    /// How long an exported KV cache is kept, milliseconds.
+    /// How long an exported KV cache is kept, in milliseconds.
     pub eviction_ms: u64,
-    /// Bytes of KV cache a token.
+    /// KV cache bytes per token.
     pub kv_bytes_per_token: f64,
-    /// Whether it is leaving.
+    /// Whether the engine is draining.
     pub leaving: bool,
-    /// The shared link's bytes a second.
+    /// The bandwidth of the shared link in bytes per second.
     pub link_bytes_per_second: f64,
-    /// The models that it has loaded.
+    /// The loaded models.
     pub models: Vec<ModelId>,
-    /// Prompt tokens read a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: f64,
-    /// Prompt tokens waiting or being read.
+    /// Prompt tokens that are waiting or being prefilled.
     pub prefill_tokens: u64,
-    /// What it does now.
+    /// The current role.
     pub role: EngineRole,
-    /// How long ago the report was taken, milliseconds.
+    /// The age of the report in milliseconds.
     pub taken_ms_ago: u64,
 }
 
-/// Blocks that came and went since a sequence number.
+/// The cache blocks that were stored or evicted after a sequence number.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CacheEvents {
-    /// Blocks evicted.
+    /// Hashes of evicted blocks.
     pub evicted: Vec<BlockHash>,
-    /// The sequence number to ask after next.
+    /// The sequence number to pass as `after` in the next call.
     pub next: u64,
-    /// Blocks stored.
+    /// Hashes of stored blocks.
     pub stored: Vec<BlockHash>,
 }
 
-/// What an order asks for.
+/// The action that an order requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "order")]
 pub enum OrderKind {
-    /// Change role.
+    /// Switch to another role.
     ChangeRole {
         /// The new role.
         role: EngineRole,
     },
     /// Load a model.
     LoadModel {
-        /// The model.
+        /// The model to load.
         model: ModelId,
     },
 }
 
-/// An order with the fencing number of whoever gives it.
+/// An order with the fencing token of its sender.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineOrder {
-    /// The fencing number.
+    /// The fencing token.
     pub fence: FencingToken,
-    /// What it asks for.
+    /// The requested action.
     #[serde(flatten)]
     pub kind: OrderKind,
 }
 
-/// The refusal of an order with an old fencing number.
+/// The refusal of an order with an outdated fencing token.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderRefusal {
-    /// The greatest fencing number seen.
+    /// The highest fencing token that the engine has seen.
     pub seen: FencingToken,
 }
