--- a/crates/door/src/admission_gate.rs
+++ b/crates/door/src/admission_gate.rs
@@ -1,4 +1,4 @@
-//! Counts the open requests, and lets none in once the instance closes.
+//! Limits the number of open requests and refuses new ones during shutdown.
 
 use {
     kernel::{ResultCode, ShutdownSignal},
@@ -9,42 +9,42 @@
     tokio::sync::Notify,
 };
 
-/// Lets requests in, up to a limit, until it is shut.
+/// Admits requests up to a limit until it is closed.
 #[derive(Debug)]
 pub struct AdmissionGate {
-    emptied: Notify,
+    drained: Notify,
     limit: usize,
     open: AtomicUsize,
-    shut: ShutdownSignal,
+    closed: ShutdownSignal,
 }
 
-/// The right of one request to be worked on; given back when dropped.
+/// Counts one request as open until it is dropped.
 #[derive(Debug)]
 pub struct GatePass {
     gate: Arc<AdmissionGate>,
 }
 
 impl AdmissionGate {
-    /// Waits until no request is open.
-    pub async fn empty(&self) {
+    /// Waits until no requests are open.
+    pub async fn wait_drained(&self) {
         loop {
-            let emptied = self.emptied.notified();
+            let drained = self.drained.notified();
             if self.open() == 0 {
                 return;
             }
-            emptied.await;
+            drained.await;
         }
     }
 
-    /// Lets one request in.
+    /// Admits one request.
     ///
     /// # Errors
     ///
-    /// The code of the refusal, when the gate is shut or full.
+    /// [`ResultCode::Closing`] if the gate is closed, [`ResultCode::QueueFull`] if the limit is reached.
     pub fn enter(self: &Arc<Self>) -> Result<GatePass, ResultCode> {
         let before = self.open.fetch_add(1, Ordering::AcqRel);
         let pass = GatePass { gate: self.clone() };
-        if self.shut.is_raised() {
+        if self.closed.is_raised() {
             return Err(ResultCode::Closing);
         }
         if before >= self.limit {
@@ -53,31 +53,31 @@
         Ok(pass)
     }
 
-    /// An open gate.
+    /// Creates a gate that admits up to `limit` requests at once.
     pub fn new(limit: usize) -> Self {
         Self {
-            emptied: Notify::new(),
+            drained: Notify::new(),
             limit,
             open: AtomicUsize::new(0),
-            shut: ShutdownSignal::new(),
+            closed: ShutdownSignal::new(),
         }
     }
 
-    /// How many requests are open.
+    /// The number of open requests.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Lets no further request in.
-    pub fn shut(&self) {
-        self.shut.raise();
+    /// Refuses all further requests.
+    pub fn close(&self) {
+        self.closed.raise();
     }
 }
 
 impl Drop for GatePass {
     fn drop(&mut self) {
         if self.gate.open.fetch_sub(1, Ordering::AcqRel) == 1 {
-            self.gate.emptied.notify_waiters();
+            self.gate.drained.notify_waiters();
         }
     }
 }
--- a/crates/door/src/ticket_forward.rs
+++ b/crates/door/src/ticket_forward.rs
@@ -1,10 +1,10 @@
-//! Passing a request on to the instance that holds its ticket, and its answer back.
+//! Forwards a request to the instance that holds its ticket and streams the answer back.
 
 use {
     crate::{
         admission_gate::GatePass,
         error_answer::ErrorAnswer,
-        ticket_answer::code_of,
+        ticket_answer::result_code,
         ticket_frame::{
             BODY_FRAME, ELSEWHERE_FRAME, END_FRAME, ElsewhereReply, HEAD_FRAME, ReplyHead,
             TICKET_TAG, read_value, send_body, send_value,
@@ -23,39 +23,39 @@
     std::time::Duration,
 };
 
-/// When to ask again for the outcome of a request whose origin is silent.
+/// `Retry-After` for a request whose origin does not answer.
 const GONE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What passing a request on came to.
-pub(crate) enum ForwardEnd {
-    /// The origin's answer. The request comes back when the origin said that it did not run.
+/// The outcome of forwarding a request.
+pub(crate) enum ForwardOutcome {
+    /// The origin's answer, and the request if the origin confirmed that it did not run.
     Answered(Response, Option<UnsentRequest<TicketRequest>>),
-    /// The tickets are not held there, but by the named life, if that is known.
+    /// The ticket is not held there. The incarnation that holds it, or `None` if that is unknown.
     Elsewhere(UnsentRequest<TicketRequest>, Option<IncarnationKey>),
-    /// It left this instance, and no answer came.
+    /// The request was sent, but no answer arrived, so it may have run.
     Lost(Response),
-    /// It never left this instance.
+    /// The request was never sent.
     Unreachable(UnsentRequest<TicketRequest>),
 }
 
-/// A session on which an answer comes back. Dropping it tells the origin that the caller is gone.
+/// The session that carries the answer back. Dropping it signals to the origin that the caller has disconnected.
 struct ReplyStream {
     _pass: Option<GatePass>,
     receiver: SessionReceiver,
     sender: SessionSender,
 }
 
-/// Passes a request on to `holder`, which holds the life of `ticket`.
+/// Forwards a request to `holder`, which holds the tickets issued by the incarnation in `ticket`.
 pub(crate) async fn forward(
     endpoint: &PeerEndpoint,
     holder: &IncarnationKey,
     ticket: &Ticket,
     unsent: UnsentRequest<TicketRequest>,
     pass: Option<GatePass>,
-) -> ForwardEnd {
+) -> ForwardOutcome {
     let session = endpoint.open_session(&holder.instance, TICKET_TAG).await;
     let Ok((sender, receiver)) = session else {
-        return ForwardEnd::Unreachable(unsent);
+        return ForwardOutcome::Unreachable(unsent);
     };
     let (request, sent) = unsent.dispatch();
     let mut stream = ReplyStream {
@@ -73,7 +73,7 @@
         ELSEWHERE_FRAME => {
             let reply: Option<ElsewhereReply> = read_value(&frame.body);
             let unsent = sent.into_unsent(NotRunEvidence::not_held(), request);
-            ForwardEnd::Elsewhere(unsent, reply.and_then(|reply| reply.holder))
+            ForwardOutcome::Elsewhere(unsent, reply.and_then(|reply| reply.holder))
         }
         HEAD_FRAME => match read_value(&frame.body) {
             Some(head) => answered(stream.into_response(head), sent, request),
@@ -83,7 +83,7 @@
     }
 }
 
-/// The answer when nobody who knows the ticket can be asked: an earlier submission of it may have run.
+/// The answer if no instance that knows the ticket can be reached. An earlier submission of it may have run.
 pub(crate) fn origin_gone(detail: &str) -> Response {
     ErrorAnswer::of(ResultCode::OriginGone)
         .with_detail(detail)
@@ -91,9 +91,9 @@
         .into_response()
 }
 
-/// The request is unsent again when its origin said that it did not run, and never will by its ticket.
-fn answered(response: Response, sent: SentRequest, request: TicketRequest) -> ForwardEnd {
-    let reply = reply_of(&response);
+/// Returns the request as unsent if the origin confirmed that it did not run and never will under its ticket.
+fn answered(response: Response, sent: SentRequest, request: TicketRequest) -> ForwardOutcome {
+    let reply = origin_reply(&response);
     let unsent = match NotRunEvidence::from_origin(&reply) {
         Some(evidence) => Some(sent.into_unsent(evidence, request)),
         None => {
@@ -101,19 +101,19 @@
             None
         }
     };
-    ForwardEnd::Answered(response, unsent)
+    ForwardOutcome::Answered(response, unsent)
 }
 
-fn lost(sent: SentRequest) -> ForwardEnd {
+fn lost(sent: SentRequest) -> ForwardOutcome {
     let outcome = sent.unknown::<()>(ResultCode::OriginGone);
     debug_assert_eq!(outcome.code(), ResultCode::OriginGone);
-    ForwardEnd::Lost(origin_gone(
+    ForwardOutcome::Lost(origin_gone(
         "the instance that holds the ticket took the request and gave no answer",
     ))
 }
 
-fn reply_of(response: &Response) -> OriginReply<()> {
-    match code_of(response) {
+fn origin_reply(response: &Response) -> OriginReply<()> {
+    match result_code(response) {
         Some(ResultCode::Answered) => OriginReply::Answered(()),
         Some(ResultCode::TicketUsed) => OriginReply::Used,
         Some(code) if code.not_run() => OriginReply::NotRun(code),
@@ -123,7 +123,7 @@
 }
 
 impl ReplyStream {
-    /// The answer with its body, which streams.
+    /// Builds the response with a streamed body.
     fn into_response(self, head: ReplyHead) -> Response {
         let chunks = stream::unfold(Some(self), |stream| async {
             let mut stream = stream?;
--- a/crates/door/src/ticket_host.rs
+++ b/crates/door/src/ticket_host.rs
@@ -1,16 +1,16 @@
-//! What other instances ask of the tickets here.
+//! Serves ticket queries, forwarded requests and hand-overs from other instances.
 
 use {
     crate::{
-        ticket_desk::TicketDesk,
-        ticket_door::{LocalEnd, TicketDoor},
+        ticket_dispatcher::{LocalOutcome, TicketDispatcher},
         ticket_frame::{
-            BODY_FRAME, CHUNK_BYTES, ELSEWHERE_FRAME, END_FRAME, ElsewhereReply,
-            FINAL_RECORDS_FRAME, ForwardHead, HAND_OVER_FRAME, HAND_OVER_REPLY_FRAME, HEAD_FRAME,
-            HandOverAnswer, ReplyHead, SuccessorNotice, TicketHandOver, TicketQuery, read_body,
+            BODY_FRAME, ELSEWHERE_FRAME, END_FRAME, ElsewhereReply, FINAL_RECORDS_FRAME,
+            ForwardHead, HAND_OVER_FRAME, HAND_OVER_REPLY_FRAME, HEAD_FRAME, HandOverAnswer,
+            MAX_CHUNK_BYTES, ReplyHead, SuccessorNotice, TicketHandOver, TicketQuery, read_body,
             read_value, send_value,
         },
-        ticket_metrics::ticket_happening,
+        ticket_metrics::ticket_event,
+        ticket_registry::TicketRegistry,
         ticket_request::TicketRequest,
     },
     axum::{body::Body, response::Response},
@@ -23,12 +23,12 @@
     tokio::sync::mpsc,
 };
 
-/// The largest hand-over that is taken.
-const HAND_OVER_BYTES: usize = 64 << 20;
+/// The maximum size of a hand-over. Larger ones are dropped.
+const MAX_HAND_OVER_BYTES: usize = 64 << 20;
 
-impl<S: RowStore + 'static> TicketDoor<S> {
-    /// Serves other instances for as long as it is driven.
-    pub async fn run_peers(
+impl<S: RowStore + 'static> TicketDispatcher<S> {
+    /// Serves other instances until `incoming` is closed.
+    pub async fn serve_peers(
         self: Arc<Self>,
         mut incoming: mpsc::Receiver<PeerIncoming>,
         pool: WorkerPool,
@@ -36,32 +36,32 @@
         while let Some(incoming) = incoming.recv().await {
             match incoming {
                 PeerIncoming::Call { body, reply, .. } => {
-                    let answer = read_value(&body).and_then(|query| self.desk.answer(&query));
+                    let answer = read_value(&body).and_then(|query| self.registry.answer(&query));
                     let Ok(answer) = wire::encode(&answer) else {
                         continue;
                     };
                     reply.send(answer);
                 }
-                PeerIncoming::Message { body, .. } => self.desk.take_notice(&body),
+                PeerIncoming::Message { body, .. } => self.registry.apply_notice(&body),
                 PeerIncoming::Session {
                     receiver, sender, ..
                 } => {
-                    let door = self.clone();
-                    pool.spawn(async move { door.serve_session(receiver, sender).await });
+                    let dispatcher = self.clone();
+                    pool.spawn(async move { dispatcher.serve_session(receiver, sender).await });
                 }
             }
         }
     }
 
     async fn serve_session(&self, mut receiver: SessionReceiver, mut sender: SessionSender) {
-        // Held to the last acknowledged frame, so that a close waits for it.
+        // Held until the last frame is acknowledged, so that a shutdown waits for it.
         let _pass = self.gate.enter().ok();
         let Ok(Some(first)) = receiver.receive().await else {
             return;
         };
         match first.tag {
-            FINAL_RECORDS_FRAME => self.take_ends(&mut receiver, &mut sender).await,
-            HAND_OVER_FRAME => self.take_hand_over(&mut receiver, &mut sender).await,
+            FINAL_RECORDS_FRAME => self.accept_final_records(&mut receiver, &mut sender).await,
+            HAND_OVER_FRAME => self.accept_hand_over(&mut receiver, &mut sender).await,
             HEAD_FRAME => {
                 let Some(head) = read_value(&first.body) else {
                     return;
@@ -73,7 +73,7 @@
         sender.close().await;
     }
 
-    /// Runs the request of a peer's caller. A peer that breaks the session off cancels it.
+    /// Runs a forwarded request. It is cancelled if the peer closes the session.
     async fn serve_request(
         &self,
         head: ForwardHead,
@@ -87,14 +87,15 @@
         let Some(request) = TicketRequest::from_parts(head, body.into()) else {
             return;
         };
-        self.desk.metrics.count(ticket_happening::SERVED);
+        self.registry.metrics.count(ticket_event::SERVED_FOR_PEER);
         let unsent = UnsentRequest::from_caller(request);
-        // After its request the peer says nothing more: any word, or the end, means that its caller is gone.
-        let gone = receiver.receive();
+        // The peer sends nothing after its request. Any further frame, or the end, means that its caller has
+        // disconnected.
+        let disconnected = receiver.receive();
         let answering = self.answer_peer(&ticket, unsent, sender);
         tokio::select! {
             () = answering => {}
-            _ = gone => {}
+            _ = disconnected => {}
         }
     }
 
@@ -105,37 +106,41 @@
         sender: &mut SessionSender,
     ) {
         match self.submit_here(ticket, unsent).await {
-            LocalEnd::Answered(response, _) => send_response(sender, response).await,
-            LocalEnd::Elsewhere(_, life) => {
+            LocalOutcome::Answered(response, _) => send_response(sender, response).await,
+            LocalOutcome::Elsewhere(_, life) => {
                 let holder = Some(life).filter(|life| *life != ticket.life);
-                // A peer that is gone needs no answer.
+                // A peer that has closed the session needs no answer.
                 let _ = send_value(sender, ELSEWHERE_FRAME, &ElsewhereReply { holder }).await;
             }
         }
     }
 
-    async fn take_ends(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
-        let Some(content) = read_body(receiver, HAND_OVER_BYTES).await else {
+    async fn accept_final_records(
+        &self,
+        receiver: &mut SessionReceiver,
+        sender: &mut SessionSender,
+    ) {
+        let Some(content) = read_body(receiver, MAX_HAND_OVER_BYTES).await else {
             return;
         };
         let Some(message) = read_value::<TicketHandOver>(&content) else {
             return;
         };
-        self.desk.learn_ends(message);
+        self.registry.learn_final_records(message);
         self.answer_hand_over(sender, HandOverReply::Accepted).await;
     }
 
     async fn answer_hand_over(&self, sender: &mut SessionSender, reply: HandOverReply) {
         let answer = HandOverAnswer {
-            from: self.desk.life.clone(),
+            from: self.registry.life.clone(),
             reply,
         };
-        // The sender asks again when this is lost.
+        // The sender retries if the reply is lost.
         let _ = send_value(sender, HAND_OVER_REPLY_FRAME, &answer).await;
     }
 
-    async fn take_hand_over(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
-        let Some(content) = read_body(receiver, HAND_OVER_BYTES).await else {
+    async fn accept_hand_over(&self, receiver: &mut SessionReceiver, sender: &mut SessionSender) {
+        let Some(content) = read_body(receiver, MAX_HAND_OVER_BYTES).await else {
             return;
         };
         let Some(message) = read_value::<TicketHandOver>(&content) else {
@@ -143,18 +148,18 @@
         };
         let lives: Vec<IncarnationKey> =
             message.lives.iter().map(|life| life.life.clone()).collect();
-        let reply = self.desk.accept(message);
+        let reply = self.registry.accept_hand_over(message);
         if reply == HandOverReply::Accepted {
-            tracing::info!(lives = lives.len(), "tickets are taken over");
-            self.desk.metrics.count(ticket_happening::TAKEN_OVER);
-            let successor = self.desk.life.clone();
+            tracing::info!(lives = lives.len(), "tickets taken over");
+            self.registry.metrics.count(ticket_event::TAKEN_OVER);
+            let successor = self.registry.life.clone();
             self.peers.notify(&SuccessorNotice { lives, successor });
         }
         self.answer_hand_over(sender, reply).await;
     }
 }
 
-impl TicketDesk {
+impl TicketRegistry {
     fn answer(&self, query: &TicketQuery) -> Option<IncarnationKey> {
         match query {
             TicketQuery::Holder(life) => self.holder(life),
@@ -162,7 +167,7 @@
         }
     }
 
-    fn take_notice(&self, body: &[u8]) {
+    fn apply_notice(&self, body: &[u8]) {
         let Some(notice) = read_value::<SuccessorNotice>(body) else {
             return;
         };
@@ -170,12 +175,12 @@
             if life == self.life {
                 continue;
             }
-            self.learn(life, notice.successor.clone());
+            self.record_successor(life, notice.successor.clone());
         }
     }
 }
 
-/// Sends an answer with its body; a peer that is gone ends it, which cancels what still runs.
+/// Sends an answer with its body. If the peer has closed the session, the body is dropped, which cancels the run.
 async fn send_response(sender: &mut SessionSender, response: Response) {
     let head = ReplyHead::of(&response);
     if send_value(sender, HEAD_FRAME, &head).await.is_err() {
@@ -187,13 +192,13 @@
     let _ = sender.send(END_FRAME, &[]).await;
 }
 
-/// Sends the pieces of a body; none when it breaks off.
+/// Sends a body in chunks. Returns `None` if the body or the session breaks off.
 async fn send_frames(sender: &mut SessionSender, mut body: Body) -> Option<()> {
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
-        for chunk in data.chunks(CHUNK_BYTES) {
+        for chunk in data.chunks(MAX_CHUNK_BYTES) {
             sender.send(BODY_FRAME, chunk).await.ok()?;
         }
     }
--- a/crates/door/src/ticket_mint.rs
+++ b/crates/door/src/ticket_mint.rs
@@ -1,10 +1,10 @@
-//! `POST /v1/tickets`.
+//! `POST /v1/tickets`: issues tickets.
 
 use {
     crate::{
         completion_handler::read_body,
         error_answer::{ErrorAnswer, RESULT_HEADER},
-        ticket_door::TicketDoor,
+        ticket_dispatcher::TicketDispatcher,
     },
     axum::{
         Json,
@@ -20,14 +20,14 @@
     std::time::Duration,
 };
 
-/// How long a ticket is good for when its caller says nothing.
+/// The lifetime of a ticket if the caller does not specify one.
 const DEFAULT_LIFETIME: Duration = Duration::from_secs(600);
-/// The longest body of a call for a ticket.
-const MINT_BODY_BYTES: usize = 4 << 10;
+/// The maximum size of a request body.
+const MAX_MINT_BODY_BYTES: usize = 4 << 10;
 const MINT_RETRY_AFTER: Duration = Duration::from_secs(1);
-const SHORTEST_LIFETIME: Duration = Duration::from_millis(1);
+const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
-/// The body of a call for a ticket; it may be absent.
+/// The request body, which may be empty.
 #[serde_as]
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -37,7 +37,7 @@
     lifetime: Option<Duration>,
 }
 
-/// A new ticket.
+/// The response body: the new ticket and its actual lifetime.
 #[serde_as]
 #[derive(Debug, Serialize)]
 struct MintReply {
@@ -47,7 +47,7 @@
     ticket: Ticket,
 }
 
-impl<S: RowStore + 'static> TicketDoor<S> {
+impl<S: RowStore + 'static> TicketDispatcher<S> {
     /// Handles `POST /v1/tickets`.
     pub(crate) async fn handle_mint(&self, request: Request<Body>) -> Response {
         match self.mint(request).await {
@@ -62,17 +62,17 @@
     }
 
     async fn mint(&self, request: Request<Body>) -> Result<MintReply, ErrorAnswer> {
-        let body = read_body(request, MINT_BODY_BYTES).await?;
+        let body = read_body(request, MAX_MINT_BODY_BYTES).await?;
         let body: MintBody = match body.is_empty() {
             true => MintBody::default(),
             false => serde_json::from_slice(&body)
                 .map_err(|error| ErrorAnswer::of(ResultCode::RequestInvalid).with_detail(error))?,
         };
         let lifetime = body.lifetime.unwrap_or(DEFAULT_LIFETIME);
-        let lifetime = lifetime.clamp(SHORTEST_LIFETIME, self.desk.max_expiry);
+        let lifetime = lifetime.clamp(MIN_LIFETIME, self.registry.max_expiry);
         let refused = |code| ErrorAnswer::of(code).with_retry_after(MINT_RETRY_AFTER);
         let _pass = self.gate.enter().map_err(refused)?;
-        let ticket = self.desk.mint(lifetime).map_err(refused)?;
+        let ticket = self.registry.mint(lifetime).map_err(refused)?;
         Ok(MintReply { lifetime, ticket })
     }
 }
--- a/crates/door/src/ticket_run.rs
+++ b/crates/door/src/ticket_run.rs
@@ -1,11 +1,11 @@
-//! One run under a ticket, until its table has heard what became of it.
+//! Ensures that the outcome of every run under a ticket is recorded.
 
 use {
     crate::{
-        ticket_answer::{TicketAnswer, code_of},
-        ticket_body::KeptBody,
-        ticket_desk::TicketDesk,
+        ticket_answer::{TicketAnswer, result_code},
+        ticket_body::RecordingBody,
         ticket_frame::ReplyHead,
+        ticket_registry::TicketRegistry,
     },
     axum::{body::Body, response::Response},
     claim::{NotRunEvidence, RunTicket, SentRequest, UnsentRequest},
@@ -13,53 +13,54 @@
     std::sync::Arc,
 };
 
-/// The outcome of a run whose caller went away before it ended.
+/// The outcome of a run whose caller disconnected before it ended.
 const ABANDONED: ResultCode = ResultCode::StreamCut;
 
-/// A run whose outcome the table has not heard yet. Dropped before, its outcome is unknown.
+/// A run whose outcome is not recorded yet. If it is dropped, the outcome is recorded as unknown.
 #[derive(Debug)]
 pub(crate) struct RunGuard {
-    desk: Arc<TicketDesk>,
+    registry: Arc<TicketRegistry>,
     run: Option<(RunTicket, SentRequest)>,
 }
 
 impl RunGuard {
-    /// The whole answer was read from the upstream.
+    /// Records the complete answer of the upstream.
     pub(crate) fn finish(mut self, answer: TicketAnswer) {
         if let Some((run, sent)) = self.run.take() {
-            self.desk.finish(run, sent, answer);
+            self.registry.finish(run, sent, answer);
         }
     }
 
-    /// The outcome is unknown, for this reason.
-    pub(crate) fn lose(mut self, code: ResultCode) {
+    /// Records that the outcome is unknown, with `code` as the reason.
+    pub(crate) fn mark_unknown(mut self, code: ResultCode) {
         if let Some((run, sent)) = self.run.take() {
-            self.desk.lose(run, sent, code);
+            self.registry.record_unknown(run, sent, code);
         }
     }
 
-    /// A run that has begun.
-    pub(crate) fn new(desk: Arc<TicketDesk>, run: RunTicket, sent: SentRequest) -> Self {
+    /// Guards a run that has started.
+    pub(crate) fn new(registry: Arc<TicketRegistry>, run: RunTicket, sent: SentRequest) -> Self {
         Self {
-            desk,
+            registry,
             run: Some((run, sent)),
         }
     }
 
-    /// Settles the run by the answer of its handler. The body of a whole answer settles it at its end.
+    /// Records the outcome that the response of the handler shows. For a successful response this happens when its body
+    /// is complete.
     pub(crate) fn settle(mut self, response: Response) -> Response {
-        let code = code_of(&response).unwrap_or(ResultCode::UpstreamGarbled);
+        let code = result_code(&response).unwrap_or(ResultCode::UpstreamGarbled);
         if code == ResultCode::Answered {
             let head = ReplyHead::of(&response);
-            return response.map(|body| Body::new(KeptBody::new(body, head, self)));
+            return response.map(|body| Body::new(RecordingBody::new(body, head, self)));
         }
         let Some(evidence) = NotRunEvidence::from_verdict(code) else {
-            self.lose(code);
+            self.mark_unknown(code);
             return response;
         };
         if let Some((run, sent)) = self.run.take() {
             let (permit, unsent): (_, UnsentRequest<()>) = run.into_unsent(sent, evidence, ());
-            self.desk.refuse(permit, unsent, code);
+            self.registry.refuse(permit, unsent, code);
         }
         response
     }
@@ -68,7 +69,7 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         if let Some((run, sent)) = self.run.take() {
-            self.desk.lose(run, sent, ABANDONED);
+            self.registry.record_unknown(run, sent, ABANDONED);
         }
     }
 }
