--- a/crates/bench/src/path/path_world.rs
+++ b/crates/bench/src/path/path_world.rs
@@ -171,7 +171,7 @@
         .role(role)
         .build();
     let links = EngineLinks::new(&settings);
-    StandInEngine::start_on(settings, links)
+    StandInEngine::start_with_links(settings, links)
         .await
         .context(FakeStartSnafu)
 }
--- a/crates/fake/src/expected_answer.rs
+++ b/crates/fake/src/expected_answer.rs
@@ -44,29 +44,29 @@
 pub fn expected_length(prompt: &str, max_tokens: u32, spread: LengthSpread) -> u32 {
     let share = spread.least_share.clamp(0.0, 1.0);
     let limit = f64::from(max_tokens);
-    let least = (limit * share).ceil();
-    let draw = f64::from(length_draw(prompt)) / f64::from(u32::MAX);
-    let length = least + (limit - least) * draw;
+    let minimum = (limit * share).ceil();
+    let fraction = f64::from(sample_length_hash(prompt)) / f64::from(u32::MAX);
+    let length = minimum + (limit - minimum) * fraction;
     (length.round() as u32).clamp(1, max_tokens.max(1))
 }
 
 /// The token at `index` of the answer: 8 digits of the prompt's hash, a dash, the index, and a space.
 pub fn expected_token(prompt: &str, index: u32) -> Arc<str> {
-    token_text(&prompt_digits(prompt), index)
+    token_text(&prompt_digest(prompt), index)
 }
 
 /// The first `length` tokens of the answer.
 pub fn expected_text(prompt: &str, length: u32) -> String {
-    let digits = prompt_digits(prompt);
+    let digest = prompt_digest(prompt);
     let mut text = String::new();
     for index in 0..length {
-        text.push_str(&token_text(&digits, index));
+        text.push_str(&token_text(&digest, index));
     }
     text
 }
 
 /// 8 hexadecimal digits that tell the prompt.
-pub fn prompt_digits(prompt: &str) -> String {
+pub fn prompt_digest(prompt: &str) -> String {
     let hash = mix(0, prompt.as_bytes());
     format!("{:08x}", hash >> u32::BITS)
 }
@@ -77,11 +77,11 @@
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
 
-/// The token at `index` of the answer to the prompt with these digits.
-pub(crate) fn token_text(digits: &str, index: u32) -> Arc<str> {
-    Arc::from(format!("{digits}-{index} "))
+/// The token at `index` of the answer to the prompt with these digest.
+pub(crate) fn token_text(digest: &str, index: u32) -> Arc<str> {
+    Arc::from(format!("{digest}-{index} "))
 }
 
-fn length_draw(prompt: &str) -> u32 {
+fn sample_length_hash(prompt: &str) -> u32 {
     (mix(1, prompt.as_bytes()) >> u32::BITS) as u32
 }
--- a/crates/fake/src/share_table.rs
+++ b/crates/fake/src/fair_share_table.rs
@@ -6,35 +6,35 @@
 };
 
 /// What is left of a job that counts as done: so many seconds of work at the whole rate.
-const SLACK_SECONDS: f64 = 2e-9;
+const COMPLETION_TOLERANCE_SECONDS: f64 = 2e-9;
 
 /// Jobs by key, each with the units that are left of it.
 #[derive(Clone, Debug)]
-pub struct ShareTable<K> {
+pub struct FairShareTable<K> {
     jobs: BTreeMap<K, f64>,
     rate: f64,
     updated: Option<Instant>,
 }
 
-impl<K: Clone + Ord> ShareTable<K> {
-    /// Brings the jobs up to `now` and takes out those that ended, in the order of their ends.
+impl<K: Clone + Ord> FairShareTable<K> {
+    /// Brings the jobs up to `now` and takes out those that completed, in the order of their ends.
     pub fn advance(&mut self, now: Instant) -> Vec<K> {
-        let mut ended = Vec::new();
-        let mut seconds = self.seconds_to(now);
+        let mut completed = Vec::new();
+        let mut seconds = self.elapsed_seconds(now);
         loop {
-            self.take_done(&mut ended);
-            let Some(first_end) = self.seconds_to_first_end() else {
+            self.take_completed(&mut completed);
+            let Some(next_completion) = self.seconds_to_next_completion() else {
                 break;
             };
-            let step = first_end.min(seconds);
-            self.work_off(step);
+            let step = next_completion.min(seconds);
+            self.consume(step);
             seconds -= step;
             if seconds <= 0.0 {
-                self.take_done(&mut ended);
+                self.take_completed(&mut completed);
                 break;
             }
         }
-        ended
+        completed
     }
 
     /// Whether no job is there.
@@ -48,7 +48,7 @@
     }
 
     /// The units that are left of a job, as of the last [`Self::advance`].
-    pub fn left(&self, key: &K) -> Option<f64> {
+    pub fn remaining(&self, key: &K) -> Option<f64> {
         self.jobs.get(key).copied()
     }
 
@@ -62,8 +62,8 @@
     }
 
     /// When the first job ends if none comes or goes.
-    pub fn next_end(&self) -> Option<Instant> {
-        let seconds = self.seconds_to_first_end()?;
+    pub fn next_completion(&self) -> Option<Instant> {
+        let seconds = self.seconds_to_next_completion()?;
         let wait =
             Duration::try_from_secs_f64(seconds).unwrap_or(Duration::from_secs(u32::MAX.into()));
         Some(self.updated? + wait + Duration::from_nanos(1))
@@ -80,31 +80,34 @@
         self.jobs.remove(key)
     }
 
-    fn seconds_to(&mut self, now: Instant) -> f64 {
+    fn elapsed_seconds(&mut self, now: Instant) -> f64 {
         let updated = self.updated.replace(now).unwrap_or(now);
         now.saturating_duration_since(updated).as_secs_f64()
     }
 
-    fn seconds_to_first_end(&self) -> Option<f64> {
-        let least = self.jobs.values().copied().reduce(f64::min)?;
-        Some(least * self.jobs.len() as f64 / self.rate)
+    fn seconds_to_next_completion(&self) -> Option<f64> {
+        let smallest = self.jobs.values().copied().reduce(f64::min)?;
+        Some(smallest * self.jobs.len() as f64 / self.rate)
     }
 
-    fn take_done(&mut self, ended: &mut Vec<K>) {
-        let slack = if self.rate.is_finite() {
-            self.rate * SLACK_SECONDS
+    fn take_completed(&mut self, completed: &mut Vec<K>) {
+        let tolerance = if self.rate.is_finite() {
+            self.rate * COMPLETION_TOLERANCE_SECONDS
         } else {
             f64::INFINITY
         };
-        for (key, _) in self.jobs.extract_if(.., |_, left| *left <= slack) {
-            ended.push(key);
+        for (key, _) in self
+            .jobs
+            .extract_if(.., |_, remaining| *remaining <= tolerance)
+        {
+            completed.push(key);
         }
     }
 
-    fn work_off(&mut self, seconds: f64) {
+    fn consume(&mut self, seconds: f64) {
         let done = seconds * self.rate / self.jobs.len() as f64;
-        for left in self.jobs.values_mut() {
-            *left -= done;
+        for remaining in self.jobs.values_mut() {
+            *remaining -= done;
         }
     }
 }
--- a/crates/fake/src/model/cache_log.rs
+++ b/crates/fake/src/model/cache_event_log.rs
@@ -13,27 +13,27 @@
 };
 
 /// How many events are kept.
-const LOG_LENGTH: usize = 65_536;
+const MAX_LOG_ENTRIES: usize = 65_536;
 
 #[derive(Clone, Debug)]
-struct CacheEntry {
+struct CacheEventEntry {
     block: BlockHash,
-    happened: Instant,
+    occurred_at: Instant,
     sequence: u64,
-    stored: bool,
+    is_stored: bool,
 }
 
 /// Events by sequence number.
 #[derive(Clone, Debug)]
-pub(super) struct CacheLog {
+pub(super) struct CacheEventLog {
     delay: Duration,
-    entries: VecDeque<CacheEntry>,
+    entries: VecDeque<CacheEventEntry>,
     gap_probability: f64,
     rng: Pcg64Mcg,
     sequence: u64,
 }
 
-impl CacheLog {
+impl CacheEventLog {
     /// The events after a sequence number that are old enough to show.
     pub(super) fn events(&self, now: Instant, after: u64) -> CacheEvents {
         let mut events = CacheEvents {
@@ -44,11 +44,11 @@
             if entry.sequence <= after {
                 continue;
             }
-            if entry.happened + self.delay > now {
+            if entry.occurred_at + self.delay > now {
                 break;
             }
             events.next = entry.sequence;
-            match entry.stored {
+            match entry.is_stored {
                 false => events.evicted.push(entry.block),
                 true => events.stored.push(entry.block),
             }
@@ -77,18 +77,18 @@
         }
     }
 
-    fn push(&mut self, happened: Instant, block: BlockHash, stored: bool) {
+    fn push(&mut self, occurred_at: Instant, block: BlockHash, is_stored: bool) {
         self.sequence += 1;
         if self.rng.random_bool(self.gap_probability) {
             return;
         }
-        self.entries.push_back(CacheEntry {
+        self.entries.push_back(CacheEventEntry {
             block,
-            happened,
+            occurred_at,
             sequence: self.sequence,
-            stored,
+            is_stored,
         });
-        if self.entries.len() > LOG_LENGTH {
+        if self.entries.len() > MAX_LOG_ENTRIES {
             self.entries.pop_front();
         }
     }
--- a/crates/fake/src/model/run_guard.rs
+++ b/crates/fake/src/model/connection_guard.rs
@@ -4,19 +4,19 @@
 
 /// Tells the engine that the connection is gone, unless the run ended first.
 #[derive(Debug)]
-pub(super) struct RunGuard {
+pub(super) struct ConnectionGuard {
     driver: EngineDriver,
     run: RunId,
 }
 
-impl RunGuard {
+impl ConnectionGuard {
     /// A guard of one connection that the engine counts already.
     pub(super) fn new(driver: EngineDriver, run: RunId) -> Self {
         Self { driver, run }
     }
 }
 
-impl Drop for RunGuard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.driver.handle(EngineEvent::Disconnected(self.run));
     }
--- a/crates/fake/src/model/core_decode.rs
+++ b/crates/fake/src/model/core_decode.rs
@@ -2,11 +2,11 @@
 
 use {
     super::{
-        engine_core::{EngineCore, release},
+        engine_core::{EngineCore, release_action},
         engine_event::{EngineAction, KvAnswer, KvRecord},
         engine_run::{EngineRun, RunEnd, RunId, RunPhase},
     },
-    crate::expected_answer::prompt_digits,
+    crate::expected_answer::prompt_digest,
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -20,14 +20,14 @@
             return;
         };
         let counters = &mut self.counters;
-        let digits: Arc<str> = Arc::from(prompt_digits(&run.call.prompt));
+        let digest: Arc<str> = Arc::from(prompt_digest(&run.call.prompt));
         let id = run.call.id.clone();
         *counters.decode_runs.entry(id).or_default() += 1;
-        *counters.decode_runs_by_prompt.entry(digits).or_default() += 1;
+        *counters.decode_runs_by_prompt.entry(digest).or_default() += 1;
     }
 
     /// Puts an imported stream into the batch, unless transfers stall.
-    pub(super) fn end_transfer(
+    pub(super) fn finish_transfer(
         &mut self,
         _now: Instant,
         run: RunId,
@@ -43,7 +43,7 @@
             self.stalled.insert(run);
             return;
         }
-        actions.push(release(import, true));
+        actions.push(release_action(import, true));
         imported.phase = RunPhase::Decoding;
         self.counters.transfers += 1;
     }
@@ -74,7 +74,7 @@
     }
 
     /// Takes the prefill engine's answer to a claim.
-    pub(super) fn take_kv_answer(
+    pub(super) fn handle_kv_answer(
         &mut self,
         now: Instant,
         run: RunId,
@@ -115,7 +115,7 @@
         let Some(mut stream) = self.runs.remove(&run) else {
             return;
         };
-        self.note_hold(now, &stream);
+        self.record_hold(now, &stream);
         self.counters.finished += 1;
         let view = stream.view_at_end(RunEnd::Finished);
         actions.push(EngineAction::Update { run, view });
--- a/crates/fake/src/model/core_life.rs
+++ b/crates/fake/src/model/core_lifecycle.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        engine_core::{EngineCore, release},
+        engine_core::{EngineCore, release_action},
         engine_event::{EngineAction, EngineCall},
         engine_run::{EngineRun, RunEnd, RunId, RunPhase, RunView},
     },
@@ -24,10 +24,10 @@
         self.counters.cancelled += 1;
         if let RunPhase::Claiming(import) | RunPhase::Transferring(import) = &ended.phase {
             actions.push(EngineAction::StopTransfer(run));
-            actions.push(release(import, false));
+            actions.push(release_action(import, false));
         }
         if let RunPhase::Exported { .. } = ended.phase {
-            self.counters.prompt_tokens_wasted += u64::from(ended.read_tokens);
+            self.counters.prompt_tokens_wasted += u64::from(ended.uncached_tokens);
             return;
         }
         let view = ended.view_at_end(RunEnd::Cancelled);
@@ -36,14 +36,14 @@
 
     /// Takes one connection off a run. A prefill call's connection goes once the KV cache is exported.
     pub(super) fn disconnect(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
-        let Some(left) = self.runs.get_mut(&run) else {
+        let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
-        left.connections = left.connections.saturating_sub(1);
-        if left.connections > 0 || !left.needs_connection() {
+        state.connections = state.connections.saturating_sub(1);
+        if state.connections > 0 || !state.needs_connection() {
             return;
         }
-        left.disconnected = Some(now);
+        state.disconnected = Some(now);
         if !self.settings.keep_on_disconnect {
             self.cancel(now, run, actions);
         }
@@ -67,7 +67,7 @@
     }
 
     /// Notes how long a place was held after its stream's last connection was gone.
-    pub(super) fn note_hold(&mut self, now: Instant, run: &EngineRun) {
+    pub(super) fn record_hold(&mut self, now: Instant, run: &EngineRun) {
         let Some(since) = run.disconnected else {
             return;
         };
@@ -110,10 +110,10 @@
         if let RunPhase::Exported { handle, .. } = removed.phase {
             self.exports.remove(&handle);
         }
-        if let Some(left) = self.reader.stop(&run) {
-            self.waste_partial_reading(&removed, left);
+        if let Some(remaining) = self.prefill.stop(&run) {
+            self.count_partial_prefill(&removed, remaining);
         }
-        self.note_hold(now, &removed);
+        self.record_hold(now, &removed);
         Some(removed)
     }
 
@@ -137,7 +137,7 @@
             self.refuse(run, error, actions);
             return;
         }
-        if let Some(old) = self.run_of(&call.id) {
+        if let Some(old) = self.find_run(&call.id) {
             self.cancel(now, old, actions);
         }
         let new = EngineRun {
@@ -146,16 +146,16 @@
             holds_place: !call.keep_kv,
             phase: RunPhase::Waiting,
             prompt_tokens: prompt_tokens(&call.prompt),
-            read_tokens: 0,
+            uncached_tokens: 0,
             target: self.target(&call),
             tokens: 0,
             call,
         };
         self.ids.insert(new.call.id.clone(), run);
-        self.enter(run, new, actions);
+        self.enqueue(run, new, actions);
     }
 
-    fn enter(&mut self, run: RunId, mut new: EngineRun, actions: &mut Vec<EngineAction>) {
+    fn enqueue(&mut self, run: RunId, mut new: EngineRun, actions: &mut Vec<EngineAction>) {
         if let Some(import) = new.call.import.clone() {
             new.phase = RunPhase::Claiming(import);
         }
@@ -180,22 +180,24 @@
             return;
         };
         self.counters.evicted += 1;
-        self.counters.prompt_tokens_wasted += u64::from(evicted.read_tokens);
+        self.counters.prompt_tokens_wasted += u64::from(evicted.uncached_tokens);
     }
 
     fn refusal(&self, call: &EngineCall) -> Option<&'static str> {
-        let wanted = match call.keep_kv {
+        let required = match call.keep_kv {
             false => EngineRole::Decode,
             true => EngineRole::Prefill,
         };
-        let held = self.run_of(&call.id).is_some_and(|run| self.is_held(run));
-        if held {
+        let has_duplicate = self
+            .find_run(&call.id)
+            .is_some_and(|run| self.holds_resources(run));
+        if has_duplicate {
             return Some("duplicate");
         }
         if self.faults.leaving {
             return Some("leaving");
         }
-        if self.next_role.is_some() || wanted != self.role {
+        if self.next_role.is_some() || required != self.role {
             return Some("wrong_role");
         }
         if !self.models.is_empty() && !self.models.contains(&call.model) {
--- a/crates/fake/src/model/core_orders.rs
+++ b/crates/fake/src/model/core_orders.rs
@@ -41,7 +41,7 @@
     }
 
     /// Carries an order out.
-    pub(super) fn carry_out(
+    pub(super) fn execute_order(
         &mut self,
         now: Instant,
         order: EngineOrder,
--- a/crates/fake/src/model/core_prefill.rs
+++ b/crates/fake/src/model/core_prefill.rs
@@ -15,13 +15,13 @@
     ///
     /// # Errors
     ///
-    /// [`ExportMiss`]; a claim of a KV cache that belongs to another prompt is counted.
-    pub fn find_export(&mut self, handle: KvHandle, digits: &str) -> Result<KvRecord, ExportMiss> {
+    /// [`ExportError`]; a claim of a KV cache that belongs to another prompt is counted.
+    pub fn find_export(&mut self, handle: KvHandle, digest: &str) -> Result<KvRecord, ExportError> {
         let run = self.exports.get(&handle).and_then(|run| self.runs.get(run));
-        let run = run.ok_or(ExportMiss::Evicted)?;
-        if crate::expected_answer::prompt_digits(&run.call.prompt) != digits {
+        let run = run.ok_or(ExportError::Evicted)?;
+        if crate::expected_answer::prompt_digest(&run.call.prompt) != digest {
             self.counters.kv_mismatches += 1;
-            return Err(ExportMiss::Mismatch);
+            return Err(ExportError::Mismatch);
         }
         Ok(KvRecord {
             bytes: f64::from(run.prompt_tokens) * self.settings.kv_bytes_per_token,
@@ -46,9 +46,9 @@
     }
 
     /// Ends the readings that are done by `now`.
-    pub(super) fn finish_readings(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
-        for run in self.reader.advance(now) {
-            self.finish_reading(now, run, actions);
+    pub(super) fn finish_prefills(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
+        for run in self.prefill.advance(now) {
+            self.finish_prefill(now, run, actions);
         }
     }
 
@@ -64,22 +64,22 @@
             self.ids.remove(&released.call.id);
         }
         if !used {
-            self.counters.prompt_tokens_wasted += u64::from(released.read_tokens);
+            self.counters.prompt_tokens_wasted += u64::from(released.uncached_tokens);
         }
     }
 
     /// Begins to read as many prompts as there are readers, by priority and age.
-    pub(super) fn start_readings(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
-        while self.reader.len() < self.settings.readers {
+    pub(super) fn start_prefills(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
+        while self.prefill.len() < self.settings.readers {
             let Some((_, run)) = self.waiting.pop_first() else {
                 break;
             };
-            self.start_reading(now, run, actions);
+            self.start_prefill(now, run, actions);
         }
     }
 
     /// Prompt tokens that wait or are being read.
-    pub(super) fn tokens_to_read(&self) -> u64 {
+    pub(super) fn pending_prefill_tokens(&self) -> u64 {
         let mut tokens = 0;
         for (_, run) in &self.waiting {
             tokens += self
@@ -91,16 +91,18 @@
             if state.phase != RunPhase::Prefilling {
                 continue;
             }
-            tokens += self.reader.left(run).unwrap_or_default().ceil() as u64;
+            tokens += self.prefill.remaining(run).unwrap_or_default().ceil() as u64;
         }
         tokens
     }
 
     /// Counts a reading that ended with `left` tokens to go.
-    pub(super) fn waste_partial_reading(&mut self, run: &EngineRun, left: f64) {
-        let read = (f64::from(run.read_tokens) - left).max(0.0).round() as u64;
-        self.counters.prompt_tokens_read += read;
-        self.counters.prompt_tokens_wasted += read;
+    pub(super) fn count_partial_prefill(&mut self, run: &EngineRun, remaining: f64) {
+        let prefilled = (f64::from(run.uncached_tokens) - remaining)
+            .max(0.0)
+            .round() as u64;
+        self.counters.prompt_tokens_read += prefilled;
+        self.counters.prompt_tokens_wasted += prefilled;
     }
 
     fn export(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
@@ -119,32 +121,33 @@
         actions.push(EngineAction::Update { run, view });
     }
 
-    fn finish_reading(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
-        let Some(read) = self.runs.get_mut(&run) else {
+    fn finish_prefill(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
+        let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
-        self.counters.prompt_tokens_read += u64::from(read.read_tokens);
-        let change = self.cache.store(&block_hashes(&read.call.prompt));
-        self.log.record(now, &change);
-        if read.call.keep_kv {
+        self.counters.prompt_tokens_read += u64::from(state.uncached_tokens);
+        let change = self.cache.store(&block_hashes(&state.call.prompt));
+        self.cache_events.record(now, &change);
+        if state.call.keep_kv {
             self.export(now, run, actions);
             return;
         }
-        read.phase = RunPhase::Decoding;
+        state.phase = RunPhase::Decoding;
     }
 
-    fn start_reading(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
-        let Some(read) = self.runs.get_mut(&run) else {
+    fn start_prefill(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
+        let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
-        let cached = self.cache.cached_blocks(&block_hashes(&read.call.prompt));
+        let cached = self.cache.cached_blocks(&block_hashes(&state.call.prompt));
         let cached_tokens = u32::try_from(cached * BLOCK_TOKENS).unwrap_or(u32::MAX);
-        read.phase = RunPhase::Prefilling;
-        read.read_tokens = read.prompt_tokens.saturating_sub(cached_tokens).max(1);
-        self.reader.start(now, run, f64::from(read.read_tokens));
-        let id = read.call.id.clone();
-        let decodes = !read.call.keep_kv;
-        let view = read.view();
+        state.phase = RunPhase::Prefilling;
+        state.uncached_tokens = state.prompt_tokens.saturating_sub(cached_tokens).max(1);
+        self.prefill
+            .start(now, run, f64::from(state.uncached_tokens));
+        let id = state.call.id.clone();
+        let decodes = !state.call.keep_kv;
+        let view = state.view();
         *self.counters.prefill_runs.entry(id).or_default() += 1;
         actions.push(EngineAction::Update { run, view });
         if decodes {
@@ -155,7 +158,7 @@
 
 /// Why an exported KV cache can't be had.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ExportMiss {
+pub enum ExportError {
     /// It is not there.
     Evicted,
     /// It belongs to another prompt.
--- a/crates/fake/src/model/engine_core.rs
+++ b/crates/fake/src/model/engine_core.rs
@@ -2,16 +2,16 @@
 
 use {
     super::{
-        cache_log::CacheLog,
+        cache_event_log::CacheEventLog,
         engine_counters::EngineCounters,
         engine_event::{EngineAction, EngineCall, EngineEvent, KvImport},
         engine_faults::EngineFaults,
         engine_run::{EngineRun, KvHandle, RunEnd, RunId, RunPhase, RunView},
         engine_settings::EngineSettings,
-        load_history::{LoadHistory, LoadMoment},
+        load_history::{LoadHistory, LoadSnapshot},
         prefix_cache::PrefixCache,
     },
-    crate::share_table::ShareTable,
+    crate::fair_share_table::FairShareTable,
     engine::wire::{CacheEvents, EngineLoad, StreamRecord, route_role::EngineRole},
     kernel::{FencingToken, ModelId},
     std::{
@@ -32,11 +32,11 @@
     pub(super) history: LoadHistory,
     pub(super) ids: BTreeMap<Arc<str>, RunId>,
     pub(super) loading: BTreeSet<ModelId>,
-    pub(super) log: CacheLog,
+    pub(super) cache_events: CacheEventLog,
     pub(super) models: Vec<ModelId>,
     pub(super) next_handle: KvHandle,
     pub(super) next_role: Option<(Instant, EngineRole)>,
-    pub(super) reader: ShareTable<RunId>,
+    pub(super) prefill: FairShareTable<RunId>,
     pub(super) role: EngineRole,
     pub(super) runs: BTreeMap<RunId, EngineRun>,
     pub(super) settings: EngineSettings,
@@ -50,7 +50,7 @@
 impl EngineCore {
     /// The cache events after a sequence number, as far as they show.
     pub fn cache_events(&self, now: Instant, after: u64) -> CacheEvents {
-        self.log.events(now, after)
+        self.cache_events.events(now, after)
     }
 
     /// The counters.
@@ -68,22 +68,22 @@
 
     /// The load report, as it was a while ago.
     pub fn load(&self, now: Instant) -> EngineLoad {
-        let moment = self.history.lagging(now).cloned();
-        let moment = moment.unwrap_or_else(|| self.load_moment());
+        let snapshot = self.history.delayed(now).cloned();
+        let snapshot = snapshot.unwrap_or_else(|| self.load_snapshot());
         let settings = &self.settings;
         EngineLoad {
             decode_base_seconds: settings.decode_base.as_secs_f64(),
             decode_places: settings.decode_places,
             decode_slope_seconds: settings.decode_slope.as_secs_f64(),
-            decode_used: moment.decode_used,
+            decode_used: snapshot.decode_used,
             eviction_ms: u64::try_from(settings.eviction.as_millis()).unwrap_or(u64::MAX),
             kv_bytes_per_token: settings.kv_bytes_per_token,
-            leaving: moment.leaving,
+            leaving: snapshot.leaving,
             link_bytes_per_second: settings.link_bytes_per_second,
-            models: moment.models,
+            models: snapshot.models,
             prefill_rate: settings.prefill_rate,
-            prefill_tokens: moment.prefill_tokens,
-            role: moment.role,
+            prefill_tokens: snapshot.prefill_tokens,
+            role: snapshot.role,
             taken_ms_ago: u64::try_from(settings.load_lag.as_millis()).unwrap_or(u64::MAX),
         }
     }
@@ -99,7 +99,7 @@
             history: LoadHistory::new(settings.load_lag),
             ids: BTreeMap::new(),
             loading: BTreeSet::new(),
-            log: CacheLog::new(
+            cache_events: CacheEventLog::new(
                 settings.cache_event_delay,
                 settings.cache_gap_probability,
                 settings.seed,
@@ -107,7 +107,7 @@
             models: settings.models.clone(),
             next_handle: first_handle,
             next_role: None,
-            reader: ShareTable::new(settings.prefill_rate),
+            prefill: FairShareTable::new(settings.prefill_rate),
             role: settings.role,
             runs: BTreeMap::new(),
             settings,
@@ -126,7 +126,7 @@
         let timers = self.runs.values().filter_map(|run| self.run_timer(run));
         let others = [
             self.next_role.map(|(due, _)| due),
-            self.reader.next_end(),
+            self.prefill.next_completion(),
             self.step_end,
         ];
         timers.chain(others.into_iter().flatten()).min()
@@ -140,18 +140,18 @@
             EngineEvent::Disconnected(run) => self.disconnect(now, run, actions),
             EngineEvent::Faults(faults) => self.set_faults(now, faults, actions),
             EngineEvent::KvAnswered { answer, run } => {
-                self.take_kv_answer(now, run, answer, actions);
+                self.handle_kv_answer(now, run, answer, actions);
             }
             EngineEvent::KvClaimed(handle) => self.claim_export(now, handle),
             EngineEvent::KvReleased { handle, used } => self.release_export(handle, used),
             EngineEvent::ModelLoaded(model) => self.add_model(model),
-            EngineEvent::Order(order) => self.carry_out(now, order, actions),
+            EngineEvent::Order(order) => self.execute_order(now, order, actions),
             EngineEvent::Reconnected(run) => self.reconnect(run),
             EngineEvent::Submit { call, run } => self.submit(now, run, call, actions),
             EngineEvent::Tick => {}
-            EngineEvent::TransferEnded(run) => self.end_transfer(now, run, actions),
+            EngineEvent::TransferEnded(run) => self.finish_transfer(now, run, actions),
         }
-        self.start_readings(now, actions);
+        self.start_prefills(now, actions);
         self.start_step(now);
         self.record_load(now);
     }
@@ -162,12 +162,12 @@
     }
 
     /// The run of a request id, if the engine holds it or can resume it.
-    pub fn run_of(&self, id: &str) -> Option<RunId> {
+    pub fn find_run(&self, id: &str) -> Option<RunId> {
         self.ids.get(id).copied()
     }
 
     /// Whether a run holds anything.
-    pub fn is_held(&self, run: RunId) -> bool {
+    pub fn holds_resources(&self, run: RunId) -> bool {
         let run = self.runs.get(&run);
         run.is_some_and(|run| run.phase.state().is_some())
     }
@@ -203,22 +203,22 @@
             if due > now {
                 break;
             }
-            self.finish_readings(due, actions);
+            self.finish_prefills(due, actions);
             self.finish_step(due, actions);
             self.expire_runs(due, actions);
             self.finish_role_change(due);
-            self.start_readings(due, actions);
+            self.start_prefills(due, actions);
             self.start_step(due);
         }
-        self.finish_readings(now, actions);
+        self.finish_prefills(now, actions);
     }
 
-    fn load_moment(&self) -> LoadMoment {
-        LoadMoment {
+    fn load_snapshot(&self) -> LoadSnapshot {
+        LoadSnapshot {
             decode_used: self.places_used(),
             leaving: self.faults.leaving,
             models: self.models.clone(),
-            prefill_tokens: self.tokens_to_read(),
+            prefill_tokens: self.pending_prefill_tokens(),
             role: self.role,
         }
     }
@@ -233,13 +233,13 @@
     }
 
     fn places_without_connection(&self) -> u32 {
-        let left = |run: &&EngineRun| run.holds_place && run.disconnected.is_some();
-        u32::try_from(self.runs.values().filter(left).count()).unwrap_or(u32::MAX)
+        let disconnected = |run: &&EngineRun| run.holds_place && run.disconnected.is_some();
+        u32::try_from(self.runs.values().filter(disconnected).count()).unwrap_or(u32::MAX)
     }
 
     fn record_load(&mut self, now: Instant) {
-        let moment = self.load_moment();
-        self.history.record(now, moment);
+        let snapshot = self.load_snapshot();
+        self.history.record(now, snapshot);
     }
 
     fn set_faults(&mut self, now: Instant, faults: EngineFaults, actions: &mut Vec<EngineAction>) {
@@ -248,13 +248,13 @@
             return;
         }
         for run in std::mem::take(&mut self.stalled) {
-            self.end_transfer(now, run, actions);
+            self.finish_transfer(now, run, actions);
         }
     }
 }
 
 /// The action that lets go of an import.
-pub(super) fn release(import: &KvImport, used: bool) -> EngineAction {
+pub(super) fn release_action(import: &KvImport, used: bool) -> EngineAction {
     EngineAction::ReleaseKv {
         import: import.clone(),
         used,
--- a/crates/fake/src/model/engine_driver.rs
+++ b/crates/fake/src/model/engine_driver.rs
@@ -2,15 +2,15 @@
 
 use {
     super::{
-        core_prefill::ExportMiss,
+        connection_guard::ConnectionGuard,
+        core_prefill::ExportError,
         engine_core::EngineCore,
         engine_event::{EngineAction, EngineCall, EngineEvent, KvImport, KvRecord},
         engine_run::{KvHandle, RunEnd, RunId, RunView},
         kv_client::KvClient,
-        run_guard::RunGuard,
         stand_in_engine::EngineLinks,
     },
-    crate::expected_answer::prompt_digits,
+    crate::expected_answer::prompt_digest,
     engine::wire::{EngineOrder, OrderRefusal},
     kernel::ShutdownSignal,
     std::{
@@ -49,13 +49,13 @@
 
 /// One connection's view of a run.
 #[derive(Debug)]
-pub(super) struct RunReader {
+pub(super) struct RunSubscription {
     pub(super) call: EngineCall,
-    _guard: RunGuard,
+    _guard: ConnectionGuard,
     pub(super) views: watch::Receiver<RunView>,
 }
 
-impl RunReader {
+impl RunSubscription {
     /// Why an answer of so many tokens ends.
     pub(super) fn finish_reason(&self, tokens: u32) -> Arc<str> {
         let reason = match tokens < self.call.max_tokens {
@@ -81,10 +81,10 @@
     /// Cancels the run of a request id; `false` if the engine holds nothing of it.
     pub(super) fn cancel(&self, id: &str) -> bool {
         let mut state = self.lock();
-        let Some(run) = state.core.run_of(id) else {
+        let Some(run) = state.core.find_run(id) else {
             return false;
         };
-        let held = state.core.is_held(run);
+        let held = state.core.holds_resources(run);
         self.apply(&mut state, EngineEvent::Cancel(run));
         held
     }
@@ -93,10 +93,10 @@
     pub(super) fn claim_export(
         &self,
         handle: KvHandle,
-        digits: &str,
-    ) -> Result<KvRecord, ExportMiss> {
+        digest: &str,
+    ) -> Result<KvRecord, ExportError> {
         let mut state = self.lock();
-        let record = state.core.find_export(handle, digits)?;
+        let record = state.core.find_export(handle, digest)?;
         self.apply(&mut state, EngineEvent::KvClaimed(handle));
         Ok(record)
     }
@@ -132,7 +132,7 @@
                 wake: Notify::new(),
             }),
         };
-        driver.spawn(driver.clone().keep_time());
+        driver.spawn(driver.clone().run_timers());
         driver
     }
 
@@ -145,9 +145,9 @@
     }
 
     /// Reads the run of a request id again; nothing if it can't be resumed.
-    pub(super) fn resume(&self, id: &str) -> Option<RunReader> {
+    pub(super) fn resume(&self, id: &str) -> Option<RunSubscription> {
         let mut state = self.lock();
-        let run = state.core.run_of(id)?;
+        let run = state.core.find_run(id)?;
         let call = state.core.call(run)?.clone();
         if call.keep_kv {
             return None;
@@ -155,11 +155,11 @@
         let views = state.views.get(&run)?.subscribe();
         self.apply(&mut state, EngineEvent::Reconnected(run));
         drop(state);
-        Some(self.reader(run, call, views))
+        Some(self.subscription(run, call, views))
     }
 
     /// Hands a call to the core.
-    pub(super) fn submit(&self, call: EngineCall) -> RunReader {
+    pub(super) fn submit(&self, call: EngineCall) -> RunSubscription {
         let mut state = self.lock();
         let run = state.next_run;
         state.next_run += 1;
@@ -171,7 +171,7 @@
         };
         self.apply(&mut state, submit);
         drop(state);
-        self.reader(run, call, views)
+        self.subscription(run, call, views)
     }
 
     /// Does something with the core.
@@ -201,7 +201,7 @@
             EngineAction::LoadWeights { bytes, model } => {
                 let driver = self.clone();
                 self.spawn(async move {
-                    driver.shared.links.weights.carry(bytes).await;
+                    driver.shared.links.weights.transfer(bytes).await;
                     driver.handle(EngineEvent::ModelLoaded(model));
                 });
             }
@@ -224,12 +224,12 @@
     }
 
     async fn claim(self, import: KvImport, prompt: Arc<str>, run: RunId) {
-        let digits = prompt_digits(&prompt);
-        let answer = self.shared.client.claim(&import, &digits).await;
+        let digest = prompt_digest(&prompt);
+        let answer = self.shared.client.claim(&import, &digest).await;
         self.handle(EngineEvent::KvAnswered { answer, run });
     }
 
-    async fn keep_time(self) {
+    async fn run_timers(self) {
         loop {
             let due = self.with(|core| core.next_wake());
             let Some(due) = due else {
@@ -248,9 +248,14 @@
         state.unwrap_or_else(|poison| poison.into_inner())
     }
 
-    fn reader(&self, run: RunId, call: EngineCall, views: watch::Receiver<RunView>) -> RunReader {
-        RunReader {
-            _guard: RunGuard::new(self.clone(), run),
+    fn subscription(
+        &self,
+        run: RunId,
+        call: EngineCall,
+        views: watch::Receiver<RunView>,
+    ) -> RunSubscription {
+        RunSubscription {
+            _guard: ConnectionGuard::new(self.clone(), run),
             call,
             views,
         }
@@ -269,7 +274,7 @@
     async fn transfer(self, bytes: f64, run: RunId) {
         tokio::select! {
             () = self.shared.signal.raised() => return,
-            () = self.shared.links.transfers.carry(bytes) => {}
+            () = self.shared.links.transfers.transfer(bytes) => {}
         }
         self.lock().transfers.remove(&run);
         self.handle(EngineEvent::TransferEnded(run));
--- a/crates/fake/src/model/engine_routes.rs
+++ b/crates/fake/src/model/engine_routes.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        core_prefill::ExportMiss,
-        engine_driver::{EngineDriver, RunReader},
+        core_prefill::ExportError,
+        engine_driver::{EngineDriver, RunSubscription},
         engine_event::{EngineCall, EngineEvent, KvImport},
         engine_faults::EngineFaults,
         engine_run::{KvHandle, RunEnd, RunView},
@@ -11,7 +11,7 @@
     },
     crate::{
         expected_answer::{DEFAULT_MAX_TOKENS, expected_text},
-        net::{JsonBody, cut_answer},
+        net::{JsonBody, aborted_response},
     },
     axum::{
         Json, Router,
@@ -129,8 +129,8 @@
     Query(query): Query<ClaimQuery>,
 ) -> Response {
     match state.driver.claim_export(handle, &query.prompt) {
-        Err(ExportMiss::Evicted) => StatusCode::GONE.into_response(),
-        Err(ExportMiss::Mismatch) => StatusCode::CONFLICT.into_response(),
+        Err(ExportError::Evicted) => StatusCode::GONE.into_response(),
+        Err(ExportError::Mismatch) => StatusCode::CONFLICT.into_response(),
         Ok(record) => Json(record).into_response(),
     }
 }
@@ -138,20 +138,20 @@
 async fn complete(State(state): State<EngineState>, headers: HeaderMap, body: Bytes) -> Response {
     let faults = state.faults();
     let id = state.request_id(&headers);
-    let Some((engine_call, wants_stream)) = read_call(&id, &body) else {
+    let Some((engine_call, wants_stream)) = parse_call(&id, &body) else {
         return refuse(&EngineError {
             error: Arc::from("bad_request"),
             ran: false,
         });
     };
-    let Some(mut reader) = accept(&state, engine_call, faults.slow_accept).await else {
-        return cut_answer();
+    let Some(mut subscription) = accept(&state, engine_call, faults.slow_accept).await else {
+        return aborted_response();
     };
     if faults.close_after_read {
-        return cut_answer();
+        return aborted_response();
     }
-    let Some(view) = wait_for_answer(&mut reader, wants_stream).await else {
-        return cut_answer();
+    let Some(view) = wait_for_answer(&mut subscription, wants_stream).await else {
+        return aborted_response();
     };
     match &view.end {
         Some(RunEnd::Cancelled) => refuse(&EngineError {
@@ -161,17 +161,17 @@
         Some(RunEnd::Refused(error)) => refuse(error),
         _ if faults.garbage && !wants_stream => GARBAGE.into_response(),
         Some(RunEnd::Exported(handle)) => {
-            Json(state.prefill_answer(&reader.call, *handle)).into_response()
+            Json(state.prefill_answer(&subscription.call, *handle)).into_response()
         }
         Some(RunEnd::Finished) if !wants_stream => {
-            Json(whole_answer(&reader, &view)).into_response()
+            Json(complete_answer(&subscription, &view)).into_response()
         }
-        _ => stream_answer(TokenBody::new(faults, reader, 0)),
+        _ => stream_answer(TokenBody::new(faults, subscription, 0)),
     }
 }
 
 /// Takes a call, after a while. One whose connection is lost meanwhile is taken all the same.
-async fn accept(state: &EngineState, call: EngineCall, delay: Duration) -> Option<RunReader> {
+async fn accept(state: &EngineState, call: EngineCall, delay: Duration) -> Option<RunSubscription> {
     if delay.is_zero() {
         return Some(state.driver.submit(call));
     }
@@ -214,10 +214,10 @@
     Path(id): Path<Arc<str>>,
     Query(query): Query<ResumeQuery>,
 ) -> Response {
-    let Some(reader) = state.driver.resume(&id) else {
+    let Some(subscription) = state.driver.resume(&id) else {
         return StatusCode::NOT_FOUND.into_response();
     };
-    stream_answer(TokenBody::new(state.faults(), reader, query.offset))
+    stream_answer(TokenBody::new(state.faults(), subscription, query.offset))
 }
 
 async fn streams(State(state): State<EngineState>) -> Json<Vec<StreamRecord>> {
@@ -239,12 +239,12 @@
             choices: vec![CompletionChoice::default()],
             kv_transfer_params: Some(params),
             usage: Some(usage(&call.prompt, &RunView::default())),
-            ..answer_head(call)
+            ..base_answer(call)
         }
     }
 }
 
-fn answer_head(call: &EngineCall) -> CompletionChunk {
+fn base_answer(call: &EngineCall) -> CompletionChunk {
     CompletionChunk {
         id: call.id.clone(),
         model: call.model.clone(),
@@ -254,12 +254,12 @@
 }
 
 /// The call, and whether its answer is a stream.
-fn read_call(id: &Arc<str>, body: &[u8]) -> Option<(EngineCall, bool)> {
+fn parse_call(id: &Arc<str>, body: &[u8]) -> Option<(EngineCall, bool)> {
     let call: CompletionCall = serde_json::from_slice(body).ok()?;
     let params = call.kv_transfer_params.unwrap_or_default();
     let import = match params.do_remote_prefill {
         false => None,
-        true => Some(read_import(&params)?),
+        true => Some(parse_import(&params)?),
     };
     let engine_call = EngineCall {
         id: id.clone(),
@@ -273,7 +273,7 @@
     Some((engine_call, call.stream))
 }
 
-fn read_import(params: &KvTransferParams) -> Option<KvImport> {
+fn parse_import(params: &KvTransferParams) -> Option<KvImport> {
     let host: IpAddr = params.remote_host.as_ref()?.parse().ok()?;
     Some(KvImport {
         address: SocketAddr::new(host, params.remote_port?),
@@ -296,21 +296,24 @@
 }
 
 /// Waits until a run has an end, or can be streamed; nothing when the engine stops first.
-async fn wait_for_answer(reader: &mut RunReader, wants_stream: bool) -> Option<RunView> {
+async fn wait_for_answer(
+    subscription: &mut RunSubscription,
+    wants_stream: bool,
+) -> Option<RunView> {
     let ready = |view: &RunView| view.end.is_some() || (wants_stream && view.accepted);
-    let view = reader.views.wait_for(ready).await.ok()?;
+    let view = subscription.views.wait_for(ready).await.ok()?;
     Some(view.clone())
 }
 
-fn whole_answer(reader: &RunReader, view: &RunView) -> CompletionChunk {
-    let call = &reader.call;
+fn complete_answer(subscription: &RunSubscription, view: &RunView) -> CompletionChunk {
+    let call = &subscription.call;
     CompletionChunk {
         choices: vec![CompletionChoice {
-            finish_reason: Some(reader.finish_reason(view.target)),
+            finish_reason: Some(subscription.finish_reason(view.target)),
             index: 0,
             text: Arc::from(expected_text(&call.prompt, view.target)),
         }],
         usage: Some(usage(&call.prompt, view)),
-        ..answer_head(call)
+        ..base_answer(call)
     }
 }
--- a/crates/fake/src/model/engine_run.rs
+++ b/crates/fake/src/model/engine_run.rs
@@ -85,7 +85,7 @@
     /// Prompt tokens in all.
     pub(super) prompt_tokens: u32,
     /// Prompt tokens to be read, or read, without those found in the prefix cache.
-    pub(super) read_tokens: u32,
+    pub(super) uncached_tokens: u32,
     pub(super) target: u32,
     pub(super) tokens: u32,
 }
--- a/crates/fake/src/model/engine_settings.rs
+++ b/crates/fake/src/model/engine_settings.rs
@@ -93,7 +93,7 @@
     /// Its name, as `remote_engine_id` gives it.
     #[builder(default = Arc::from("engine"))]
     pub name: Arc<str>,
-    /// Prompt tokens read a second; the readings of one moment share it.
+    /// Prompt tokens read a second; the readings of one snapshot share it.
     #[builder(default = 20_000.0)]
     pub prefill_rate: f64,
     /// Calls that wait to be read at most; a further one is refused as full.
--- a/crates/fake/src/model/kv_client.rs
+++ b/crates/fake/src/model/kv_client.rs
@@ -25,8 +25,8 @@
 
 impl KvClient {
     /// Asks for a KV cache, which stays there for the transfer.
-    pub(super) async fn claim(&self, import: &KvImport, digits: &str) -> KvAnswer {
-        let path = format!("/kv/{}?prompt={digits}", import.handle);
+    pub(super) async fn claim(&self, import: &KvImport, digest: &str) -> KvAnswer {
+        let path = format!("/kv/{}?prompt={digest}", import.handle);
         let claim = self.claim_at(import, &path);
         match time::timeout(CLAIM_TIMEOUT, claim).await {
             Ok(Some(answer)) => answer,
--- a/crates/fake/src/model/load_history.rs
+++ b/crates/fake/src/model/load_history.rs
@@ -11,7 +11,7 @@
 
 /// The parts of a load report that change.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct LoadMoment {
+pub(super) struct LoadSnapshot {
     pub(super) decode_used: u32,
     pub(super) leaving: bool,
     pub(super) models: Vec<ModelId>,
@@ -19,44 +19,48 @@
     pub(super) role: EngineRole,
 }
 
-/// The load by the time at which it changed, back to the lag and one change more.
+/// The load by the time at which it changed_at, back to the lag and one change more.
 #[derive(Clone, Debug)]
 pub(super) struct LoadHistory {
     lag: Duration,
-    moments: VecDeque<(Instant, LoadMoment)>,
+    snapshots: VecDeque<(Instant, LoadSnapshot)>,
 }
 
 impl LoadHistory {
     /// The load as it was before the lag; the oldest known one before that.
-    pub(super) fn lagging(&self, now: Instant) -> Option<&LoadMoment> {
-        for (changed, moment) in self.moments.iter().rev() {
-            if *changed + self.lag <= now {
-                return Some(moment);
+    pub(super) fn delayed(&self, now: Instant) -> Option<&LoadSnapshot> {
+        for (changed_at, snapshot) in self.snapshots.iter().rev() {
+            if *changed_at + self.lag <= now {
+                return Some(snapshot);
             }
         }
-        self.moments.front().map(|(_, moment)| moment)
+        self.snapshots.front().map(|(_, snapshot)| snapshot)
     }
 
     /// An empty history.
     pub(super) fn new(lag: Duration) -> Self {
         Self {
             lag,
-            moments: VecDeque::new(),
+            snapshots: VecDeque::new(),
         }
     }
 
     /// Takes down the load if it changed.
-    pub(super) fn record(&mut self, now: Instant, moment: LoadMoment) {
-        if self.moments.back().is_some_and(|(_, last)| *last == moment) {
+    pub(super) fn record(&mut self, now: Instant, snapshot: LoadSnapshot) {
+        if self
+            .snapshots
+            .back()
+            .is_some_and(|(_, last)| *last == snapshot)
+        {
             return;
         }
-        self.moments.push_back((now, moment));
+        self.snapshots.push_back((now, snapshot));
         while self
-            .moments
+            .snapshots
             .get(1)
-            .is_some_and(|(changed, _)| *changed + self.lag <= now)
+            .is_some_and(|(changed_at, _)| *changed_at + self.lag <= now)
         {
-            self.moments.pop_front();
+            self.snapshots.pop_front();
         }
     }
 }
--- a/crates/fake/src/model/mod.rs
+++ b/crates/fake/src/model/mod.rs
@@ -1,8 +1,9 @@
 //! The stand-in of a model engine.
 
-mod cache_log;
+mod cache_event_log;
+mod connection_guard;
 mod core_decode;
-mod core_life;
+mod core_lifecycle;
 mod core_orders;
 pub mod core_prefill;
 mod engine_admin;
@@ -18,7 +19,6 @@
 mod load_history;
 mod prefix_cache;
 pub mod rate_link;
-mod run_guard;
 pub mod stand_in_engine;
 mod token_body;
 
--- a/crates/fake/src/model/rate_link.rs
+++ b/crates/fake/src/model/rate_link.rs
@@ -1,7 +1,7 @@
 //! A link of limited rate that many transfers share.
 
 use {
-    crate::share_table::ShareTable,
+    crate::fair_share_table::FairShareTable,
     std::{
         collections::BTreeSet,
         sync::{Arc, Mutex, MutexGuard},
@@ -16,7 +16,7 @@
 struct LinkState {
     ended: BTreeSet<TransferKey>,
     next_key: TransferKey,
-    table: ShareTable<TransferKey>,
+    table: FairShareTable<TransferKey>,
 }
 
 #[derive(Debug)]
@@ -33,16 +33,16 @@
 
 impl RateLink {
     /// Carries so many units; the call ends when they are over. Dropping it gives the transfer up.
-    pub async fn carry(&self, units: f64) {
+    pub async fn transfer(&self, units: f64) {
         let transfer = self.start(units);
         loop {
             let changed = self.shared.changed.notified();
-            let Some(next_end) = transfer.next_end() else {
+            let Some(next_completion) = transfer.next_completion() else {
                 return;
             };
             tokio::select! {
                 () = changed => {}
-                () = time::sleep_until(next_end.into()) => {}
+                () = time::sleep_until(next_completion.into()) => {}
             }
         }
     }
@@ -52,7 +52,7 @@
         let state = LinkState {
             ended: BTreeSet::new(),
             next_key: 0,
-            table: ShareTable::new(rate),
+            table: FairShareTable::new(rate),
         };
         Self {
             shared: Arc::new(LinkShared {
@@ -94,13 +94,13 @@
 
 impl TransferGuard<'_> {
     /// When the next transfer of the link ends; nothing once this one has.
-    fn next_end(&self) -> Option<Instant> {
+    fn next_completion(&self) -> Option<Instant> {
         let mut state = self.link.lock();
         self.link.advance(Instant::now(), &mut state);
         if state.ended.contains(&self.key) {
             return None;
         }
-        state.table.next_end()
+        state.table.next_completion()
     }
 }
 
--- a/crates/fake/src/model/stand_in_engine.rs
+++ b/crates/fake/src/model/stand_in_engine.rs
@@ -15,7 +15,7 @@
     crate::{
         fake_error::FakeError,
         net::{ConnectionGate, OpenGate, StandInServer},
-        ready_line::{ReadyLine, wait_for_end},
+        ready_line::{ReadyLine, wait_for_shutdown},
     },
     kernel::unix_time,
     std::{
@@ -44,12 +44,12 @@
 }
 
 impl ConnectionGate for EngineDriver {
-    fn admits(&self) -> bool {
+    fn admits_connection(&self) -> bool {
         self.with(|core| !core.faults().drop_connections)
     }
 
-    fn serves(&self, _earlier: u64) -> bool {
-        self.admits()
+    fn admits_request(&self, _earlier_requests: u64) -> bool {
+        self.admits_connection()
     }
 }
 
@@ -108,7 +108,7 @@
     /// [`FakeError::Bind`] when an address can't be listened on.
     pub async fn start(settings: EngineSettings) -> Result<Self, FakeError> {
         let links = EngineLinks::new(&settings);
-        Self::start_on(settings, links).await
+        Self::start_with_links(settings, links).await
     }
 
     /// Starts it with links that it shares with other engines of this process.
@@ -116,7 +116,10 @@
     /// # Errors
     ///
     /// [`FakeError::Bind`] when an address can't be listened on.
-    pub async fn start_on(settings: EngineSettings, links: EngineLinks) -> Result<Self, FakeError> {
+    pub async fn start_with_links(
+        settings: EngineSettings,
+        links: EngineLinks,
+    ) -> Result<Self, FakeError> {
         let (server, listener) = StandInServer::bind(settings.address).await?;
         let (admin, admin_listener) = StandInServer::bind(settings.admin).await?;
         let name = settings.name.clone();
@@ -145,7 +148,7 @@
 pub async fn run_engine(settings: EngineSettings) -> Result<(), FakeError> {
     let engine = StandInEngine::start(settings).await?;
     engine.ready_line().print();
-    wait_for_end().await?;
+    wait_for_shutdown().await?;
     engine.close().await;
     Ok(())
 }
--- a/crates/fake/src/model/token_body.rs
+++ b/crates/fake/src/model/token_body.rs
@@ -2,13 +2,13 @@
 
 use {
     super::{
-        engine_driver::RunReader,
+        engine_driver::RunSubscription,
         engine_faults::EngineFaults,
         engine_run::{RunEnd, RunView},
     },
     crate::{
-        expected_answer::{prompt_digits, prompt_tokens, token_text},
-        net::CutBody,
+        expected_answer::{prompt_digest, prompt_tokens, token_text},
+        net::ConnectionAborted,
     },
     axum::body::Body,
     bytes::Bytes,
@@ -26,10 +26,10 @@
 /// Writes a run's tokens as they come.
 #[derive(Debug)]
 pub(super) struct TokenBody {
-    digits: String,
+    digest: String,
     faults: EngineFaults,
     next: u32,
-    reader: RunReader,
+    subscription: RunSubscription,
     sent: u32,
 }
 
@@ -41,12 +41,12 @@
 
 impl TokenBody {
     /// Writes the tokens from `offset` on.
-    pub(super) fn new(faults: EngineFaults, reader: RunReader, offset: u32) -> Self {
+    pub(super) fn new(faults: EngineFaults, subscription: RunSubscription, offset: u32) -> Self {
         Self {
-            digits: prompt_digits(&reader.call.prompt),
+            digest: prompt_digest(&subscription.call.prompt),
             faults,
             next: offset,
-            reader,
+            subscription,
             sent: 0,
         }
     }
@@ -58,7 +58,7 @@
             if cut {
                 // Lets the server flush what came before the cut.
                 task::yield_now().await;
-                return Some((Err(CutBody), None));
+                return Some((Err(ConnectionAborted), None));
             }
             match body.step().await {
                 BodyStep::Cut => Some((Ok(Bytes::new()), Some((body, true)))),
@@ -77,14 +77,14 @@
             if self.is_at_cut() {
                 return BodyStep::Cut;
             }
-            let view = self.reader.views.borrow_and_update().clone();
+            let view = self.subscription.views.borrow_and_update().clone();
             if self.next < view.tokens {
                 return BodyStep::More(self.write_token(&view));
             }
             if let Some(end) = &view.end {
                 return BodyStep::Last(end_text(end));
             }
-            if self.reader.views.changed().await.is_err() {
+            if self.subscription.views.changed().await.is_err() {
                 return BodyStep::Cut;
             }
         }
@@ -109,12 +109,12 @@
 
     fn chunk(&self, view: &RunView) -> CompletionChunk {
         let is_last = self.next + 1 == view.target;
-        let call = &self.reader.call;
+        let call = &self.subscription.call;
         CompletionChunk {
             choices: vec![CompletionChoice {
-                finish_reason: is_last.then(|| self.reader.finish_reason(view.target)),
+                finish_reason: is_last.then(|| self.subscription.finish_reason(view.target)),
                 index: 0,
-                text: token_text(&self.digits, self.next),
+                text: token_text(&self.digest, self.next),
             }],
             id: call.id.clone(),
             model: call.model.clone(),
--- a/crates/fake/src/net/cut_mark.rs
+++ b/crates/fake/src/net/aborted_response.rs
@@ -7,23 +7,23 @@
 
 /// Marks an answer that is never sent: the connection is closed in its place.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CutMark;
+pub(crate) struct AbortMarker;
 
 /// The error that ends a connection in the middle of a body.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CutBody;
+pub(crate) struct ConnectionAborted;
 
-impl fmt::Display for CutBody {
+impl fmt::Display for ConnectionAborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the connection is cut on purpose")
     }
 }
 
-impl Error for CutBody {}
+impl Error for ConnectionAborted {}
 
 /// An answer that closes the connection without a byte.
-pub(crate) fn cut_answer() -> Response {
+pub(crate) fn aborted_response() -> Response {
     let mut response = ().into_response();
-    response.extensions_mut().insert(CutMark);
+    response.extensions_mut().insert(AbortMarker);
     response
 }
--- a/crates/fake/src/net/connection_gate.rs
+++ b/crates/fake/src/net/connection_gate.rs
@@ -3,9 +3,9 @@
 /// Decides on connections and on requests before they are read.
 pub(crate) trait ConnectionGate: Clone + Send + Sync + 'static {
     /// Whether a new connection is served; otherwise it is closed at once.
-    fn admits(&self) -> bool;
+    fn admits_connection(&self) -> bool;
     /// Whether a request is served after `earlier` ones on its connection; otherwise the connection is closed.
-    fn serves(&self, earlier: u64) -> bool;
+    fn admits_request(&self, earlier_requests: u64) -> bool;
 }
 
 /// Lets everything in.
@@ -13,11 +13,11 @@
 pub(crate) struct OpenGate;
 
 impl ConnectionGate for OpenGate {
-    fn admits(&self) -> bool {
+    fn admits_connection(&self) -> bool {
         true
     }
 
-    fn serves(&self, _earlier: u64) -> bool {
+    fn admits_request(&self, _earlier_requests: u64) -> bool {
         true
     }
 }
--- a/crates/fake/src/net/mod.rs
+++ b/crates/fake/src/net/mod.rs
@@ -1,13 +1,13 @@
 //! The HTTP server that all stand-ins share: one that can also misbehave.
 
+pub(crate) mod aborted_response;
 pub(crate) mod connection_gate;
-pub(crate) mod cut_mark;
 pub(crate) mod json_body;
 pub(crate) mod stand_in_server;
 
 pub(crate) use {
+    aborted_response::{ConnectionAborted, aborted_response},
     connection_gate::{ConnectionGate, OpenGate},
-    cut_mark::{CutBody, cut_answer},
     json_body::JsonBody,
     stand_in_server::StandInServer,
 };
--- a/crates/fake/src/net/stand_in_server.rs
+++ b/crates/fake/src/net/stand_in_server.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
+        aborted_response::{AbortMarker, ConnectionAborted},
         connection_gate::ConnectionGate,
-        cut_mark::{CutBody, CutMark},
     },
     crate::fake_error::{BindSnafu, FakeError},
     axum::{Router, body::Body},
@@ -84,7 +84,7 @@
             let Ok((stream, _)) = accepted else {
                 continue;
             };
-            if !gate.admits() {
+            if !gate.admits_connection() {
                 continue;
             }
             let token = lock(&self.connections).clone();
@@ -106,8 +106,8 @@
     let service = TowerToHyperService::new(router);
     let requests = AtomicU64::new(0);
     let serve = hyper::service::service_fn(|request| {
-        let earlier = requests.fetch_add(1, Ordering::Relaxed);
-        serve_request(service.clone(), gate.clone(), earlier, request)
+        let earlier_requests = requests.fetch_add(1, Ordering::Relaxed);
+        serve_request(service.clone(), gate.clone(), earlier_requests, request)
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -118,15 +118,15 @@
 async fn serve_request<G: ConnectionGate>(
     service: TowerToHyperService<Router>,
     gate: G,
-    earlier: u64,
+    earlier_requests: u64,
     request: Request<Incoming>,
-) -> Result<Response<Body>, CutBody> {
-    if !gate.serves(earlier) {
-        return Err(CutBody);
+) -> Result<Response<Body>, ConnectionAborted> {
+    if !gate.admits_request(earlier_requests) {
+        return Err(ConnectionAborted);
     }
     let Ok(response) = service.call(request).await;
-    if response.extensions().get::<CutMark>().is_some() {
-        return Err(CutBody);
+    if response.extensions().get::<AbortMarker>().is_some() {
+        return Err(ConnectionAborted);
     }
     Ok(response)
 }
--- a/crates/fake/src/platform/instance_board.rs
+++ b/crates/fake/src/platform/instance_registry.rs
@@ -10,26 +10,26 @@
 };
 
 /// How many past lists are kept.
-const PAST_LISTS: usize = 4096;
+const MAX_HISTORY_LEN: usize = 4096;
 
 type InstanceMap = BTreeMap<Arc<str>, InstanceRecord>;
 
 /// The instances now, and how the list was.
 #[derive(Clone, Debug, Default)]
-pub struct InstanceBoard {
-    now: InstanceMap,
-    past: VecDeque<(Instant, InstanceMap)>,
+pub struct InstanceRegistry {
+    current: InstanceMap,
+    history: VecDeque<(Instant, InstanceMap)>,
 }
 
-impl InstanceBoard {
+impl InstanceRegistry {
     /// The list as it was `lag` ago, by name; empty before the first change.
     pub fn list(&self, now: Instant, lag: Duration) -> Vec<InstanceRecord> {
         if lag.is_zero() {
-            return self.now.values().cloned().collect();
+            return self.current.values().cloned().collect();
         }
-        for (changed, map) in self.past.iter().rev() {
-            if *changed + lag <= now {
-                return map.values().cloned().collect();
+        for (changed_at, instances) in self.history.iter().rev() {
+            if *changed_at + lag <= now {
+                return instances.values().cloned().collect();
             }
         }
         Vec::new()
@@ -37,21 +37,21 @@
 
     /// Puts one instance in the list, in place of an earlier one of its name.
     pub fn put(&mut self, now: Instant, record: InstanceRecord) {
-        self.now.insert(record.name.clone(), record);
-        self.remember(now);
+        self.current.insert(record.name.clone(), record);
+        self.record_history(now);
     }
 
     /// Takes one instance off the list; `false` if it was not there.
     pub fn remove(&mut self, now: Instant, name: &str) -> bool {
-        let found = self.now.remove(name).is_some();
-        self.remember(now);
+        let found = self.current.remove(name).is_some();
+        self.record_history(now);
         found
     }
 
-    fn remember(&mut self, now: Instant) {
-        self.past.push_back((now, self.now.clone()));
-        if self.past.len() > PAST_LISTS {
-            self.past.pop_front();
+    fn record_history(&mut self, now: Instant) {
+        self.history.push_back((now, self.current.clone()));
+        if self.history.len() > MAX_HISTORY_LEN {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -1,6 +1,6 @@
 //! The platform's stand-in: rows, objects and the list of instances.
 
-pub mod instance_board;
+pub mod instance_registry;
 mod platform_admin;
 pub mod platform_core;
 pub mod platform_counters;
@@ -11,7 +11,7 @@
 pub mod stand_in_platform;
 
 pub use {
-    instance_board::InstanceBoard,
+    instance_registry::InstanceRegistry,
     platform_core::PlatformCore,
     platform_counters::PlatformCounters,
     platform_faults::PlatformFaults,
--- a/crates/fake/src/platform/platform_core.rs
+++ b/crates/fake/src/platform/platform_core.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        instance_board::InstanceBoard,
+        instance_registry::InstanceRegistry,
         platform_counters::{PeakMeter, PlatformCounters},
         platform_faults::PlatformFaults,
         platform_settings::PlatformSettings,
@@ -21,7 +21,7 @@
 
 /// Whether the caller hears of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ReplyFate {
+pub enum ReplyDelivery {
     /// The write took effect, and the connection is closed without an answer.
     Lost,
     /// The answer is sent.
@@ -37,7 +37,7 @@
 /// Rows, objects, list, faults and counters of one platform.
 #[derive(Clone, Debug)]
 pub struct PlatformCore {
-    board: InstanceBoard,
+    registry: InstanceRegistry,
     counters: PlatformCounters,
     faults: PlatformFaults,
     list_lag: Duration,
@@ -54,7 +54,7 @@
         &mut self,
         now: Instant,
         transaction: &Transaction,
-    ) -> (TransactionReply, ReplyFate) {
+    ) -> (TransactionReply, ReplyDelivery) {
         let reply = self.store.rows.commit(transaction);
         match reply {
             TransactionReply::Committed => self.counters.transactions_committed += 1,
@@ -90,13 +90,13 @@
         self.count_read(now);
         self.counters.list_reads += 1;
         let lag = self.faults.list_lag.unwrap_or(self.list_lag);
-        self.board.list(now, lag)
+        self.registry.list(now, lag)
     }
 
     /// A platform with nothing in it.
     pub fn new(settings: &PlatformSettings) -> Self {
         Self {
-            board: InstanceBoard::default(),
+            registry: InstanceRegistry::default(),
             counters: PlatformCounters::default(),
             faults: PlatformFaults::default(),
             list_lag: settings.list_lag,
@@ -109,20 +109,20 @@
     }
 
     /// Puts an instance in the list.
-    pub fn put_instance(&mut self, now: Instant, record: InstanceRecord) -> ReplyFate {
-        self.board.put(now, record);
+    pub fn put_instance(&mut self, now: Instant, record: InstanceRecord) -> ReplyDelivery {
+        self.registry.put(now, record);
         self.count_write(now)
     }
 
     /// Writes one object.
-    pub fn put_object(&mut self, now: Instant, key: Arc<str>, content: Bytes) -> ReplyFate {
+    pub fn put_object(&mut self, now: Instant, key: Arc<str>, content: Bytes) -> ReplyDelivery {
         self.store.objects.insert(key, content);
         self.count_write(now)
     }
 
     /// Takes an instance off the list; `false` if it was not there.
-    pub fn remove_instance(&mut self, now: Instant, name: &str) -> (bool, ReplyFate) {
-        let found = self.board.remove(now, name);
+    pub fn remove_instance(&mut self, now: Instant, name: &str) -> (bool, ReplyDelivery) {
+        let found = self.registry.remove(now, name);
         (found, self.count_write(now))
     }
 
@@ -152,17 +152,17 @@
         self.counters.peak_reads = self.read_meter.count(now);
     }
 
-    fn count_write(&mut self, now: Instant) -> ReplyFate {
+    fn count_write(&mut self, now: Instant) -> ReplyDelivery {
         self.counters.writes += 1;
         self.counters.peak_writes = self.write_meter.count(now);
-        if !self.loses_reply() {
-            return ReplyFate::Sent;
+        if !self.should_lose_reply() {
+            return ReplyDelivery::Sent;
         }
         self.counters.lost_replies += 1;
-        ReplyFate::Lost
+        ReplyDelivery::Lost
     }
 
-    fn loses_reply(&mut self) -> bool {
+    fn should_lose_reply(&mut self) -> bool {
         if self.faults.lose_next_replies > 0 {
             self.faults.lose_next_replies -= 1;
             return true;
--- a/crates/fake/src/platform/platform_routes.rs
+++ b/crates/fake/src/platform/platform_routes.rs
@@ -1,8 +1,8 @@
 //! The platform's HTTP interface.
 
 use {
-    super::{platform_core::ReplyFate, stand_in_platform::PlatformState},
-    crate::net::{JsonBody, cut_answer},
+    super::{platform_core::ReplyDelivery, stand_in_platform::PlatformState},
+    crate::net::{JsonBody, aborted_response},
     axum::{
         Json, Router,
         extract::{DefaultBodyLimit, Path, Query, Request, State},
@@ -36,17 +36,21 @@
         .route("/rows/{*key}", get(get_row))
         .route("/tx", post(commit))
         .layer(DefaultBodyLimit::disable())
-        .layer(middleware::from_fn_with_state(state.clone(), be_slow))
+        .layer(middleware::from_fn_with_state(state.clone(), inject_delay))
         .with_state(state)
 }
 
-async fn be_slow(State(state): State<PlatformState>, request: Request, next: Next) -> Response {
+async fn inject_delay(
+    State(state): State<PlatformState>,
+    request: Request,
+    next: Next,
+) -> Response {
     let delay = state.with(|core| core.faults().delay);
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
     if state.with(|core| core.faults().down) {
-        return cut_answer();
+        return aborted_response();
     }
     let reply = next.run(request).await;
     let reply_delay = state.with(|core| core.faults().reply_delay);
@@ -60,8 +64,8 @@
     State(state): State<PlatformState>,
     JsonBody(transaction): JsonBody<Transaction>,
 ) -> Response {
-    let (reply, fate) = state.with(|core| core.commit(Instant::now(), &transaction));
-    answer(fate, Json(reply))
+    let (reply, delivery) = state.with(|core| core.commit(Instant::now(), &transaction));
+    answer(delivery, Json(reply))
 }
 
 async fn get_object(State(state): State<PlatformState>, Path(key): Path<Arc<str>>) -> Response {
@@ -91,8 +95,8 @@
     JsonBody(mut record): JsonBody<InstanceRecord>,
 ) -> Response {
     record.name = name;
-    let fate = state.with(|core| core.put_instance(Instant::now(), record));
-    answer(fate, StatusCode::NO_CONTENT)
+    let delivery = state.with(|core| core.put_instance(Instant::now(), record));
+    answer(delivery, StatusCode::NO_CONTENT)
 }
 
 async fn put_object(
@@ -100,28 +104,28 @@
     Path(key): Path<Arc<str>>,
     content: Bytes,
 ) -> Response {
-    let fate = state.with(|core| core.put_object(Instant::now(), key, content));
-    answer(fate, StatusCode::NO_CONTENT)
+    let delivery = state.with(|core| core.put_object(Instant::now(), key, content));
+    answer(delivery, StatusCode::NO_CONTENT)
 }
 
 async fn remove_instance(
     State(state): State<PlatformState>,
     Path(name): Path<Arc<str>>,
 ) -> Response {
-    let (found, fate) = state.with(|core| core.remove_instance(Instant::now(), &name));
+    let (found, delivery) = state.with(|core| core.remove_instance(Instant::now(), &name));
     if !found {
-        return answer(fate, StatusCode::NOT_FOUND);
+        return answer(delivery, StatusCode::NOT_FOUND);
     }
-    answer(fate, StatusCode::NO_CONTENT)
+    answer(delivery, StatusCode::NO_CONTENT)
 }
 
 async fn scan_rows(State(state): State<PlatformState>, Query(query): Query<ScanQuery>) -> Response {
     Json(state.with(|core| core.scan_rows(Instant::now(), &query.prefix))).into_response()
 }
 
-fn answer(fate: ReplyFate, reply: impl IntoResponse) -> Response {
-    match fate {
-        ReplyFate::Lost => cut_answer(),
-        ReplyFate::Sent => reply.into_response(),
+fn answer(delivery: ReplyDelivery, reply: impl IntoResponse) -> Response {
+    match delivery {
+        ReplyDelivery::Lost => aborted_response(),
+        ReplyDelivery::Sent => reply.into_response(),
     }
 }
--- a/crates/fake/src/platform/row_table.rs
+++ b/crates/fake/src/platform/row_table.rs
@@ -14,9 +14,9 @@
 impl RowTable {
     /// Does all writes of a transaction if all its conditions hold, and none otherwise.
     pub fn commit(&mut self, transaction: &Transaction) -> TransactionReply {
-        if !self.allows(transaction) {
+        if !self.conditions_hold(transaction) {
             return TransactionReply::Conflict {
-                rows: self.named_rows(transaction),
+                rows: self.condition_rows(transaction),
             };
         }
         for write in &transaction.writes {
@@ -39,7 +39,7 @@
             .collect()
     }
 
-    fn allows(&self, transaction: &Transaction) -> bool {
+    fn conditions_hold(&self, transaction: &Transaction) -> bool {
         transaction
             .conditions
             .iter()
@@ -59,7 +59,7 @@
         self.rows.insert(write.key.clone(), row);
     }
 
-    fn named_rows(&self, transaction: &Transaction) -> Vec<StoredRow> {
+    fn condition_rows(&self, transaction: &Transaction) -> Vec<StoredRow> {
         transaction
             .conditions
             .iter()
--- a/crates/fake/src/platform/stand_in_platform.rs
+++ b/crates/fake/src/platform/stand_in_platform.rs
@@ -8,7 +8,7 @@
     crate::{
         fake_error::FakeError,
         net::{ConnectionGate, OpenGate, StandInServer},
-        ready_line::{ReadyLine, wait_for_end},
+        ready_line::{ReadyLine, wait_for_shutdown},
     },
     plat::InstanceRecord,
     std::{
@@ -36,12 +36,12 @@
 }
 
 impl ConnectionGate for PlatformState {
-    fn admits(&self) -> bool {
+    fn admits_connection(&self) -> bool {
         self.with(|core| !core.faults().down)
     }
 
-    fn serves(&self, _earlier: u64) -> bool {
-        self.admits()
+    fn admits_request(&self, _earlier_requests: u64) -> bool {
+        self.admits_connection()
     }
 }
 
@@ -148,7 +148,7 @@
 pub async fn run_platform(settings: PlatformSettings) -> Result<(), FakeError> {
     let platform = StandInPlatform::start(settings).await?;
     platform.ready_line().print();
-    wait_for_end().await?;
+    wait_for_shutdown().await?;
     platform.close().await;
     Ok(())
 }
--- a/crates/fake/src/ready_line.rs
+++ b/crates/fake/src/ready_line.rs
@@ -28,7 +28,7 @@
 }
 
 /// Waits until the process is told to end.
-pub(crate) async fn wait_for_end() -> Result<(), FakeError> {
+pub(crate) async fn wait_for_shutdown() -> Result<(), FakeError> {
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
     tokio::select! {
         _ = terminate.recv() => {}
--- a/crates/fake/src/service/mod.rs
+++ b/crates/fake/src/service/mod.rs
@@ -1,6 +1,6 @@
 //! The stand-in of a plain service.
 
-pub mod expected_body;
+pub mod body_chunks;
 pub mod service_answer;
 pub mod service_counters;
 pub mod service_faults;
@@ -11,7 +11,7 @@
 pub mod stand_in_service;
 
 pub use {
-    expected_body::{BodyStream, expected_body},
+    body_chunks::{BodyChunks, expected_body},
     service_answer::ServiceAnswer,
     service_counters::ServiceCounters,
     service_faults::ServiceFaults,
--- a/crates/fake/src/service/service_routes.rs
+++ b/crates/fake/src/service/service_routes.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        expected_body::BodyStream,
+        body_chunks::BodyChunks,
         service_answer::ServiceAnswer,
         service_headers::{ANSWER_SIZE_HEADER, ECHO_HEADER, RAN_HEADER, RUN_KEY_HEADER},
         service_state::{RunGuard, ServiceState},
     },
-    crate::net::{CutBody, cut_answer},
+    crate::net::{ConnectionAborted, aborted_response},
     axum::{
         Router,
         body::Body,
@@ -29,9 +29,9 @@
 }
 
 async fn run(State(state): State<ServiceState>, request: Request) -> Response {
-    let faults = state.with(|book| book.faults.clone());
+    let faults = state.with(|shared| shared.faults.clone());
     if faults.refuse {
-        state.with(|book| book.counters.refused += 1);
+        state.with(|shared| shared.counters.refused += 1);
         return (StatusCode::SERVICE_UNAVAILABLE, [(RAN_HEADER, "no")]).into_response();
     }
     let (parts, body) = request.into_parts();
@@ -43,21 +43,21 @@
         return stream_answer(guard, body.into_data_stream(), faults.cut_after_bytes);
     }
     let Some((bytes, hash)) = read_body(body).await else {
-        return cut_answer();
+        return aborted_response();
     };
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
     if faults.close_after_read {
-        state.with(|book| book.counters.closed_after_read += 1);
-        return cut_answer();
+        state.with(|shared| shared.counters.closed_after_read += 1);
+        return aborted_response();
     }
     if faults.garbage {
         return stream_answer(guard, once(GARBAGE), faults.cut_after_bytes);
     }
     if let Some(size) = answer_size(&parts.headers) {
-        let pieces = BodyStream::new(path_of(&parts), &key, size).map(Ok::<_, CutBody>);
-        return stream_answer(guard, stream::iter(pieces), faults.cut_after_bytes);
+        let chunks = BodyChunks::new(path_of(&parts), &key, size).map(Ok::<_, ConnectionAborted>);
+        return stream_answer(guard, stream::iter(chunks), faults.cut_after_bytes);
     }
     let answer =
         ServiceAnswer::from_hash(parts.method.as_str(), path_of(&parts), &key, bytes, hash);
@@ -72,9 +72,11 @@
     headers.get(ANSWER_SIZE_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-fn once(text: impl Into<Bytes>) -> impl Stream<Item = Result<Bytes, CutBody>> + Send + 'static {
-    let piece = text.into();
-    stream::iter([Ok(piece)])
+fn once(
+    text: impl Into<Bytes>,
+) -> impl Stream<Item = Result<Bytes, ConnectionAborted>> + Send + 'static {
+    let chunk = text.into();
+    stream::iter([Ok(chunk)])
 }
 
 fn path_of(parts: &Parts) -> &str {
@@ -82,13 +84,13 @@
 }
 
 async fn read_body(body: Body) -> Option<(u64, u64)> {
-    let mut pieces = body.into_data_stream();
+    let mut chunks = body.into_data_stream();
     let mut hasher = Xxh3::with_seed(0);
     let mut bytes = 0;
-    while let Some(piece) = pieces.next().await {
-        let piece = piece.ok()?;
-        bytes += piece.len() as u64;
-        hasher.update(&piece);
+    while let Some(chunk) = chunks.next().await {
+        let chunk = chunk.ok()?;
+        bytes += chunk.len() as u64;
+        hasher.update(&chunk);
     }
     Some((bytes, hasher.digest()))
 }
@@ -103,30 +105,30 @@
     String::new()
 }
 
-/// Sends the pieces as they come; cuts the connection after `limit` bytes. The guard goes when the body does.
+/// Sends the chunks as they come; cuts the connection after `limit` bytes. The guard goes when the body does.
 fn stream_answer<E: Send + 'static>(
     guard: RunGuard,
-    pieces: impl Stream<Item = Result<Bytes, E>> + Send + 'static,
+    chunks: impl Stream<Item = Result<Bytes, E>> + Send + 'static,
     limit: Option<u64>,
 ) -> Response {
-    let left = limit.unwrap_or(u64::MAX);
-    let state = (guard, Box::pin(pieces), left);
-    let body = stream::unfold(state, |(mut guard, mut pieces, left)| async move {
-        if left == 0 {
+    let remaining = limit.unwrap_or(u64::MAX);
+    let state = (guard, Box::pin(chunks), remaining);
+    let body = stream::unfold(state, |(mut guard, mut chunks, remaining)| async move {
+        if remaining == 0 {
             // Lets the server flush what came before the cut.
             tokio::task::yield_now().await;
-            return Some((Err(CutBody), (guard, pieces, left)));
+            return Some((Err(ConnectionAborted), (guard, chunks, remaining)));
         }
-        let Some(piece) = pieces.next().await else {
+        let Some(chunk) = chunks.next().await else {
             guard.finish();
             return None;
         };
-        let Ok(mut piece) = piece else {
-            return Some((Err(CutBody), (guard, pieces, 0)));
+        let Ok(mut chunk) = chunk else {
+            return Some((Err(ConnectionAborted), (guard, chunks, 0)));
         };
-        piece.truncate(usize::try_from(left).unwrap_or(usize::MAX));
-        let left = left - piece.len() as u64;
-        Some((Ok(piece), (guard, pieces, left)))
+        chunk.truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
+        let remaining = remaining - chunk.len() as u64;
+        Some((Ok(chunk), (guard, chunks, remaining)))
     });
     Body::from_stream(body).into_response()
 }
--- a/crates/fake/src/service/service_state.rs
+++ b/crates/fake/src/service/service_state.rs
@@ -11,7 +11,7 @@
 
 /// What the requests of one service share.
 #[derive(Debug, Default)]
-pub(super) struct ServiceBook {
+pub(super) struct ServiceShared {
     pub(super) counters: ServiceCounters,
     pub(super) faults: ServiceFaults,
 }
@@ -19,28 +19,28 @@
 /// The book behind its lock, which is never held across an await.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceState {
-    book: Arc<Mutex<ServiceBook>>,
+    shared: Arc<Mutex<ServiceShared>>,
     delay: Duration,
 }
 
 impl ServiceState {
     /// How long a request runs.
     pub(super) fn delay(&self) -> Duration {
-        self.delay + self.with(|book| book.faults.delay)
+        self.delay + self.with(|shared| shared.faults.delay)
     }
 
     /// A state without faults.
     pub(super) fn new(delay: Duration) -> Self {
         Self {
-            book: Arc::default(),
+            shared: Arc::default(),
             delay,
         }
     }
 
     /// Counts the start of a run, until the guard is gone.
     pub(super) fn start_run(&self, key: &str) -> RunGuard {
-        self.with(|book| {
-            let counters = &mut book.counters;
+        self.with(|shared| {
+            let counters = &mut shared.counters;
             counters.runs += 1;
             counters.in_progress += 1;
             counters.peak_in_progress = counters.peak_in_progress.max(counters.in_progress);
@@ -52,25 +52,25 @@
         }
     }
 
-    /// Does something with the book.
-    pub(super) fn with<T>(&self, work: impl FnOnce(&mut ServiceBook) -> T) -> T {
-        let mut book = self
-            .book
+    /// Does something with the shared.
+    pub(super) fn with<T>(&self, work: impl FnOnce(&mut ServiceShared) -> T) -> T {
+        let mut shared = self
+            .shared
             .lock()
             .unwrap_or_else(|poison| poison.into_inner());
-        work(&mut book)
+        work(&mut shared)
     }
 }
 
 impl ConnectionGate for ServiceState {
-    fn admits(&self) -> bool {
-        self.with(|book| !book.faults.drop_connections)
+    fn admits_connection(&self) -> bool {
+        self.with(|shared| !shared.faults.drop_connections)
     }
 
-    fn serves(&self, earlier: u64) -> bool {
-        self.with(|book| {
-            let reused = earlier > 0 && book.faults.drop_on_reuse;
-            !reused && !book.faults.drop_connections
+    fn admits_request(&self, earlier_requests: u64) -> bool {
+        self.with(|shared| {
+            let reused = earlier_requests > 0 && shared.faults.drop_on_reuse;
+            !reused && !shared.faults.drop_connections
         })
     }
 }
@@ -92,9 +92,9 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         let finished = self.finished;
-        self.state.with(|book| {
-            book.counters.in_progress -= 1;
-            book.counters.unfinished += u64::from(!finished);
+        self.state.with(|shared| {
+            shared.counters.in_progress -= 1;
+            shared.counters.unfinished += u64::from(!finished);
         });
     }
 }
--- a/crates/fake/src/service/stand_in_service.rs
+++ b/crates/fake/src/service/stand_in_service.rs
@@ -8,7 +8,7 @@
     crate::{
         fake_error::FakeError,
         net::{JsonBody, OpenGate, StandInServer},
-        ready_line::{ReadyLine, wait_for_end},
+        ready_line::{ReadyLine, wait_for_shutdown},
     },
     axum::{
         Json, Router,
@@ -46,7 +46,7 @@
 
     /// The counters.
     pub fn counters(&self) -> ServiceCounters {
-        self.state.with(|book| book.counters.clone())
+        self.state.with(|shared| shared.counters.clone())
     }
 
     /// What its process says when it is ready.
@@ -60,7 +60,7 @@
     /// Puts faults in place of the old ones.
     pub fn set_faults(&self, faults: ServiceFaults) {
         let drops = faults.drop_connections;
-        self.state.with(|book| book.faults = faults);
+        self.state.with(|shared| shared.faults = faults);
         if drops {
             self.server.drop_connections();
         }
@@ -97,7 +97,7 @@
 pub async fn run_service(settings: ServiceSettings) -> Result<(), FakeError> {
     let service = StandInService::start(settings).await?;
     service.ready_line().print();
-    wait_for_end().await?;
+    wait_for_shutdown().await?;
     service.close().await;
     Ok(())
 }
--- a/crates/fake/tests/engine_decode.rs
+++ b/crates/fake/tests/engine_decode.rs
@@ -184,10 +184,10 @@
     let mut engine = engine_with(found(0.0));
     let run = engine.submit(decode_call("a", "a"));
     engine.advance(ms(41));
-    assert_eq!(engine.core.run_of("a"), Some(run));
-    assert!(!engine.core.is_held(run));
+    assert_eq!(engine.core.find_run("a"), Some(run));
+    assert!(!engine.core.holds_resources(run));
     engine.advance(ms(2000));
-    assert_eq!(engine.core.run_of("a"), None);
+    assert_eq!(engine.core.find_run("a"), None);
 }
 
 #[test]
--- a/crates/fake/tests/engine_prefill.rs
+++ b/crates/fake/tests/engine_prefill.rs
@@ -7,7 +7,7 @@
     engine::wire::{EngineOrder, OrderKind, StreamState, route_role::EngineRole},
     fake::{
         EngineFaults, EngineSettings, block_hashes,
-        model::{EngineCall, EngineEvent, RunEnd, core_prefill::ExportMiss},
+        model::{EngineCall, EngineEvent, RunEnd, core_prefill::ExportError},
     },
     std::{sync::Arc, time::Duration},
     virtual_engine::{VirtualEngine, prefill_call, prefill_settings, prompt_of},
@@ -25,7 +25,7 @@
 }
 
 fn digits(prompt: &str) -> String {
-    fake::expected_answer::prompt_digits(prompt)
+    fake::expected_answer::prompt_digest(prompt)
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let gone = engine
         .core
         .find_export(handle(&engine, first), &digits(&lost));
-    assert_eq!(gone, Err(ExportMiss::Evicted));
+    assert_eq!(gone, Err(ExportError::Evicted));
     assert!(engine.core.find_export(kept_handle, &digits(&kept)).is_ok());
     engine.event(EngineEvent::KvReleased {
         handle: kept_handle,
--- a/crates/fake/tests/platform_core.rs
+++ b/crates/fake/tests/platform_core.rs
@@ -2,8 +2,8 @@
 
 use {
     fake::{
-        InstanceBoard, PlatformCore, PlatformFaults, PlatformSettings, RowTable,
-        platform::platform_core::ReplyFate,
+        InstanceRegistry, PlatformCore, PlatformFaults, PlatformSettings, RowTable,
+        platform::platform_core::ReplyDelivery,
     },
     plat::{
         InstanceKind, InstanceRecord, InstanceState, RowCondition, RowWrite, Transaction,
@@ -50,7 +50,7 @@
     let lag = Duration::from_secs(3);
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
-    let mut board = InstanceBoard::default();
+    let mut board = InstanceRegistry::default();
     board.put(at(0), record("a", InstanceState::Live));
     board.put(at(2), record("a", InstanceState::Leaving));
     board.remove(at(4), "a");
@@ -96,7 +96,7 @@
     let first = fates(1);
     assert_eq!(first, fates(1));
     assert_ne!(first, fates(2));
-    assert!(first.contains(&ReplyFate::Lost) && first.contains(&ReplyFate::Sent));
+    assert!(first.contains(&ReplyDelivery::Lost) && first.contains(&ReplyDelivery::Sent));
 }
 
 #[test]
--- a/crates/fake/tests/platform_http.rs
+++ b/crates/fake/tests/platform_http.rs
@@ -100,8 +100,8 @@
         list_lag: Some(Duration::from_secs(3600)),
         ..PlatformFaults::default()
     });
-    let lagging: Vec<InstanceRecord> = client.get("/instances").await;
-    assert!(lagging.is_empty());
+    let delayed: Vec<InstanceRecord> = client.get("/instances").await;
+    assert!(delayed.is_empty());
     platform.set_faults(PlatformFaults {
         list_down: true,
         ..PlatformFaults::default()
--- a/crates/fake/tests/support/virtual_engine.rs
+++ b/crates/fake/tests/support/virtual_engine.rs
@@ -8,7 +8,7 @@
 use {
     engine::wire::{StreamState, route_role::EngineRole},
     fake::{
-        EngineCore, EngineSettings, ShareTable,
+        EngineCore, EngineSettings, FairShareTable,
         model::{
             EngineAction, EngineCall, EngineEvent, KvAnswer, KvImport, KvRecord, RunEnd, RunId,
             RunView,
@@ -27,7 +27,7 @@
     pub(crate) answer: KvAnswer,
     pub(crate) core: EngineCore,
     pub(crate) released: Vec<bool>,
-    link: ShareTable<RunId>,
+    link: FairShareTable<RunId>,
     next_run: RunId,
     now: Instant,
     started: Instant,
@@ -38,7 +38,7 @@
     /// An engine that starts at time zero.
     pub(crate) fn new(settings: EngineSettings) -> Self {
         let started = Instant::now();
-        let link = ShareTable::new(settings.link_bytes_per_second);
+        let link = FairShareTable::new(settings.link_bytes_per_second);
         Self {
             answer: KvAnswer::Evicted,
             core: EngineCore::new(settings, started, 1),
@@ -150,7 +150,7 @@
     }
 
     fn next_due(&self) -> Option<Instant> {
-        let dues = [self.core.next_wake(), self.link.next_end()];
+        let dues = [self.core.next_wake(), self.link.next_completion()];
         dues.into_iter().flatten().min()
     }
 }
--- a/crates/trestlewalk/src/demo/demo_system.rs
+++ b/crates/trestlewalk/src/demo/demo_system.rs
@@ -194,7 +194,7 @@
         links: &EngineLinks,
     ) -> Result<(), RunError> {
         let settings = engine_settings(&name, model, role);
-        let engine = StandInEngine::start_on(settings, links.clone())
+        let engine = StandInEngine::start_with_links(settings, links.clone())
             .await
             .context(FakeSnafu)?;
         let kind = match role {
