--- a/crates/fake/src/fair_share_table.rs
+++ b/crates/fake/src/fair_share_table.rs
@@ -1,14 +1,14 @@
-//! Jobs that share one rate equally: a link, a prefill engine's reader, a weight store.
+//! Processor sharing: jobs that split one rate equally, such as transfers on a link or concurrent prefills.
 
 use std::{
     collections::BTreeMap,
     time::{Duration, Instant},
 };
 
-/// What is left of a job that counts as done: so many seconds of work at the whole rate.
+/// A job with at most this many seconds of work left at the full rate is complete; absorbs rounding errors.
 const COMPLETION_TOLERANCE_SECONDS: f64 = 2e-9;
 
-/// Jobs by key, each with the units that are left of it.
+/// Jobs by key, each with its remaining units.
 #[derive(Clone, Debug)]
 pub struct FairShareTable<K> {
     jobs: BTreeMap<K, f64>,
@@ -17,7 +17,7 @@
 }
 
 impl<K: Clone + Ord> FairShareTable<K> {
-    /// Brings the jobs up to `now` and takes out those that completed, in the order of their ends.
+    /// Advances the jobs to `now` and removes the completed ones, returned in order of completion.
     pub fn advance(&mut self, now: Instant) -> Vec<K> {
         let mut completed = Vec::new();
         let mut seconds = self.elapsed_seconds(now);
@@ -37,22 +37,22 @@
         completed
     }
 
-    /// Whether no job is there.
+    /// Whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// How many jobs there are.
+    /// Number of jobs in progress.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// The units that are left of a job, as of the last [`Self::advance`].
+    /// Remaining units of a job as of the last [`Self::advance`]; `None` for an unknown key.
     pub fn remaining(&self, key: &K) -> Option<f64> {
         self.jobs.get(key).copied()
     }
 
-    /// A table whose jobs share `rate` units a second; a rate of zero or less ends each job at once.
+    /// Creates a table whose jobs share `rate` units per second; with a rate of zero or less, jobs complete at once.
     pub fn new(rate: f64) -> Self {
         Self {
             jobs: BTreeMap::new(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// When the first job ends if none comes or goes.
+    /// Completion time of the next job if none is started or stopped; `None` without jobs.
     pub fn next_completion(&self) -> Option<Instant> {
         let seconds = self.seconds_to_next_completion()?;
         let wait =
@@ -69,13 +69,13 @@
         Some(self.updated? + wait + Duration::from_nanos(1))
     }
 
-    /// Starts a job of so many units. The table has to be up to `now`.
+    /// Starts a job of `units`. The table must have been advanced to `now`.
     pub fn start(&mut self, now: Instant, key: K, units: f64) {
         self.updated = Some(now);
         self.jobs.insert(key, units.max(0.0));
     }
 
-    /// Takes a job out and gives the units that were left of it. The table has to be up to date.
+    /// Removes a job and returns its remaining units. The table must have been advanced to the present.
     pub fn stop(&mut self, key: &K) -> Option<f64> {
         self.jobs.remove(key)
     }
--- a/crates/fake/src/fake_error.rs
+++ b/crates/fake/src/fake_error.rs
@@ -1,23 +1,23 @@
-//! Why a stand-in could not start.
+//! Errors of the stand-in processes.
 
 use {snafu::Snafu, std::net::SocketAddr};
 
-/// An error of a stand-in.
+/// Error that prevents a stand-in from starting or from waiting for its shutdown.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FakeError {
-    /// The address can't be listened on.
-    #[snafu(display("can't listen on {address}: {source}"))]
+    /// The listener cannot be bound.
+    #[snafu(display("cannot listen on {address}: {source}"))]
     Bind {
-        /// The address of the settings.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
-    /// The signal to end can't be waited for.
-    #[snafu(display("can't wait for the signal to end: {source}"))]
+    /// The signal handlers cannot be installed.
+    #[snafu(display("cannot install the signal handlers: {source}"))]
     Signal {
-        /// What the system said.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
 }
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for the systems outside: the platform, model engines and plain services.
+//! Stand-ins for the external systems: the platform, model engines and plain services.
 //!
-//! Each one listens on a loopback port and tells its addresses. At its admin address it takes faults and shows its
-//! counters; its `close` stops it. What it answers is decided without I/O ([`RowTable`], [`InstanceRegistry`],
-//! [`EngineCore`], [`FairShareTable`]): time and seeds are passed in.
+//! Each one listens on a loopback port and reports its addresses. Its admin address accepts faults and serves its
+//! counters; `close` stops it. Responses are computed without I/O ([`RowTable`], [`InstanceRegistry`],
+//! [`EngineCore`], [`FairShareTable`]), with time and seeds passed in.
 
 pub mod expected_answer;
 pub mod fair_share_table;
--- a/crates/fake/src/model/cache_event_log.rs
+++ b/crates/fake/src/model/cache_event_log.rs
@@ -1,4 +1,4 @@
-//! The cache events that an engine publishes: late, and not all of them.
+//! Cache events that an engine publishes with a delay and with gaps.
 
 use {
     super::prefix_cache::CacheChange,
@@ -12,7 +12,7 @@
     },
 };
 
-/// How many events are kept.
+/// Events kept; older ones are dropped.
 const MAX_LOG_ENTRIES: usize = 65_536;
 
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     is_stored: bool,
 }
 
-/// Events by sequence number.
+/// Published events in order of their sequence numbers.
 #[derive(Clone, Debug)]
 pub(super) struct CacheEventLog {
     delay: Duration,
@@ -34,7 +34,7 @@
 }
 
 impl CacheEventLog {
-    /// The events after a sequence number that are old enough to show.
+    /// Returns the events after a sequence number whose publication delay has passed.
     pub(super) fn events(&self, now: Instant, after: u64) -> CacheEvents {
         let mut events = CacheEvents {
             next: after,
@@ -56,7 +56,7 @@
         events
     }
 
-    /// An empty log whose events show after `delay`, each lost with a probability.
+    /// Creates an empty log that publishes events after `delay` and drops each with `gap_probability`.
     pub(super) fn new(delay: Duration, gap_probability: f64, seed: u64) -> Self {
         Self {
             delay,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes down what came and went.
+    /// Records the evicted and stored blocks of a change.
     pub(super) fn record(&mut self, now: Instant, change: &CacheChange) {
         for block in &change.evicted {
             self.push(now, *block, false);
--- a/crates/fake/src/model/connection_guard.rs
+++ b/crates/fake/src/model/connection_guard.rs
@@ -1,8 +1,8 @@
-//! One connection that reads a run's tokens.
+//! Guard of a connection that is subscribed to a run.
 
 use super::{engine_driver::EngineDriver, engine_event::EngineEvent, engine_run::RunId};
 
-/// Tells the engine that the connection is gone, unless the run ended first.
+/// Reports the connection as lost when dropped; the engine ignores it if the run has ended.
 #[derive(Debug)]
 pub(super) struct ConnectionGuard {
     driver: EngineDriver,
@@ -10,7 +10,7 @@
 }
 
 impl ConnectionGuard {
-    /// A guard of one connection that the engine counts already.
+    /// Creates a guard for a connection that the engine has already counted.
     pub(super) fn new(driver: EngineDriver, run: RunId) -> Self {
         Self { driver, run }
     }
--- a/crates/fake/src/model/core_decode.rs
+++ b/crates/fake/src/model/core_decode.rs
@@ -1,4 +1,4 @@
-//! Decode places: imports and the running batch.
+//! Decode places of an engine: KV cache imports and the running batch.
 
 use {
     super::{
@@ -14,7 +14,7 @@
 };
 
 impl EngineCore {
-    /// Counts a decode run.
+    /// Counts a decode run by request id and by prompt.
     pub(super) fn count_decode_run(&mut self, run: RunId) {
         let Some(run) = self.runs.get(&run) else {
             return;
@@ -26,7 +26,7 @@
         *counters.decode_runs_by_prompt.entry(digest).or_default() += 1;
     }
 
-    /// Puts an imported stream into the batch, unless transfers stall.
+    /// Moves an imported stream into the batch, unless the `stall_transfers` fault is set.
     pub(super) fn finish_transfer(
         &mut self,
         _now: Instant,
@@ -48,7 +48,7 @@
         self.counters.transfers += 1;
     }
 
-    /// Gives each stream of the batch its token, if the step ends by `now`.
+    /// Generates one token for each stream of the batch if the step ends by `now`.
     pub(super) fn finish_step(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
         if self.step_end.is_none_or(|end| end > now) {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts a step with all streams that decode, if none runs.
+    /// Starts a step with all decoding streams, unless one is in progress.
     pub(super) fn start_step(&mut self, now: Instant) {
         if self.step_end.is_some() || self.faults.stall_decoding {
             return;
@@ -73,7 +73,7 @@
         self.step_end = Some(now + self.step_time());
     }
 
-    /// Takes the prefill engine's answer to a claim.
+    /// Handles the prefill engine's answer to a claim.
     pub(super) fn handle_kv_answer(
         &mut self,
         now: Instant,
--- a/crates/fake/src/model/core_lifecycle.rs
+++ b/crates/fake/src/model/core_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How calls come in, and how they go before their end.
+//! Submission, cancellation, disconnection and expiry of runs.
 
 use {
     super::{
@@ -12,7 +12,7 @@
 };
 
 impl EngineCore {
-    /// Ends a run before its end and frees all that it holds.
+    /// Cancels a run and frees everything it holds.
     pub(super) fn cancel(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
         let Some(ended) = self.remove(now, run) else {
             return;
@@ -34,7 +34,7 @@
         actions.push(EngineAction::Update { run, view });
     }
 
-    /// Takes one connection off a run. A prefill call's connection goes once the KV cache is exported.
+    /// Removes one connection from a run. Runs that are exported or finished no longer need one.
     pub(super) fn disconnect(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
         let Some(state) = self.runs.get_mut(&run) else {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Evicts, forgets and cancels the runs whose time is up.
+    /// Evicts, forgets and cancels the runs whose timers have expired.
     pub(super) fn expire_runs(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
         let mut expired = Vec::new();
         for (id, run) in &self.runs {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Notes how long a place was held after its stream's last connection was gone.
+    /// Records how long a place was held after its stream lost the last connection.
     pub(super) fn record_hold(&mut self, now: Instant, run: &EngineRun) {
         let Some(since) = run.disconnected else {
             return;
@@ -79,7 +79,7 @@
         *longest = hold.max(*longest);
     }
 
-    /// Adds a connection to a run.
+    /// Adds a connection to a run, which stops its disconnect timer.
     pub(super) fn reconnect(&mut self, run: RunId) {
         let Some(run) = self.runs.get_mut(&run) else {
             return;
@@ -88,7 +88,7 @@
         run.disconnected = None;
     }
 
-    /// Answers a call that did not run.
+    /// Reports a call as refused before it ran.
     pub(super) fn refuse(&mut self, run: RunId, error: &str, actions: &mut Vec<EngineAction>) {
         let error: Arc<str> = Arc::from(error);
         *self.counters.refused.entry(error.clone()).or_default() += 1;
@@ -99,7 +99,7 @@
         actions.push(EngineAction::Update { run, view });
     }
 
-    /// Takes a run out of all tables; its reading ends where it stands.
+    /// Removes a run from all tables and counts a partial prefill as wasted.
     pub(super) fn remove(&mut self, now: Instant, run: RunId) -> Option<EngineRun> {
         let removed = self.runs.remove(&run)?;
         if self.ids.get(&removed.call.id) == Some(&run) {
@@ -117,7 +117,7 @@
         Some(removed)
     }
 
-    /// When a run has to be evicted, forgotten or cancelled by itself.
+    /// Time at which a run is evicted, forgotten or cancelled without a request; `None` if it has no timer.
     pub(super) fn run_timer(&self, run: &EngineRun) -> Option<Instant> {
         if let RunPhase::Exported { until, .. } | RunPhase::Finished { until } = run.phase {
             return Some(until);
@@ -125,7 +125,7 @@
         Some(run.disconnected? + self.settings.disconnect_grace?)
     }
 
-    /// Takes or refuses a new call.
+    /// Accepts or refuses a new call.
     pub(super) fn submit(
         &mut self,
         now: Instant,
@@ -152,10 +152,10 @@
             call,
         };
         self.ids.insert(new.call.id.clone(), run);
-        self.enqueue(run, new, actions);
+        self.admit(run, new, actions);
     }
 
-    fn enqueue(&mut self, run: RunId, mut new: EngineRun, actions: &mut Vec<EngineAction>) {
+    fn admit(&mut self, run: RunId, mut new: EngineRun, actions: &mut Vec<EngineAction>) {
         if let Some(import) = new.call.import.clone() {
             new.phase = RunPhase::Claiming(import);
         }
--- a/crates/fake/src/model/core_orders.rs
+++ b/crates/fake/src/model/core_orders.rs
@@ -1,4 +1,4 @@
-//! Orders and their fencing numbers.
+//! Orders and the check of their fencing tokens.
 
 use {
     super::{engine_core::EngineCore, engine_counters::OrderEntry, engine_event::EngineAction},
@@ -8,11 +8,11 @@
 };
 
 impl EngineCore {
-    /// Checks an order's fencing number, if this engine checks, and takes the order down.
+    /// Records an order and, if the engine checks fencing tokens, verifies that its token is not stale.
     ///
     /// # Errors
     ///
-    /// [`OrderRefusal`] when a greater number was seen.
+    /// [`OrderRefusal`] when a greater token was seen.
     pub fn check_order(&mut self, now: Instant, order: &EngineOrder) -> Result<(), OrderRefusal> {
         let is_old = order.fence < self.fence_seen;
         let accepted = !(is_old && self.settings.checks_fence);
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Takes up a model whose weights are there.
+    /// Adds a model whose weights are loaded.
     pub(super) fn add_model(&mut self, model: ModelId) {
         self.loading.remove(&model);
         if self.models.contains(&model) {
@@ -40,7 +40,7 @@
         self.models.push(model);
     }
 
-    /// Carries an order out.
+    /// Executes an order.
     pub(super) fn execute_order(
         &mut self,
         now: Instant,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes the new role on, if the change ends by `now`.
+    /// Switches to the new role if the change is complete by `now`.
     pub(super) fn finish_role_change(&mut self, now: Instant) {
         let Some((due, role)) = self.next_role else {
             return;
--- a/crates/fake/src/model/core_prefill.rs
+++ b/crates/fake/src/model/core_prefill.rs
@@ -1,4 +1,4 @@
-//! The reading of prompts, and the KV caches that wait for a decode engine.
+//! Prefill of prompts and the exported KV caches that wait for a decode engine.
 
 use {
     super::{
@@ -11,11 +11,11 @@
 };
 
 impl EngineCore {
-    /// An exported KV cache, if it is there and belongs to the prompt whose digits are given.
+    /// Finds an exported KV cache and checks that it belongs to the prompt with this digest.
     ///
     /// # Errors
     ///
-    /// [`ExportError`]; a claim of a KV cache that belongs to another prompt is counted.
+    /// [`ExportError`]; a mismatch is counted in `kv_mismatches`.
     pub fn find_export(&mut self, handle: KvHandle, digest: &str) -> Result<KvRecord, ExportError> {
         let run = self.exports.get(&handle).and_then(|run| self.runs.get(run));
         let run = run.ok_or(ExportError::Evicted)?;
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Keeps an exported KV cache for a transfer that begins.
+    /// Extends the lifetime of an exported KV cache for a transfer that is starting.
     pub(super) fn claim_export(&mut self, now: Instant, handle: KvHandle) {
         let limit = now + self.settings.claim_limit;
         let Some(run) = self.exports.get(&handle) else {
@@ -45,14 +45,14 @@
         };
     }
 
-    /// Ends the readings that are done by `now`.
+    /// Finishes the prefills that are complete by `now`.
     pub(super) fn finish_prefills(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
         for run in self.prefill.advance(now) {
             self.finish_prefill(now, run, actions);
         }
     }
 
-    /// Frees an exported KV cache.
+    /// Frees an exported KV cache; one that was not used counts as wasted.
     pub(super) fn release_export(&mut self, handle: KvHandle, used: bool) {
         let Some(run) = self.exports.remove(&handle) else {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Begins to read as many prompts as there are readers, by priority and age.
+    /// Starts prefills by priority and then age until `readers` of them run.
     pub(super) fn start_prefills(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
         while self.prefill.len() < self.settings.readers {
             let Some((_, run)) = self.waiting.pop_first() else {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Prompt tokens that wait or are being read.
+    /// Prompt tokens that are queued or still to be prefilled.
     pub(super) fn pending_prefill_tokens(&self) -> u64 {
         let mut tokens = 0;
         for (_, run) in &self.waiting {
@@ -96,7 +96,7 @@
         tokens
     }
 
-    /// Counts a reading that ended with `left` tokens to go.
+    /// Counts a prefill that stopped with `remaining` tokens to go as wasted.
     pub(super) fn count_partial_prefill(&mut self, run: &EngineRun, remaining: f64) {
         let prefilled = (f64::from(run.uncached_tokens) - remaining)
             .max(0.0)
@@ -156,10 +156,10 @@
     }
 }
 
-/// Why an exported KV cache can't be had.
+/// Reason why an exported KV cache is not available.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExportError {
-    /// It is not there.
+    /// It was evicted, released or never existed.
     Evicted,
     /// It belongs to another prompt.
     Mismatch,
--- a/crates/fake/src/model/engine_admin.rs
+++ b/crates/fake/src/model/engine_admin.rs
@@ -1,4 +1,4 @@
-//! An engine's admin interface.
+//! HTTP routes of an engine's admin interface.
 
 use {
     super::{
@@ -14,7 +14,7 @@
     http::StatusCode,
 };
 
-/// The routes of the admin address.
+/// Creates the router of the admin address.
 pub(super) fn routes(engine: StandInEngine) -> Router {
     Router::new()
         .route("/admin/counters", get(counters))
--- a/crates/fake/src/model/engine_core.rs
+++ b/crates/fake/src/model/engine_core.rs
@@ -1,4 +1,4 @@
-//! An engine without its sockets: queue, reading, exported KV caches, imports, batch, orders.
+//! Engine state machine without I/O: queue, prefill, KV cache export and import, batch and orders.
 
 use {
     super::{
@@ -21,7 +21,7 @@
     },
 };
 
-/// One engine. Time and seed are passed in; the same events at the same times give the same actions.
+/// State of one engine. It is deterministic: the same settings, events and times give the same actions.
 #[derive(Debug)]
 pub struct EngineCore {
     pub(super) cache: PrefixCache,
@@ -48,12 +48,12 @@
 }
 
 impl EngineCore {
-    /// The cache events after a sequence number, as far as they show.
+    /// Returns the published cache events after a sequence number.
     pub fn cache_events(&self, now: Instant, after: u64) -> CacheEvents {
         self.cache_events.events(now, after)
     }
 
-    /// The counters.
+    /// Counts since the stand-in started.
     pub fn counters(&self) -> EngineCounters {
         let mut counters = self.counters.clone();
         counters.places_used = self.places_used();
@@ -61,12 +61,12 @@
         counters
     }
 
-    /// The faults in force.
+    /// Active faults.
     pub fn faults(&self) -> &EngineFaults {
         &self.faults
     }
 
-    /// The load report, as it was a while ago.
+    /// Returns the load report as of `load_lag` ago.
     pub fn load(&self, now: Instant) -> EngineLoad {
         let snapshot = self.history.delayed(now).cloned();
         let snapshot = snapshot.unwrap_or_else(|| self.load_snapshot());
@@ -88,7 +88,7 @@
         }
     }
 
-    /// An engine that starts `now`. `first_handle` has to differ between lives, so that no handle names two KV caches.
+    /// Creates an engine. `first_handle` must differ between incarnations so that no handle names two KV caches.
     pub fn new(settings: EngineSettings, now: Instant, first_handle: KvHandle) -> Self {
         let mut core = Self {
             cache: PrefixCache::new(settings.cache_blocks),
@@ -121,7 +121,7 @@
         core
     }
 
-    /// When [`EngineEvent::Tick`] is due.
+    /// Time at which [`EngineEvent::Tick`] is due; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Instant> {
         let timers = self.runs.values().filter_map(|run| self.run_timer(run));
         let others = [
@@ -132,7 +132,7 @@
         timers.chain(others.into_iter().flatten()).min()
     }
 
-    /// Takes one event and appends what has to be done to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting actions. `now` must not decrease between calls.
     pub fn on_event(&mut self, now: Instant, event: EngineEvent, actions: &mut Vec<EngineAction>) {
         self.advance(now, actions);
         match event {
@@ -156,23 +156,23 @@
         self.record_load(now);
     }
 
-    /// The call of a run.
+    /// Call of a run; `None` for an unknown run.
     pub fn call(&self, run: RunId) -> Option<&EngineCall> {
         Some(&self.runs.get(&run)?.call)
     }
 
-    /// The run of a request id, if the engine holds it or can resume it.
+    /// Run of a request id, if it is active or can still be resumed.
     pub fn find_run(&self, id: &str) -> Option<RunId> {
         self.ids.get(id).copied()
     }
 
-    /// Whether a run holds anything.
+    /// Whether a run is active; a finished run that can be resumed is not.
     pub fn holds_resources(&self, run: RunId) -> bool {
         let run = self.runs.get(&run);
         run.is_some_and(|run| run.phase.state().is_some())
     }
 
-    /// The streams that hold something, by age.
+    /// Active runs, oldest first.
     pub fn streams(&self) -> Vec<StreamRecord> {
         let mut records = Vec::new();
         for run in self.runs.values() {
@@ -189,7 +189,7 @@
         records
     }
 
-    /// What the caller of a run sees.
+    /// Progress of a run as its caller sees it; `None` for an unknown run.
     pub fn view(&self, run: RunId) -> Option<RunView> {
         let run = self.runs.get(&run)?;
         match run.phase {
@@ -253,7 +253,7 @@
     }
 }
 
-/// The action that lets go of an import.
+/// Builds the action that releases an import at its prefill engine.
 pub(super) fn release_action(import: &KvImport, used: bool) -> EngineAction {
     EngineAction::ReleaseKv {
         import: import.clone(),
--- a/crates/fake/src/model/engine_counters.rs
+++ b/crates/fake/src/model/engine_counters.rs
@@ -1,4 +1,4 @@
-//! What an engine did.
+//! Counters of an engine.
 
 use {
     engine::wire::OrderKind,
@@ -8,17 +8,17 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// One order that an engine was given.
+/// An order received by an engine.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderEntry {
-    /// Whether it was carried out.
+    /// Whether it passed the check of the fencing token.
     pub accepted: bool,
-    /// Its fencing number.
+    /// Fencing token.
     pub fence: FencingToken,
-    /// What it asked for.
+    /// Requested change.
     pub kind: OrderKind,
-    /// When it came, since the engine started.
+    /// Time of arrival, measured from the engine's start.
     #[serde(rename = "since_start_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub since_start: Duration,
@@ -28,40 +28,40 @@
 #[serde_as]
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineCounters {
-    /// Runs cancelled before their end, by call or for a lost connection.
+    /// Runs cancelled before they finished, by request or after a lost connection.
     pub cancelled: u64,
-    /// Decode runs by request id: the call took a place and its KV cache was there, or its reading began.
+    /// Decode runs by request id, counted when the KV cache is found or a local prefill starts.
     pub decode_runs: BTreeMap<Arc<str>, u64>,
-    /// Decode runs by the digits of the prompt's hash.
+    /// Decode runs by prompt digest.
     pub decode_runs_by_prompt: BTreeMap<Arc<str>, u64>,
-    /// Exported KV caches evicted before an import.
+    /// Exported KV caches evicted before they were released.
     pub evicted: u64,
     /// Streams that generated their last token.
     pub finished: u64,
     /// Claims of a KV cache that belongs to another prompt.
     pub kv_mismatches: u64,
-    /// The longest time that a place was held after the last connection of its stream was gone.
+    /// Longest time that a place was held after its stream lost the last connection.
     #[serde(rename = "longest_hold_after_disconnect_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub longest_hold_after_disconnect: Duration,
-    /// The orders in the order in which they came.
+    /// Received orders in order of arrival.
     pub orders: Vec<OrderEntry>,
-    /// The most decode places held at one time.
+    /// Highest number of decode places held at one time.
     pub peak_places: u32,
-    /// Decode places held now.
+    /// Decode places currently held.
     pub places_used: u32,
-    /// Decode places held now by streams whose connection is gone.
+    /// Decode places currently held by streams without a connection.
     pub places_without_connection: u32,
-    /// Readings begun, by request id.
+    /// Prefills started, by request id.
     pub prefill_runs: BTreeMap<Arc<str>, u64>,
-    /// Prompt tokens read, without those found in the prefix cache.
+    /// Prompt tokens prefilled, excluding prefix cache hits.
     pub prompt_tokens_read: u64,
-    /// Prompt tokens read whose KV cache was evicted, cancelled or never used.
+    /// Prompt tokens prefilled whose KV cache was evicted, cancelled or never used.
     pub prompt_tokens_wasted: u64,
-    /// Calls refused before they ran, by the error they were given.
+    /// Calls refused before they ran, by error.
     pub refused: BTreeMap<Arc<str>, u64>,
     /// Tokens generated.
     pub tokens_generated: u64,
-    /// Imports that ended.
+    /// Completed KV cache imports.
     pub transfers: u64,
 }
--- a/crates/fake/src/model/engine_driver.rs
+++ b/crates/fake/src/model/engine_driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what an engine's core decides.
+//! Executes the actions of an engine's core.
 
 use {
     super::{
@@ -47,7 +47,7 @@
     wake: Notify,
 }
 
-/// One connection's view of a run.
+/// Subscription of one connection to the progress of a run.
 #[derive(Debug)]
 pub(super) struct RunSubscription {
     pub(super) call: EngineCall,
@@ -56,7 +56,7 @@
 }
 
 impl RunSubscription {
-    /// Why an answer of so many tokens ends.
+    /// Finish reason of a completion of `tokens` tokens.
     pub(super) fn finish_reason(&self, tokens: u32) -> Arc<str> {
         let reason = match tokens < self.call.max_tokens {
             false => "length",
@@ -66,19 +66,19 @@
     }
 }
 
-/// An engine's core with its timers and transfers; clones share it.
+/// An engine's core with its timers and transfers; clones share the state.
 #[derive(Clone, Debug)]
 pub(super) struct EngineDriver {
     shared: Arc<DriverShared>,
 }
 
 impl EngineDriver {
-    /// Where the engine answers.
+    /// Address of the engine's own interface.
     pub(super) fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Cancels the run of a request id; `false` if the engine holds nothing of it.
+    /// Cancels the run of a request id; returns `false` if it is not active.
     pub(super) fn cancel(&self, id: &str) -> bool {
         let mut state = self.lock();
         let Some(run) = state.core.find_run(id) else {
@@ -89,7 +89,7 @@
         held
     }
 
-    /// Finds an exported KV cache and keeps it for a transfer that begins.
+    /// Finds an exported KV cache and extends its lifetime for a transfer that is starting.
     pub(super) fn claim_export(
         &self,
         handle: KvHandle,
@@ -101,19 +101,19 @@
         Ok(record)
     }
 
-    /// Stops timers and transfers.
+    /// Stops timers and transfers and waits for their tasks.
     pub(super) async fn close(self) {
         self.shared.signal.raise();
         self.shared.tracker.close();
         self.shared.tracker.wait().await;
     }
 
-    /// Hands an event to the core.
+    /// Passes an event to the core and executes the resulting actions.
     pub(super) fn handle(&self, event: EngineEvent) {
         self.apply(&mut self.lock(), event);
     }
 
-    /// Starts an engine that answers at `address`.
+    /// Creates the driver and starts its timers. `address` is advertised in KV transfer parameters.
     pub(super) fn new(core: EngineCore, address: SocketAddr, links: EngineLinks) -> Self {
         let state = DriverState {
             core,
@@ -136,7 +136,7 @@
         driver
     }
 
-    /// Checks an order and carries it out.
+    /// Checks an order's fencing token and executes the order.
     pub(super) fn order(&self, order: EngineOrder) -> Result<(), OrderRefusal> {
         let mut state = self.lock();
         state.core.check_order(Instant::now(), &order)?;
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Reads the run of a request id again; nothing if it can't be resumed.
+    /// Subscribes again to the run of a request id; `None` if it cannot be resumed.
     pub(super) fn resume(&self, id: &str) -> Option<RunSubscription> {
         let mut state = self.lock();
         let run = state.core.find_run(id)?;
@@ -158,7 +158,7 @@
         Some(self.subscription(run, call, views))
     }
 
-    /// Hands a call to the core.
+    /// Submits a call to the core and subscribes to its run.
     pub(super) fn submit(&self, call: EngineCall) -> RunSubscription {
         let mut state = self.lock();
         let run = state.next_run;
@@ -174,7 +174,7 @@
         self.subscription(run, call, views)
     }
 
-    /// Does something with the core.
+    /// Runs a closure on the core while its lock is held.
     pub(super) fn with<T>(&self, work: impl FnOnce(&mut EngineCore) -> T) -> T {
         work(&mut self.lock().core)
     }
@@ -183,12 +183,12 @@
         let mut actions = Vec::new();
         state.core.on_event(Instant::now(), event, &mut actions);
         for action in actions {
-            self.act(state, action);
+            self.execute(state, action);
         }
         self.shared.wake.notify_one();
     }
 
-    fn act(&self, state: &mut DriverState, action: EngineAction) {
+    fn execute(&self, state: &mut DriverState, action: EngineAction) {
         match action {
             EngineAction::ClaimKv {
                 import,
--- a/crates/fake/src/model/engine_event.rs
+++ b/crates/fake/src/model/engine_event.rs
@@ -1,4 +1,4 @@
-//! What an engine hears and what it does.
+//! Events that an engine's core handles and actions that it requests.
 
 use {
     super::{
@@ -11,142 +11,142 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Where a decode call's KV cache lies.
+/// Location of the KV cache that a decode call imports.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KvImport {
-    /// The prefill engine.
+    /// Address of the prefill engine.
     pub address: SocketAddr,
-    /// The KV cache there.
+    /// Handle of the exported KV cache.
     pub handle: KvHandle,
 }
 
-/// One completion call.
+/// A completion call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineCall {
-    /// Its `X-Request-Id`.
+    /// Value of `X-Request-Id`, or a generated id.
     pub id: Arc<str>,
-    /// Where its KV cache lies; a decode call without one reads the prompt itself.
+    /// Location of its KV cache; a decode call without one prefills the prompt locally.
     pub import: Option<KvImport>,
-    /// Whether the KV cache is kept for a remote decode engine; set on prefill calls.
+    /// Whether the KV cache is exported for a remote decode engine; set on prefill calls.
     pub keep_kv: bool,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// The model.
+    /// Model name.
     pub model: ModelId,
-    /// Lower runs first.
+    /// Scheduling priority; lower values run first.
     pub priority: i32,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: Arc<str>,
 }
 
-/// An exported KV cache, as the prefill engine tells the decode engine.
+/// An exported KV cache as the prefill engine describes it to the decode engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct KvRecord {
-    /// Its size.
+    /// Size in bytes.
     pub bytes: f64,
-    /// The prompt's length in tokens.
+    /// Prompt length in tokens.
     pub tokens: u32,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KvAnswer {
-    /// The KV cache is gone.
+    /// The KV cache was evicted or released.
     Evicted,
-    /// The KV cache is there and kept for the transfer.
+    /// The KV cache exists and is kept for the transfer.
     Found(KvRecord),
     /// The KV cache belongs to another prompt.
     Mismatch,
-    /// The prefill engine gave no answer.
+    /// The prefill engine sent no valid answer in time.
     Unreachable,
 }
 
-/// One event.
+/// Input of an engine's core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// A run is to end and to free all that it holds.
+    /// Cancels a run and frees everything it holds.
     Cancel(RunId),
-    /// A connection of a run is gone.
+    /// A run lost one connection.
     Disconnected(RunId),
-    /// Faults in place of the old ones.
+    /// Replaces all faults.
     Faults(EngineFaults),
-    /// The prefill engine answered a claim.
+    /// A claim was answered or failed.
     KvAnswered {
-        /// What it said.
+        /// Outcome of the claim.
         answer: KvAnswer,
-        /// The run.
+        /// Affected run.
         run: RunId,
     },
-    /// A decode engine begins to import a KV cache.
+    /// A decode engine starts to import a KV cache.
     KvClaimed(KvHandle),
-    /// A decode engine needs a KV cache no longer.
+    /// A decode engine no longer needs a KV cache.
     KvReleased {
-        /// The KV cache.
+        /// Handle of the KV cache.
         handle: KvHandle,
-        /// Whether it was imported whole.
+        /// Whether the import completed.
         used: bool,
     },
-    /// A model's weights are there.
+    /// A model's weights are loaded.
     ModelLoaded(ModelId),
-    /// An order that passed its check of the fencing number.
+    /// An order whose fencing token was accepted.
     Order(EngineOrder),
-    /// A further connection reads a run's tokens.
+    /// Another connection subscribed to a run.
     Reconnected(RunId),
-    /// A new call.
+    /// A call arrived.
     Submit {
-        /// The call.
+        /// Parameters of the call.
         call: EngineCall,
-        /// The name that its driver gives it: greater than each before.
+        /// Id assigned by the driver, greater than all earlier ones.
         run: RunId,
     },
-    /// Time passed; drivers send it at [`EngineCore::next_wake`](super::EngineCore::next_wake).
+    /// A timer is due; drivers send it at [`EngineCore::next_wake`](super::EngineCore::next_wake).
     Tick,
-    /// A KV cache has crossed the link.
+    /// A KV cache transfer is complete.
     TransferEnded(RunId),
 }
 
-/// One thing to do.
+/// Output of an engine's core, executed by its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineAction {
-    /// Ask the prefill engine for a KV cache; answer with [`EngineEvent::KvAnswered`].
+    /// Claims a KV cache at the prefill engine; answered by [`EngineEvent::KvAnswered`].
     ClaimKv {
-        /// Where it lies.
+        /// Location of the KV cache.
         import: KvImport,
-        /// The prompt that it has to belong to.
+        /// Prompt that the KV cache must belong to.
         prompt: Arc<str>,
-        /// The run.
+        /// Affected run.
         run: RunId,
     },
-    /// A run can no longer be resumed.
+    /// Drops the state kept for resuming a run.
     Forget(RunId),
-    /// Load a model's weights; answer with [`EngineEvent::ModelLoaded`].
+    /// Loads a model's weights; answered by [`EngineEvent::ModelLoaded`].
     LoadWeights {
-        /// Their size.
+        /// Size of the weights in bytes.
         bytes: f64,
-        /// The model.
+        /// Model name.
         model: ModelId,
     },
-    /// Tell the prefill engine that a KV cache is needed no longer.
+    /// Releases a KV cache at the prefill engine.
     ReleaseKv {
-        /// Where it lies.
+        /// Location of the KV cache.
         import: KvImport,
-        /// Whether it was imported whole.
+        /// Whether the import completed.
         used: bool,
     },
-    /// Carry a KV cache over the link; answer with [`EngineEvent::TransferEnded`].
+    /// Transfers a KV cache over the link; answered by [`EngineEvent::TransferEnded`].
     StartTransfer {
-        /// Its size.
+        /// Size in bytes.
         bytes: f64,
-        /// The run.
+        /// Affected run.
         run: RunId,
     },
-    /// Give up a claim or a transfer.
+    /// Aborts the claim or transfer of a run.
     StopTransfer(RunId),
-    /// The caller sees this from now on; after a view with an end no other one comes.
+    /// Publishes a run's progress. No update follows one whose `end` is set.
     Update {
-        /// The run.
+        /// Affected run.
         run: RunId,
-        /// What the caller sees.
+        /// Progress as the caller sees it.
         view: RunView,
     },
 }
--- a/crates/fake/src/model/engine_faults.rs
+++ b/crates/fake/src/model/engine_faults.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an engine.
+//! Faults that can be injected into an engine.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,33 +6,33 @@
     std::time::Duration,
 };
 
-/// An engine's faults; all are off by default, and a new set takes the place of the old one whole.
+/// Injected faults of an engine. All are off by default; a new set replaces the old one completely.
 #[serde_as]
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Runs each call and closes its connection without an answer.
+    /// Runs each call and closes its connection without a response.
     pub close_after_read: bool,
-    /// Closes all connections, open ones and new ones; what runs goes on as after any lost connection.
+    /// Closes all open and new connections; active runs continue as after any lost connection.
     pub drop_connections: bool,
     /// Sends each chunk of a stream twice.
     pub duplicate_chunks: bool,
-    /// Generates so many tokens more than were asked for.
+    /// Number of tokens generated beyond the expected length.
     pub extra_tokens: u32,
-    /// Runs each call and answers what nothing can read.
+    /// Runs each call and responds with malformed data.
     pub garbage: bool,
-    /// Refuses new calls as leaving, and says so in the load report.
+    /// Refuses new calls with `leaving` and reports it in the load report.
     pub leaving: bool,
-    /// Refuses new calls as full.
+    /// Refuses new calls with `full`.
     pub refuse: bool,
-    /// Every completion call waits this long before it is taken.
+    /// Delay before each completion call is accepted.
     #[serde(rename = "slow_accept_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub slow_accept: Duration,
-    /// No step of the batch starts while this is set: streams fall silent and keep their places.
+    /// Starts no batch step while set: streams send no tokens and keep their places.
     pub stall_decoding: bool,
-    /// Transfers never end while this is set.
+    /// Completes no transfer while set.
     pub stall_transfers: bool,
-    /// Cuts the connection of each stream after so many tokens; the stream goes on and can be resumed.
+    /// Closes each stream's connection after this many tokens; the run continues and can be resumed.
     pub stop_after_tokens: Option<u32>,
 }
--- a/crates/fake/src/model/engine_routes.rs
+++ b/crates/fake/src/model/engine_routes.rs
@@ -1,4 +1,4 @@
-//! An engine's HTTP interface.
+//! HTTP interface of an engine.
 
 use {
     super::{
@@ -36,24 +36,24 @@
     },
 };
 
-/// Answers that nothing can read.
+/// Malformed JSON sent by the `garbage` fault.
 const GARBAGE: &str = "{\"choices\": \u{1}<<<";
 
-/// What the routes of one engine share.
+/// State shared by the routes of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineState {
     pub(super) driver: EngineDriver,
     pub(super) name: Arc<str>,
-    unnamed: Arc<AtomicU64>,
+    unnamed_count: Arc<AtomicU64>,
 }
 
 impl EngineState {
-    /// The state of an engine's routes.
+    /// Creates the shared state of an engine's routes.
     pub(super) fn new(driver: EngineDriver, name: Arc<str>) -> Self {
         Self {
             driver,
             name,
-            unnamed: Arc::default(),
+            unnamed_count: Arc::default(),
         }
     }
 
@@ -66,7 +66,7 @@
         if let Some(id) = named.and_then(|id| id.to_str().ok()) {
             return Arc::from(id);
         }
-        let number = self.unnamed.fetch_add(1, Ordering::Relaxed);
+        let number = self.unnamed_count.fetch_add(1, Ordering::Relaxed);
         Arc::from(format!("unnamed-{number}"))
     }
 }
@@ -94,7 +94,7 @@
     offset: u32,
 }
 
-/// The routes of the engine's own address.
+/// Creates the router of the engine's own address.
 pub(super) fn routes(state: EngineState) -> Router {
     Router::new()
         .route("/cache/events", get(cache_events))
@@ -170,7 +170,7 @@
     }
 }
 
-/// Takes a call, after a while. One whose connection is lost meanwhile is taken all the same.
+/// Submits a call after `delay`, even if its connection is lost in the meantime.
 async fn accept(state: &EngineState, call: EngineCall, delay: Duration) -> Option<RunSubscription> {
     if delay.is_zero() {
         return Some(state.driver.submit(call));
@@ -253,7 +253,7 @@
     }
 }
 
-/// The call, and whether its answer is a stream.
+/// Parses a call; the flag tells whether the response is streamed. `None` if the body is invalid.
 fn parse_call(id: &Arc<str>, body: &[u8]) -> Option<(EngineCall, bool)> {
     let call: CompletionCall = serde_json::from_slice(body).ok()?;
     let params = call.kv_transfer_params.unwrap_or_default();
@@ -295,7 +295,7 @@
     (headers, body.into_body()).into_response()
 }
 
-/// Waits until a run has an end, or can be streamed; nothing when the engine stops first.
+/// Waits until a run has an outcome or can be streamed; `None` if the engine stops first.
 async fn wait_for_answer(
     subscription: &mut RunSubscription,
     wants_stream: bool,
--- a/crates/fake/src/model/engine_run.rs
+++ b/crates/fake/src/model/engine_run.rs
@@ -1,4 +1,4 @@
-//! One call that an engine holds.
+//! State of one call in an engine.
 
 use {
     super::engine_event::{EngineCall, KvImport},
@@ -6,62 +6,62 @@
     std::time::Instant,
 };
 
-/// Names one call within the life of an engine.
+/// Id of a call, unique within an engine's incarnation.
 pub type RunId = u64;
-/// Names one exported KV cache.
+/// Id of an exported KV cache, unique across an engine's incarnations.
 pub type KvHandle = u64;
 
-/// How a run ended, as its caller sees it.
+/// Outcome of a run as its caller sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RunEnd {
-    /// It was cancelled.
+    /// Cancelled before it finished.
     Cancelled,
-    /// The prompt is read and the KV cache waits under this handle.
+    /// The prompt is prefilled and the KV cache is exported under this handle.
     Exported(KvHandle),
-    /// All tokens are there.
+    /// All tokens were generated.
     Finished,
-    /// It was refused before it ran.
+    /// Refused before it ran.
     Refused(EngineError),
 }
 
-/// What the caller of a run can see of it.
+/// Progress of a run as its caller sees it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RunView {
-    /// Whether it can no longer be refused.
+    /// Whether the call was accepted and can no longer be refused.
     pub accepted: bool,
-    /// How it ended.
+    /// Outcome; `None` while the run is active.
     pub end: Option<RunEnd>,
-    /// The length that the answer will have.
+    /// Final length of the completion in tokens.
     pub target: u32,
-    /// Tokens so far.
+    /// Tokens generated so far.
     pub tokens: u32,
 }
 
-/// What a run is doing.
+/// Phase of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RunPhase {
-    /// Its KV cache is asked for.
+    /// Waits for the answer to its KV cache claim.
     Claiming(KvImport),
     /// Generates tokens.
     Decoding,
-    /// Its KV cache waits, until it is evicted.
+    /// Its KV cache is exported and is evicted at `until`.
     Exported {
         claimed: bool,
         handle: KvHandle,
         until: Instant,
     },
-    /// All tokens are there; it can be resumed for a while and holds no memory.
+    /// All tokens were generated; it holds no place and can be resumed until `until`.
     Finished { until: Instant },
-    /// Its prompt is being read.
+    /// Its prompt is being prefilled.
     Prefilling,
-    /// Its KV cache crosses the link.
+    /// Its KV cache is being transferred.
     Transferring(KvImport),
-    /// Waits to be read.
+    /// Queued for prefill.
     Waiting,
 }
 
 impl RunPhase {
-    /// What the list of streams says; nothing for a finished run.
+    /// State in the list of streams; `None` for a finished run.
     pub(super) fn state(&self) -> Option<StreamState> {
         match self {
             Self::Claiming(_) | Self::Transferring(_) => Some(StreamState::Transferring),
@@ -74,7 +74,7 @@
     }
 }
 
-/// One call with all that it holds.
+/// A call with its progress and the resources it holds.
 #[derive(Clone, Debug)]
 pub(super) struct EngineRun {
     pub(super) call: EngineCall,
@@ -82,16 +82,16 @@
     pub(super) disconnected: Option<Instant>,
     pub(super) holds_place: bool,
     pub(super) phase: RunPhase,
-    /// Prompt tokens in all.
+    /// Prompt length in tokens.
     pub(super) prompt_tokens: u32,
-    /// Prompt tokens to be read, or read, without those found in the prefix cache.
+    /// Prompt tokens that need prefill, excluding prefix cache hits; 0 before the prefill starts.
     pub(super) uncached_tokens: u32,
     pub(super) target: u32,
     pub(super) tokens: u32,
 }
 
 impl EngineRun {
-    /// Whether its answer is not finished yet.
+    /// Whether its response is still in progress.
     pub(super) fn needs_connection(&self) -> bool {
         !matches!(
             self.phase,
@@ -99,7 +99,7 @@
         )
     }
 
-    /// What its caller sees while it goes on.
+    /// Progress without an outcome.
     pub(super) fn view(&self) -> RunView {
         RunView {
             accepted: self.is_accepted(),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What its caller sees at its end.
+    /// Progress with the given outcome.
     pub(super) fn view_at_end(&self, end: RunEnd) -> RunView {
         RunView {
             end: Some(end),
--- a/crates/fake/src/model/kv_client.rs
+++ b/crates/fake/src/model/kv_client.rs
@@ -1,4 +1,4 @@
-//! How a decode engine asks a prefill engine for a KV cache.
+//! HTTP client with which a decode engine claims KV caches at a prefill engine.
 
 use {
     super::engine_event::{KvAnswer, KvImport},
@@ -14,17 +14,17 @@
     tokio::time,
 };
 
-/// How long a prefill engine may take to answer.
+/// Timeout of calls to a prefill engine.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls prefill engines.
+/// HTTP client for prefill engines.
 #[derive(Clone, Debug)]
 pub(super) struct KvClient {
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
 impl KvClient {
-    /// Asks for a KV cache, which stays there for the transfer.
+    /// Claims a KV cache, which the prefill engine then keeps for the transfer.
     pub(super) async fn claim(&self, import: &KvImport, digest: &str) -> KvAnswer {
         let path = format!("/kv/{}?prompt={digest}", import.handle);
         let claim = self.claim_at(import, &path);
@@ -34,14 +34,14 @@
         }
     }
 
-    /// A client without connections.
+    /// Creates a client with an empty connection pool.
     pub(super) fn new() -> Self {
         Self {
             client: Client::builder(TokioExecutor::new()).build_http(),
         }
     }
 
-    /// Says that a KV cache is needed no longer. A prefill engine that can't be reached evicts it by itself.
+    /// Releases a KV cache. Errors are ignored because the prefill engine evicts unclaimed KV caches itself.
     pub(super) async fn release(&self, import: &KvImport, used: bool) {
         let path = format!("/kv/{}?used={used}", import.handle);
         let release = self.send(Method::DELETE, import, &path);
--- a/crates/fake/src/model/load_history.rs
+++ b/crates/fake/src/model/load_history.rs
@@ -1,4 +1,4 @@
-//! What an engine's load was a while ago.
+//! Past load of an engine, for stale load reports.
 
 use {
     engine::wire::route_role::EngineRole,
@@ -9,7 +9,7 @@
     },
 };
 
-/// The parts of a load report that change.
+/// Variable part of a load report.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LoadSnapshot {
     pub(super) decode_used: u32,
@@ -19,7 +19,7 @@
     pub(super) role: EngineRole,
 }
 
-/// The load by the time at which it changed_at, back to the lag and one change more.
+/// Load by time of change. Covers the lag and the last change before it.
 #[derive(Clone, Debug)]
 pub(super) struct LoadHistory {
     lag: Duration,
@@ -27,7 +27,7 @@
 }
 
 impl LoadHistory {
-    /// The load as it was before the lag; the oldest known one before that.
+    /// Load as of `lag` ago, or the oldest recorded load if the history is shorter.
     pub(super) fn delayed(&self, now: Instant) -> Option<&LoadSnapshot> {
         for (changed_at, snapshot) in self.snapshots.iter().rev() {
             if *changed_at + self.lag <= now {
@@ -37,7 +37,7 @@
         self.snapshots.front().map(|(_, snapshot)| snapshot)
     }
 
-    /// An empty history.
+    /// Creates an empty history.
     pub(super) fn new(lag: Duration) -> Self {
         Self {
             lag,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes down the load if it changed.
+    /// Records the load if it changed.
     pub(super) fn record(&mut self, now: Instant, snapshot: LoadSnapshot) {
         if self
             .snapshots
--- a/crates/fake/src/model/mod.rs
+++ b/crates/fake/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a model engine.
+//! Stand-in for a model engine.
 
 mod cache_event_log;
 mod connection_guard;
--- a/crates/fake/src/model/prefix_cache.rs
+++ b/crates/fake/src/model/prefix_cache.rs
@@ -1,11 +1,11 @@
-//! Blocks of prompts that an engine keeps, the least recently used one going first.
+//! LRU cache of prompt blocks.
 
 use {
     kernel::BlockHash,
     std::collections::{BTreeMap, HashMap},
 };
 
-/// A limited number of blocks.
+/// Prompt blocks with least-recently-used eviction.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefixCache {
     by_age: BTreeMap<u64, BlockHash>,
@@ -14,7 +14,7 @@
     stamps: HashMap<BlockHash, u64>,
 }
 
-/// What came and went when a prompt's blocks were kept.
+/// Blocks added and evicted by one store operation.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct CacheChange {
     pub(super) evicted: Vec<BlockHash>,
@@ -22,7 +22,7 @@
 }
 
 impl PrefixCache {
-    /// How many leading blocks are there.
+    /// Number of leading blocks that are cached.
     pub(super) fn cached_blocks(&self, blocks: &[BlockHash]) -> usize {
         blocks
             .iter()
@@ -30,7 +30,7 @@
             .count()
     }
 
-    /// An empty cache of so many blocks.
+    /// Creates an empty cache that holds `capacity` blocks.
     pub(super) fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Keeps a prompt's blocks; the first block becomes the most recently used one, so that tails go first.
+    /// Stores a prompt's blocks. The first block becomes the most recently used, so that tails are evicted first.
     pub(super) fn store(&mut self, blocks: &[BlockHash]) -> CacheChange {
         let mut change = CacheChange::default();
         for block in blocks.iter().rev() {
@@ -60,7 +60,7 @@
         change
     }
 
-    /// Makes a block the most recently used one; `true` if it was not there.
+    /// Marks a block as most recently used; returns `true` if it was not cached.
     fn touch(&mut self, block: BlockHash) -> bool {
         self.clock += 1;
         self.by_age.insert(self.clock, block);
--- a/crates/fake/src/model/rate_link.rs
+++ b/crates/fake/src/model/rate_link.rs
@@ -1,4 +1,4 @@
-//! A link of limited rate that many transfers share.
+//! Link of limited bandwidth shared by concurrent transfers.
 
 use {
     crate::fair_share_table::FairShareTable,
@@ -25,14 +25,14 @@
     state: Mutex<LinkState>,
 }
 
-/// A link, or a weight store; clones share its rate.
+/// A link or weight store; clones share its rate.
 #[derive(Clone, Debug)]
 pub struct RateLink {
     shared: Arc<LinkShared>,
 }
 
 impl RateLink {
-    /// Carries so many units; the call ends when they are over. Dropping it gives the transfer up.
+    /// Transfers `units` and returns when they have arrived. Dropping the future aborts the transfer.
     pub async fn transfer(&self, units: f64) {
         let transfer = self.start(units);
         loop {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A link of so many units a second; zero or less for one without a limit.
+    /// Creates a link of `rate` units per second; zero or less means unlimited.
     pub fn new(rate: f64) -> Self {
         let state = LinkState {
             ended: BTreeSet::new(),
@@ -93,7 +93,7 @@
 }
 
 impl TransferGuard<'_> {
-    /// When the next transfer of the link ends; nothing once this one has.
+    /// Completion time of the link's next transfer; `None` once this transfer is complete.
     fn next_completion(&self) -> Option<Instant> {
         let mut state = self.link.lock();
         self.link.advance(Instant::now(), &mut state);
--- a/crates/fake/src/model/stand_in_engine.rs
+++ b/crates/fake/src/model/stand_in_engine.rs
@@ -1,4 +1,4 @@
-//! An engine's stand-in on its sockets.
+//! An engine's stand-in with its listeners.
 
 use {
     super::{
@@ -24,17 +24,17 @@
     },
 };
 
-/// The links that the engines of one availability zone share.
+/// Links shared by the engines of one availability zone.
 #[derive(Clone, Debug)]
 pub struct EngineLinks {
-    /// Carries KV caches.
+    /// Link for KV cache transfers.
     pub transfers: RateLink,
-    /// Carries weights.
+    /// Weight store.
     pub weights: RateLink,
 }
 
 impl EngineLinks {
-    /// Links with the rates of an engine's settings.
+    /// Creates links with the bandwidths from an engine's settings.
     pub fn new(settings: &EngineSettings) -> Self {
         Self {
             transfers: RateLink::new(settings.link_bytes_per_second),
@@ -53,7 +53,7 @@
     }
 }
 
-/// A running engine; clones share it.
+/// A running engine; clones share the state.
 #[derive(Clone, Debug)]
 pub struct StandInEngine {
     admin: StandInServer,
@@ -62,29 +62,29 @@
 }
 
 impl StandInEngine {
-    /// Where it answers.
+    /// Address of the stand-in's own interface.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where it takes faults and shows counters.
+    /// Address of the admin interface, which accepts faults and serves counters.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Stops it as a crash would: open connections are closed, nothing is finished.
+    /// Stops it like a crash: open connections are closed and active runs are lost.
     pub async fn close(self) {
         self.server.close().await;
         self.admin.close().await;
         self.driver.close().await;
     }
 
-    /// The counters.
+    /// Counts since the stand-in started.
     pub fn counters(&self) -> EngineCounters {
         self.driver.with(|core| core.counters())
     }
 
-    /// What its process says when it is ready.
+    /// Line that the process prints once it is listening.
     pub fn ready_line(&self) -> ReadyLine {
         ReadyLine {
             address: self.address(),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Puts faults in place of the old ones.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         let drops = faults.drop_connections;
         self.driver.handle(EngineEvent::Faults(faults));
@@ -101,21 +101,21 @@
         }
     }
 
-    /// Starts it with links of its own.
+    /// Starts an engine with its own links.
     ///
     /// # Errors
     ///
-    /// [`FakeError::Bind`] when an address can't be listened on.
+    /// [`FakeError::Bind`] when a listener cannot be bound.
     pub async fn start(settings: EngineSettings) -> Result<Self, FakeError> {
         let links = EngineLinks::new(&settings);
         Self::start_with_links(settings, links).await
     }
 
-    /// Starts it with links that it shares with other engines of this process.
+    /// Starts an engine with links that it shares with other engines of this process.
     ///
     /// # Errors
     ///
-    /// [`FakeError::Bind`] when an address can't be listened on.
+    /// [`FakeError::Bind`] when a listener cannot be bound.
     pub async fn start_with_links(
         settings: EngineSettings,
         links: EngineLinks,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Runs an engine's stand-in as this process, until it is told to end.
+/// Runs an engine's stand-in in this process until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
--- a/crates/fake/src/model/token_body.rs
+++ b/crates/fake/src/model/token_body.rs
@@ -1,4 +1,4 @@
-//! The SSE body of a stream.
+//! Server-sent events body of a streamed completion.
 
 use {
     super::{
@@ -18,12 +18,12 @@
     tokio::task,
 };
 
-/// The object that chunks and whole answers name.
+/// Value of `object` in chunks and complete responses.
 pub(super) const COMPLETION_OBJECT: &str = "text_completion";
-/// An event that nothing can read.
+/// Malformed event sent by the `garbage` fault.
 const GARBAGE_EVENT: &str = "data: {\"choices\": \u{1}<<<\n\n";
 
-/// Writes a run's tokens as they come.
+/// Writes a run's tokens as they are generated.
 #[derive(Debug)]
 pub(super) struct TokenBody {
     digest: String,
@@ -34,13 +34,13 @@
 }
 
 enum BodyStep {
-    Cut,
+    Abort,
     Last(String),
     More(String),
 }
 
 impl TokenBody {
-    /// Writes the tokens from `offset` on.
+    /// Creates a body that starts with the token at `offset`.
     pub(super) fn new(faults: EngineFaults, subscription: RunSubscription, offset: u32) -> Self {
         Self {
             digest: prompt_digest(&subscription.call.prompt),
@@ -51,17 +51,17 @@
         }
     }
 
-    /// The body itself.
+    /// Converts the writer into a response body.
     pub(super) fn into_body(self) -> Body {
         let pieces = stream::unfold(Some((self, false)), |state| async move {
-            let (mut body, cut) = state?;
-            if cut {
-                // Lets the server flush what came before the cut.
+            let (mut body, is_aborted) = state?;
+            if is_aborted {
+                // Lets the server flush the bytes before the abort.
                 task::yield_now().await;
                 return Some((Err(ConnectionAborted), None));
             }
             match body.step().await {
-                BodyStep::Cut => Some((Ok(Bytes::new()), Some((body, true)))),
+                BodyStep::Abort => Some((Ok(Bytes::new()), Some((body, true)))),
                 BodyStep::Last(text) => Some((Ok(Bytes::from(text)), None)),
                 BodyStep::More(text) => Some((Ok(Bytes::from(text)), Some((body, false)))),
             }
@@ -74,8 +74,8 @@
             return BodyStep::Last(GARBAGE_EVENT.to_owned());
         }
         loop {
-            if self.is_at_cut() {
-                return BodyStep::Cut;
+            if self.is_at_token_limit() {
+                return BodyStep::Abort;
             }
             let view = self.subscription.views.borrow_and_update().clone();
             if self.next < view.tokens {
@@ -85,12 +85,12 @@
                 return BodyStep::Last(end_text(end));
             }
             if self.subscription.views.changed().await.is_err() {
-                return BodyStep::Cut;
+                return BodyStep::Abort;
             }
         }
     }
 
-    fn is_at_cut(&self) -> bool {
+    fn is_at_token_limit(&self) -> bool {
         let limit = self.faults.stop_after_tokens;
         limit.is_some_and(|limit| self.sent >= limit)
     }
@@ -126,7 +126,7 @@
     }
 }
 
-/// The token counts of a whole answer.
+/// Token counts of a complete response.
 pub(super) fn usage(prompt: &str, view: &RunView) -> TokenUsage {
     TokenUsage {
         completion_tokens: view.target,
--- a/crates/fake/src/net/json_body.rs
+++ b/crates/fake/src/net/json_body.rs
@@ -1,4 +1,4 @@
-//! JSON request bodies, whatever their content type says.
+//! Extractor of JSON request bodies that ignores the content type.
 
 use {
     axum::extract::{FromRequest, Request},
@@ -7,7 +7,7 @@
     serde::de::DeserializeOwned,
 };
 
-/// A request's body read as JSON; 400 with the reason if it can't be.
+/// Request body parsed as JSON; rejects invalid JSON with status 400 and the parse error.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JsonBody<T>(pub(crate) T);
 
--- a/crates/fake/src/net/mod.rs
+++ b/crates/fake/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that all stand-ins share: one that can also misbehave.
+//! HTTP server of the stand-ins, with support for injected connection faults.
 
 pub(crate) mod aborted_response;
 pub(crate) mod connection_gate;
--- a/crates/fake/src/net/stand_in_server.rs
+++ b/crates/fake/src/net/stand_in_server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and serves a router on them.
+//! Listener that serves a router and can drop its connections.
 
 use {
     super::{
@@ -26,7 +26,7 @@
     tokio_util::{sync::CancellationToken, task::TaskTracker},
 };
 
-/// One listener with its connections.
+/// A listener with its connections; clones share the state.
 #[derive(Clone, Debug)]
 pub(crate) struct StandInServer {
     address: SocketAddr,
@@ -36,26 +36,26 @@
 }
 
 impl StandInServer {
-    /// Where it listens.
+    /// Bound address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the listener and all connections, and waits for them.
+    /// Closes the listener and all connections and waits for their tasks.
     pub(crate) async fn close(self) {
         self.signal.raise();
         self.tracker.close();
         self.tracker.wait().await;
     }
 
-    /// Closes all connections that are open now.
+    /// Closes all open connections.
     pub(crate) fn drop_connections(&self) {
         let mut connections = lock(&self.connections);
         connections.cancel();
         *connections = CancellationToken::new();
     }
 
-    /// Listens on `address`; the port is known before anything is served.
+    /// Binds a listener without serving it yet, so that the port is known before the router is built.
     pub(crate) async fn bind(address: SocketAddr) -> Result<(Self, TcpListener), FakeError> {
         let listener = TcpListener::bind(address)
             .await
@@ -69,7 +69,7 @@
         Ok((server, listener))
     }
 
-    /// Starts to serve.
+    /// Starts to accept connections.
     pub(crate) fn serve<G: ConnectionGate>(&self, listener: TcpListener, router: Router, gate: G) {
         let accept = self.clone().accept(listener, router, gate);
         self.tracker.spawn(accept);
--- a/crates/fake/src/platform/instance_registry.rs
+++ b/crates/fake/src/platform/instance_registry.rs
@@ -1,4 +1,4 @@
-//! The list of instances, shown as it was a while ago.
+//! Instance list with a configurable lag.
 
 use {
     plat::InstanceRecord,
@@ -9,12 +9,12 @@
     },
 };
 
-/// How many past lists are kept.
+/// Past lists kept; older ones are dropped.
 const MAX_HISTORY_LEN: usize = 4096;
 
 type InstanceMap = BTreeMap<Arc<str>, InstanceRecord>;
 
-/// The instances now, and how the list was.
+/// Current instances and the history of the list.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceRegistry {
     current: InstanceMap,
@@ -22,7 +22,7 @@
 }
 
 impl InstanceRegistry {
-    /// The list as it was `lag` ago, by name; empty before the first change.
+    /// Returns the list as of `lag` ago, sorted by name; empty before the first change.
     pub fn list(&self, now: Instant, lag: Duration) -> Vec<InstanceRecord> {
         if lag.is_zero() {
             return self.current.values().cloned().collect();
@@ -35,13 +35,13 @@
         Vec::new()
     }
 
-    /// Puts one instance in the list, in place of an earlier one of its name.
+    /// Adds an instance or replaces the one of the same name.
     pub fn put(&mut self, now: Instant, record: InstanceRecord) {
         self.current.insert(record.name.clone(), record);
         self.record_history(now);
     }
 
-    /// Takes one instance off the list; `false` if it was not there.
+    /// Removes an instance; returns `false` if it was not listed.
     pub fn remove(&mut self, now: Instant, name: &str) -> bool {
         let found = self.current.remove(name).is_some();
         self.record_history(now);
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: rows, objects and the list of instances.
+//! Stand-in for the platform: rows, objects and the list of instances.
 
 pub mod instance_registry;
 mod platform_admin;
--- a/crates/fake/src/platform/platform_core.rs
+++ b/crates/fake/src/platform/platform_core.rs
@@ -1,4 +1,4 @@
-//! The platform without its sockets.
+//! Platform state without I/O.
 
 use {
     super::{
@@ -19,12 +19,12 @@
     },
 };
 
-/// Whether the caller hears of a write.
+/// Whether the reply to a write is delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReplyDelivery {
-    /// The write took effect, and the connection is closed without an answer.
+    /// The write took effect and the connection is closed without a response.
     Lost,
-    /// The answer is sent.
+    /// The reply is sent.
     Sent,
 }
 
@@ -34,7 +34,7 @@
     rows: RowTable,
 }
 
-/// Rows, objects, list, faults and counters of one platform.
+/// Rows, objects, instance list, faults and counters of one platform.
 #[derive(Clone, Debug)]
 pub struct PlatformCore {
     registry: InstanceRegistry,
@@ -49,7 +49,7 @@
 }
 
 impl PlatformCore {
-    /// Commits a transaction.
+    /// Commits a transaction or reports its conflict.
     pub fn commit(
         &mut self,
         now: Instant,
@@ -63,29 +63,29 @@
         (reply, self.count_write(now))
     }
 
-    /// The counters.
+    /// Counts since the stand-in started.
     pub fn counters(&self) -> &PlatformCounters {
         &self.counters
     }
 
-    /// The faults in force.
+    /// Active faults.
     pub fn faults(&self) -> &PlatformFaults {
         &self.faults
     }
 
-    /// Reads one object.
+    /// Reads one object; `None` if the key does not exist.
     pub fn get_object(&mut self, now: Instant, key: &str) -> Option<Bytes> {
         self.count_read(now);
         self.store.objects.get(key).cloned()
     }
 
-    /// Reads one row.
+    /// Reads one row; `None` if the key does not exist.
     pub fn get_row(&mut self, now: Instant, key: &str) -> Option<StoredRow> {
         self.count_read(now);
         self.store.rows.get(key).cloned()
     }
 
-    /// Reads the list of instances, as it was a while ago.
+    /// Reads the list of instances with the lag of the faults, else of the settings.
     pub fn list_instances(&mut self, now: Instant) -> Vec<InstanceRecord> {
         self.count_read(now);
         self.counters.list_reads += 1;
@@ -93,7 +93,7 @@
         self.registry.list(now, lag)
     }
 
-    /// A platform with nothing in it.
+    /// Creates an empty platform.
     pub fn new(settings: &PlatformSettings) -> Self {
         Self {
             registry: InstanceRegistry::default(),
@@ -108,41 +108,41 @@
         }
     }
 
-    /// Puts an instance in the list.
+    /// Adds an instance or replaces the one of the same name.
     pub fn put_instance(&mut self, now: Instant, record: InstanceRecord) -> ReplyDelivery {
         self.registry.put(now, record);
         self.count_write(now)
     }
 
-    /// Writes one object.
+    /// Writes one object, replacing any earlier content.
     pub fn put_object(&mut self, now: Instant, key: Arc<str>, content: Bytes) -> ReplyDelivery {
         self.store.objects.insert(key, content);
         self.count_write(now)
     }
 
-    /// Takes an instance off the list; `false` if it was not there.
+    /// Removes an instance; the flag is `false` if it was not listed.
     pub fn remove_instance(&mut self, now: Instant, name: &str) -> (bool, ReplyDelivery) {
         let found = self.registry.remove(now, name);
         (found, self.count_write(now))
     }
 
-    /// Goes back to the rows and objects of the last snapshot; to nothing if there was none.
+    /// Restores the rows and objects of the last snapshot; empty if there is none.
     pub fn restore(&mut self) {
         self.store = self.snapshot.clone();
     }
 
-    /// Reads the rows of a prefix.
+    /// Reads the rows whose key starts with `prefix`.
     pub fn scan_rows(&mut self, now: Instant, prefix: &str) -> Vec<StoredRow> {
         self.count_read(now);
         self.store.rows.scan(prefix)
     }
 
-    /// Puts faults in place of the old ones.
+    /// Replaces all faults.
     pub fn set_faults(&mut self, faults: PlatformFaults) {
         self.faults = faults;
     }
 
-    /// Keeps a copy of the rows and objects for [`Self::restore`].
+    /// Saves the rows and objects for [`Self::restore`].
     pub fn take_snapshot(&mut self) {
         self.snapshot = self.store.clone();
     }
--- a/crates/fake/src/platform/platform_counters.rs
+++ b/crates/fake/src/platform/platform_counters.rs
@@ -1,35 +1,35 @@
-//! What the platform was asked.
+//! Counters of the platform.
 
 use {
     serde::{Deserialize, Serialize},
     std::time::{Duration, Instant},
 };
 
-/// How long the window of a peak is.
+/// Window over which peak rates are counted.
 const PEAK_WINDOW: Duration = Duration::from_secs(1);
 
-/// Counts of the platform's calls since it started.
+/// Calls to the platform since it started.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlatformCounters {
     /// Reads of the list of instances.
     pub list_reads: u64,
-    /// Writes whose reply was lost on purpose.
+    /// Writes whose reply was dropped by a fault.
     pub lost_replies: u64,
-    /// The most reads within one second.
+    /// Highest number of reads within one second.
     pub peak_reads: u64,
-    /// The most writes within one second.
+    /// Highest number of writes within one second.
     pub peak_writes: u64,
-    /// Reads of rows, of prefixes, of objects and of the list.
+    /// Reads of rows, prefixes, objects and the instance list.
     pub reads: u64,
-    /// Transactions that met a conflict.
+    /// Transactions refused because a condition did not hold.
     pub transaction_conflicts: u64,
-    /// Transactions that committed.
+    /// Committed transactions.
     pub transactions_committed: u64,
-    /// Writes: transactions, objects and the list.
+    /// Writes of transactions, objects and the instance list.
     pub writes: u64,
 }
 
-/// Counts calls by second, for the peak.
+/// Tracks the peak number of calls per window.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeakMeter {
     count: u64,
@@ -38,7 +38,7 @@
 }
 
 impl PeakMeter {
-    /// Counts one call and says the peak so far.
+    /// Counts one call and returns the peak so far.
     pub(crate) fn count(&mut self, now: Instant) -> u64 {
         let ended = self
             .since
--- a/crates/fake/src/platform/platform_faults.rs
+++ b/crates/fake/src/platform/platform_faults.rs
@@ -1,4 +1,4 @@
-//! What is wrong with the platform.
+//! Faults that can be injected into the platform.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,28 +6,28 @@
     std::time::Duration,
 };
 
-/// The platform's faults; all are off by default, and a new set takes the place of the old one whole.
+/// Injected faults of the platform. All are off by default; a new set replaces the old one completely.
 #[serde_as]
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call waits this long before it takes effect; a caller that leaves meanwhile undoes the call.
+    /// Delay before each call takes effect; a call whose caller disconnects in the meantime has no effect.
     #[serde(rename = "delay_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub delay: Duration,
-    /// Connections are closed at once, open ones too.
+    /// Closes all open and new connections.
     pub down: bool,
-    /// The list of instances answers 503.
+    /// Responds to reads of the instance list with 503.
     pub list_down: bool,
-    /// The list of instances shows what was true this long ago; in place of the setting.
+    /// Lag of the instance list; `None` uses the lag from the settings.
     #[serde(rename = "list_lag_ms")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub list_lag: Option<Duration>,
-    /// So many further writes take effect, and their connection is closed without an answer.
+    /// Number of next writes that take effect but lose their reply: the connection is closed without a response.
     pub lose_next_replies: u64,
-    /// Each write takes effect and loses its reply with this probability, 0 to 1.
+    /// Probability that a write takes effect but loses its reply, 0 to 1.
     pub lose_reply_probability: f64,
-    /// Every reply waits this long after its call took effect.
+    /// Delay of each reply after its call took effect.
     #[serde(rename = "reply_delay_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub reply_delay: Duration,
--- a/crates/fake/src/platform/platform_routes.rs
+++ b/crates/fake/src/platform/platform_routes.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP interface.
+//! HTTP interface of the platform.
 
 use {
     super::{platform_core::ReplyDelivery, stand_in_platform::PlatformState},
@@ -23,7 +23,7 @@
     prefix: Arc<str>,
 }
 
-/// The routes of the platform's own address.
+/// Creates the router of the platform's own address.
 pub(super) fn routes(state: PlatformState) -> Router {
     Router::new()
         .route("/instances", get(list_instances))
--- a/crates/fake/src/platform/platform_settings.rs
+++ b/crates/fake/src/platform/platform_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the platform's stand-in.
+//! Settings of the platform's stand-in.
 
 use {
     bon::Builder,
@@ -10,23 +10,23 @@
     },
 };
 
-/// How the platform's stand-in starts.
+/// Startup settings of the platform's stand-in.
 #[serde_as]
 #[derive(Builder, Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where it answers; port 0 for any.
+    /// Listen address; port 0 picks a free port.
     #[builder(default = loopback())]
     pub address: SocketAddr,
-    /// Where it takes faults and shows counters; port 0 for any.
+    /// Listen address of the admin interface; port 0 picks a free port.
     #[builder(default = loopback())]
     pub admin: SocketAddr,
-    /// The list of instances shows what was true this long ago.
+    /// Lag of the instance list.
     #[builder(default)]
     #[serde(rename = "list_lag_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub list_lag: Duration,
-    /// Seeds what is left to chance.
+    /// Seed of the random number generator.
     #[builder(default)]
     pub seed: u64,
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Any port on the loopback.
+/// Loopback address with port 0, which picks a free port.
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
--- a/crates/fake/src/platform/row_table.rs
+++ b/crates/fake/src/platform/row_table.rs
@@ -1,18 +1,18 @@
-//! Rows with versions, written together under conditions.
+//! Versioned rows with conditional transactions.
 
 use {
     plat::{RowWrite, StoredRow, Transaction, TransactionReply},
     std::{collections::BTreeMap, ops::Bound, sync::Arc},
 };
 
-/// The platform's table service as a value.
+/// In-memory table of versioned rows.
 #[derive(Clone, Debug, Default)]
 pub struct RowTable {
     rows: BTreeMap<Arc<str>, StoredRow>,
 }
 
 impl RowTable {
-    /// Does all writes of a transaction if all its conditions hold, and none otherwise.
+    /// Applies all writes of a transaction if all its conditions hold, and none otherwise.
     pub fn commit(&mut self, transaction: &Transaction) -> TransactionReply {
         if !self.conditions_hold(transaction) {
             return TransactionReply::Conflict {
@@ -25,12 +25,12 @@
         TransactionReply::Committed
     }
 
-    /// One row.
+    /// Row of a key; `None` if it does not exist.
     pub fn get(&self, key: &str) -> Option<&StoredRow> {
         self.rows.get(key)
     }
 
-    /// The rows whose key starts with `prefix`, by key.
+    /// Rows whose key starts with `prefix`, sorted by key.
     pub fn scan(&self, prefix: &str) -> Vec<StoredRow> {
         self.rows
             .range::<str, _>((Bound::Included(prefix), Bound::Unbounded))
--- a/crates/fake/src/platform/stand_in_platform.rs
+++ b/crates/fake/src/platform/stand_in_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in on its sockets.
+//! The platform's stand-in with its listeners.
 
 use {
     super::{
@@ -18,14 +18,14 @@
     },
 };
 
-/// The core behind its lock, which is never held across an await.
+/// The core behind a lock that is never held across an await.
 #[derive(Clone, Debug)]
 pub(super) struct PlatformState {
     core: Arc<Mutex<PlatformCore>>,
 }
 
 impl PlatformState {
-    /// Does something with the core.
+    /// Runs a closure on the core while its lock is held.
     pub(super) fn with<T>(&self, work: impl FnOnce(&mut PlatformCore) -> T) -> T {
         let mut core = self
             .core
@@ -45,7 +45,7 @@
     }
 }
 
-/// A running platform; clones share it.
+/// A running platform; clones share the state.
 #[derive(Clone, Debug)]
 pub struct StandInPlatform {
     admin: StandInServer,
@@ -54,34 +54,34 @@
 }
 
 impl StandInPlatform {
-    /// Where it answers.
+    /// Address of the stand-in's own interface.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where it takes faults and shows counters.
+    /// Address of the admin interface, which accepts faults and serves counters.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Stops it; open connections are closed.
+    /// Stops the stand-in and closes open connections.
     pub async fn close(self) {
         self.server.close().await;
         self.admin.close().await;
     }
 
-    /// The counters.
+    /// Counts since the stand-in started.
     pub fn counters(&self) -> PlatformCounters {
         self.state.with(|core| core.counters().clone())
     }
 
-    /// Puts an instance in the list.
+    /// Adds an instance or replaces the one of the same name.
     pub fn put_instance(&self, record: InstanceRecord) {
         self.state
             .with(|core| core.put_instance(Instant::now(), record));
     }
 
-    /// What its process says when it is ready.
+    /// Line that the process prints once it is listening.
     pub fn ready_line(&self) -> ReadyLine {
         ReadyLine {
             address: self.address(),
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Takes an instance off the list; `false` if it was not there.
+    /// Removes an instance; the flag is `false` if it was not listed.
     pub fn remove_instance(&self, name: &str) -> bool {
         self.state
             .with(|core| core.remove_instance(Instant::now(), name).0)
     }
 
-    /// Goes back to the last snapshot of rows and objects.
+    /// Restores the last snapshot of rows and objects.
     pub fn restore(&self) {
         self.state.with(PlatformCore::restore);
     }
 
-    /// Puts faults in place of the old ones.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         let down = faults.down;
         self.state.with(|core| core.set_faults(faults));
@@ -109,11 +109,11 @@
         }
     }
 
-    /// Starts it.
+    /// Binds the listeners and starts the stand-in.
     ///
     /// # Errors
     ///
-    /// [`FakeError::Bind`] when an address can't be listened on.
+    /// [`FakeError::Bind`] when a listener cannot be bound.
     pub async fn start(settings: PlatformSettings) -> Result<Self, FakeError> {
         let (server, listener) = StandInServer::bind(settings.address).await?;
         let (admin, admin_listener) = StandInServer::bind(settings.admin).await?;
@@ -134,13 +134,13 @@
         Ok(platform)
     }
 
-    /// Keeps a copy of rows and objects.
+    /// Saves the rows and objects for [`Self::restore`].
     pub fn take_snapshot(&self) {
         self.state.with(PlatformCore::take_snapshot);
     }
 }
 
-/// Runs the platform's stand-in as this process, until it is told to end.
+/// Runs the platform's stand-in in this process until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
--- a/crates/fake/src/ready_line.rs
+++ b/crates/fake/src/ready_line.rs
@@ -1,4 +1,4 @@
-//! What a stand-in's process says when it is ready.
+//! Ready line and shutdown signals of a stand-in process.
 
 use {
     crate::fake_error::{FakeError, SignalSnafu},
@@ -8,17 +8,17 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// The one line of JSON on standard output.
+/// Single line of JSON that a stand-in process writes to standard output once it is listening.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReadyLine {
-    /// Where the stand-in answers.
+    /// Address of the stand-in's own interface.
     pub address: SocketAddr,
-    /// Where it takes faults and shows counters.
+    /// Address of the admin interface, which accepts faults and serves counters.
     pub admin: SocketAddr,
 }
 
 impl ReadyLine {
-    /// Prints the line.
+    /// Writes the line to standard output.
     pub fn print(&self) {
         println!(
             "{{\"address\":\"{}\",\"admin\":\"{}\"}}",
@@ -27,7 +27,7 @@
     }
 }
 
-/// Waits until the process is told to end.
+/// Waits for SIGTERM or SIGINT.
 pub(crate) async fn wait_for_shutdown() -> Result<(), FakeError> {
     let mut terminate = signal(SignalKind::terminate()).context(SignalSnafu)?;
     tokio::select! {
--- a/crates/fake/src/service/body_chunks.rs
+++ b/crates/fake/src/service/body_chunks.rs
@@ -1,13 +1,13 @@
-//! Large bodies whose every byte a checker can tell.
+//! Large response bodies whose every byte a checker can verify.
 
 use {bytes::Bytes, kernel::seeded_rng::mix};
 
-/// Bytes of one chunk of a large body.
+/// Size of one chunk of a large body.
 const CHUNK_BYTES: usize = 8192;
-/// Bytes of one number within a chunk.
+/// Length of the hexadecimal number that is repeated within a chunk.
 const NUMBER_BYTES: usize = 16;
 
-/// Makes a large body piece by chunk.
+/// Iterator over the chunks of a large body.
 #[derive(Clone, Debug)]
 pub struct BodyChunks {
     remaining: usize,
@@ -16,7 +16,7 @@
 }
 
 impl BodyChunks {
-    /// The body of `size` bytes for a request to `path` with `run_key`.
+    /// Creates the body of `size` bytes for a request to `path` with `run_key`.
     pub fn new(path: &str, run_key: &str, size: usize) -> Self {
         Self {
             remaining: size,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The whole large body that a service sends for `X-Answer-Size`.
+/// Returns the complete body that a service sends for `X-Answer-Size`.
 pub fn expected_body(path: &str, run_key: &str, size: usize) -> Vec<u8> {
     let mut body = Vec::with_capacity(size);
     for chunk in BodyChunks::new(path, run_key, size) {
--- a/crates/fake/src/service/mod.rs
+++ b/crates/fake/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a plain service.
+//! Stand-in for a plain service.
 
 pub mod body_chunks;
 pub mod service_answer;
--- a/crates/fake/src/service/service_answer.rs
+++ b/crates/fake/src/service/service_answer.rs
@@ -1,4 +1,4 @@
-//! What a plain service answers: it tells the request, so that a checker can match the two.
+//! Response of a plain service, which describes the request so that a checker can match the two.
 
 use {
     kernel::seeded_rng::mix,
@@ -6,23 +6,23 @@
     std::sync::Arc,
 };
 
-/// The JSON body of a service's answer.
+/// JSON body of a service's response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceAnswer {
-    /// The length of the request's body.
+    /// Length of the request body.
     pub body_bytes: u64,
-    /// The hash of the request's body, 16 hexadecimal digits.
+    /// Hash of the request body as 16 hexadecimal digits.
     pub body_hash: Arc<str>,
-    /// The request's method.
+    /// Request method.
     pub method: Arc<str>,
-    /// The request's path and query.
+    /// Request path and query.
     pub path: Arc<str>,
-    /// The request's `X-Run-Key`, else its `X-Request-Id`, else empty.
+    /// Value of `X-Run-Key`, else of `X-Request-Id`, else empty.
     pub run_key: Arc<str>,
 }
 
 impl ServiceAnswer {
-    /// The answer to a request.
+    /// Returns the expected response to a request.
     pub fn expected(method: &str, path: &str, run_key: &str, body: &[u8]) -> Self {
         Self::from_hash(method, path, run_key, body.len() as u64, mix(0, body))
     }
--- a/crates/fake/src/service/service_counters.rs
+++ b/crates/fake/src/service/service_counters.rs
@@ -1,4 +1,4 @@
-//! What a plain service was asked.
+//! Counters of a plain service.
 
 use {
     serde::{Deserialize, Serialize},
@@ -8,18 +8,18 @@
 /// Counts since the service started.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceCounters {
-    /// Requests closed without an answer after they were read.
+    /// Requests that were read and then closed without a response.
     pub closed_after_read: u64,
-    /// Requests that run now.
+    /// Requests in progress.
     pub in_progress: u64,
-    /// The most requests that ran at one time.
+    /// Highest number of requests in progress at one time.
     pub peak_in_progress: u64,
     /// Requests refused before they ran.
     pub refused: u64,
-    /// Requests that ran.
+    /// Requests that started to run.
     pub runs: u64,
     /// Runs by `X-Run-Key`, else by `X-Request-Id`.
     pub runs_by_key: BTreeMap<Arc<str>, u64>,
-    /// Requests whose connection was gone before the whole answer was sent.
+    /// Requests whose response was not sent completely.
     pub unfinished: u64,
 }
--- a/crates/fake/src/service/service_faults.rs
+++ b/crates/fake/src/service/service_faults.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a plain service.
+//! Faults that can be injected into a plain service.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,25 +6,25 @@
     std::time::Duration,
 };
 
-/// A service's faults; all are off by default, and a new set takes the place of the old one whole.
+/// Injected faults of a service. All are off by default; a new set replaces the old one completely.
 #[serde_as]
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Runs each request and closes its connection without an answer.
+    /// Runs each request and closes its connection without a response.
     pub close_after_read: bool,
-    /// Cuts each answer's body after so many bytes.
+    /// Closes the connection after this many bytes of each response body.
     pub cut_after_bytes: Option<u64>,
-    /// Added to the settings' delay.
+    /// Delay added to the one from the settings.
     #[serde(rename = "delay_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub delay: Duration,
-    /// Closes all connections, open ones and new ones.
+    /// Closes all open and new connections.
     pub drop_connections: bool,
-    /// Closes a kept connection when a second request comes on it, before the request is read.
+    /// Closes a keep-alive connection on its second request, before the request runs.
     pub drop_on_reuse: bool,
-    /// Answers bytes that are no HTTP body of the kind asked for: 200 with a broken JSON text.
+    /// Responds with status 200 and malformed JSON.
     pub garbage: bool,
-    /// Answers 503 with `X-Ran: no` before the request runs.
+    /// Responds with status 503 and `X-Ran: no` before the request runs.
     pub refuse: bool,
 }
--- a/crates/fake/src/service/service_headers.rs
+++ b/crates/fake/src/service/service_headers.rs
@@ -1,10 +1,10 @@
-//! The headers that a plain service's stand-in knows.
+//! Headers that a plain service's stand-in reads and sends.
 
-/// Asks for an answer of so many bytes in place of the JSON one.
+/// Requests a body of this many bytes instead of the JSON response.
 pub const ANSWER_SIZE_HEADER: &str = "x-answer-size";
-/// With any value, the request's body is sent back as it comes.
+/// With any value, the request body is echoed as it arrives.
 pub const ECHO_HEADER: &str = "x-echo";
-/// `no` on a refusal: the request did not run.
+/// Set to `no` on a refusal: the request did not run.
 pub const RAN_HEADER: &str = "x-ran";
-/// Names the work of a request among its retries; it goes before `X-Request-Id` in the counts.
+/// Identifies a request across its retries; takes precedence over `X-Request-Id` in the counters.
 pub const RUN_KEY_HEADER: &str = "x-run-key";
--- a/crates/fake/src/service/service_routes.rs
+++ b/crates/fake/src/service/service_routes.rs
@@ -1,4 +1,4 @@
-//! A plain service's HTTP interface: any method and any path.
+//! HTTP interface of a plain service, which accepts any method and path.
 
 use {
     super::{
@@ -20,10 +20,10 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// Answers that nothing can read.
+/// Malformed JSON sent by the `garbage` fault.
 const GARBAGE: &str = "{\"body_bytes\": \u{1}<<<";
 
-/// The routes of the service's own address.
+/// Creates the router of the service's own address.
 pub(super) fn routes(state: ServiceState) -> Router {
     Router::new().fallback(run).with_state(state)
 }
@@ -105,7 +105,7 @@
     String::new()
 }
 
-/// Sends the chunks as they come; cuts the connection after `limit` bytes. The guard goes when the body does.
+/// Streams the chunks and closes the connection after `limit` bytes. The body owns the guard of the run.
 fn stream_answer<E: Send + 'static>(
     guard: RunGuard,
     chunks: impl Stream<Item = Result<Bytes, E>> + Send + 'static,
@@ -115,7 +115,7 @@
     let state = (guard, Box::pin(chunks), remaining);
     let body = stream::unfold(state, |(mut guard, mut chunks, remaining)| async move {
         if remaining == 0 {
-            // Lets the server flush what came before the cut.
+            // Lets the server flush the bytes before the abort.
             tokio::task::yield_now().await;
             return Some((Err(ConnectionAborted), (guard, chunks, remaining)));
         }
--- a/crates/fake/src/service/service_settings.rs
+++ b/crates/fake/src/service/service_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a plain service's stand-in.
+//! Settings of a plain service's stand-in.
 
 use {
     crate::platform::platform_settings::loopback,
@@ -8,18 +8,18 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How a plain service's stand-in starts.
+/// Startup settings of a plain service's stand-in.
 #[serde_as]
 #[derive(Builder, Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Where it answers; port 0 for any.
+    /// Listen address; port 0 picks a free port.
     #[builder(default = loopback())]
     pub address: SocketAddr,
-    /// Where it takes faults and shows counters; port 0 for any.
+    /// Listen address of the admin interface; port 0 picks a free port.
     #[builder(default = loopback())]
     pub admin: SocketAddr,
-    /// How long each request runs.
+    /// Duration of each request.
     #[builder(default)]
     #[serde(rename = "delay_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
--- a/crates/fake/src/service/service_state.rs
+++ b/crates/fake/src/service/service_state.rs
@@ -1,4 +1,4 @@
-//! A service's faults and counters behind their lock.
+//! Faults and counters of a service behind a lock.
 
 use {
     super::{service_counters::ServiceCounters, service_faults::ServiceFaults},
@@ -9,14 +9,14 @@
     },
 };
 
-/// What the requests of one service share.
+/// State shared by the requests of one service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceShared {
     pub(super) counters: ServiceCounters,
     pub(super) faults: ServiceFaults,
 }
 
-/// The book behind its lock, which is never held across an await.
+/// The shared state behind a lock that is never held across an await.
 #[derive(Clone, Debug)]
 pub(super) struct ServiceState {
     shared: Arc<Mutex<ServiceShared>>,
@@ -24,12 +24,12 @@
 }
 
 impl ServiceState {
-    /// How long a request runs.
+    /// Duration of a request, including the injected delay.
     pub(super) fn delay(&self) -> Duration {
         self.delay + self.with(|shared| shared.faults.delay)
     }
 
-    /// A state without faults.
+    /// Creates a state without faults.
     pub(super) fn new(delay: Duration) -> Self {
         Self {
             shared: Arc::default(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Counts the start of a run, until the guard is gone.
+    /// Counts the start of a run, which is in progress until the guard is dropped.
     pub(super) fn start_run(&self, key: &str) -> RunGuard {
         self.with(|shared| {
             let counters = &mut shared.counters;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Does something with the shared.
+    /// Runs a closure on the shared state while its lock is held.
     pub(super) fn with<T>(&self, work: impl FnOnce(&mut ServiceShared) -> T) -> T {
         let mut shared = self
             .shared
@@ -75,7 +75,7 @@
     }
 }
 
-/// One request that runs.
+/// Counts a request as in progress until dropped.
 #[derive(Debug)]
 pub(super) struct RunGuard {
     finished: bool,
@@ -83,7 +83,7 @@
 }
 
 impl RunGuard {
-    /// Marks the answer as sent whole.
+    /// Marks the response as sent completely.
     pub(super) fn finish(&mut self) {
         self.finished = true;
     }
--- a/crates/fake/src/service/stand_in_service.rs
+++ b/crates/fake/src/service/stand_in_service.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in on its sockets.
+//! A plain service's stand-in with its listeners.
 
 use {
     super::{
@@ -19,7 +19,7 @@
     std::net::SocketAddr,
 };
 
-/// A running service; clones share it.
+/// A running service; clones share the state.
 #[derive(Clone, Debug)]
 pub struct StandInService {
     admin: StandInServer,
@@ -28,28 +28,28 @@
 }
 
 impl StandInService {
-    /// Where it answers.
+    /// Address of the stand-in's own interface.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Where it takes faults and shows counters.
+    /// Address of the admin interface, which accepts faults and serves counters.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Stops it; open connections are closed.
+    /// Stops the stand-in and closes open connections.
     pub async fn close(self) {
         self.server.close().await;
         self.admin.close().await;
     }
 
-    /// The counters.
+    /// Counts since the stand-in started.
     pub fn counters(&self) -> ServiceCounters {
         self.state.with(|shared| shared.counters.clone())
     }
 
-    /// What its process says when it is ready.
+    /// Line that the process prints once it is listening.
     pub fn ready_line(&self) -> ReadyLine {
         ReadyLine {
             address: self.address(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Puts faults in place of the old ones.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         let drops = faults.drop_connections;
         self.state.with(|shared| shared.faults = faults);
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Starts it.
+    /// Binds the listeners and starts the stand-in.
     ///
     /// # Errors
     ///
-    /// [`FakeError::Bind`] when an address can't be listened on.
+    /// [`FakeError::Bind`] when a listener cannot be bound.
     pub async fn start(settings: ServiceSettings) -> Result<Self, FakeError> {
         let (server, listener) = StandInServer::bind(settings.address).await?;
         let (admin, admin_listener) = StandInServer::bind(settings.admin).await?;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Runs a service's stand-in as this process, until it is told to end.
+/// Runs a service's stand-in in this process until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
--- a/crates/fake/tests/engine_client.rs
+++ b/crates/fake/tests/engine_client.rs
@@ -1,4 +1,4 @@
-//! The project's own client of engines against their stand-in.
+//! Tests of the engine client against the engine's stand-in.
 
 use {
     engine::{
@@ -11,7 +11,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Longer than any test takes.
+/// Longer than any test runs.
 const LONG: Duration = Duration::from_secs(3600);
 
 fn client() -> CompletionEngine {
@@ -68,24 +68,33 @@
 
 #[tokio::test]
 async fn a_request_goes_through_both_pools() {
-    let (reader, writer) = (
+    let (prefill_engine, decode_engine) = (
         start(EngineRole::Prefill).await,
         start(EngineRole::Decode).await,
     );
     let client = client();
     let first = call(Some(keep_kv()));
-    let reply = client.prefill(reader.address(), "r1", &first).await;
+    let reply = client.prefill(prefill_engine.address(), "r1", &first).await;
     let second = call(Some(reply.unwrap().params));
-    let tokens = client.decode(writer.address(), "r1", &second).await;
+    let tokens = client.decode(decode_engine.address(), "r1", &second).await;
     let text = read_text(tokens.unwrap()).await.unwrap();
     assert_eq!(text, expected_text(&prompt(), 6));
-    let events = client.cache_events(reader.address(), 0).await.unwrap();
+    let events = client
+        .cache_events(prefill_engine.address(), 0)
+        .await
+        .unwrap();
     assert_eq!(events.stored, block_hashes(&prompt()));
-    let load = client.load(writer.address()).await.unwrap();
+    let load = client.load(decode_engine.address()).await.unwrap();
     assert_eq!(load.decode_used, 0);
-    assert!(client.streams(writer.address()).await.unwrap().is_empty());
-    reader.close().await;
-    writer.close().await;
+    assert!(
+        client
+            .streams(decode_engine.address())
+            .await
+            .unwrap()
+            .is_empty()
+    );
+    prefill_engine.close().await;
+    decode_engine.close().await;
 }
 
 #[tokio::test]
--- a/crates/fake/tests/engine_decode.rs
+++ b/crates/fake/tests/engine_decode.rs
@@ -1,4 +1,4 @@
-//! Decode places, transfers and the running batch of an engine, in virtual time.
+//! Tests of an engine's decode places, transfers and batch in virtual time.
 
 #[path = "support/virtual_engine.rs"]
 mod virtual_engine;
--- a/crates/fake/tests/engine_fuzz.rs
+++ b/crates/fake/tests/engine_fuzz.rs
@@ -1,4 +1,4 @@
-//! Random calls, cancels, losses and faults at an engine, against what must always hold.
+//! Checks the invariants of an engine under random calls, cancellations, disconnects and faults.
 
 #[path = "support/virtual_engine.rs"]
 mod virtual_engine;
@@ -71,7 +71,7 @@
 
 struct FuzzedEngine {
     engine: VirtualEngine,
-    prefills: bool,
+    is_prefill: bool,
     runs: Vec<RunId>,
     settings: EngineSettings,
 }
@@ -80,7 +80,7 @@
     fn new(settings: EngineSettings) -> Self {
         Self {
             engine: VirtualEngine::new(settings.clone()),
-            prefills: settings.role == EngineRole::Prefill,
+            is_prefill: settings.role == EngineRole::Prefill,
             runs: Vec::new(),
             settings,
         }
@@ -94,7 +94,7 @@
         let states = self.engine.states();
         let ids: BTreeSet<_> = states.iter().map(|(id, _)| id).collect();
         assert_eq!(ids.len(), states.len(), "an id is held twice");
-        if !self.prefills {
+        if !self.is_prefill {
             assert_eq!(states.len(), counters.places_used as usize);
         }
     }
@@ -116,7 +116,7 @@
         self.runs.push(run);
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Advance(millis) => self.engine.advance(Duration::from_millis(millis)),
             Step::Answer(number) => self.engine.answer = answer(number),
@@ -132,7 +132,7 @@
             } => {
                 let prompt = prompt_of(&format!("{}", id % 3), tokens);
                 let id = format!("r{id}");
-                let call = match self.prefills {
+                let call = match self.is_prefill {
                     false => decode_call(&id, &prompt),
                     true => prefill_call(&id, &prompt),
                 };
@@ -172,7 +172,7 @@
     fn an_engine_frees_what_it_takes(settings in settings(), steps in vec(step(), 1..80)) {
         let mut engine = FuzzedEngine::new(settings);
         for step in steps {
-            engine.take(step);
+            engine.apply(step);
             engine.check();
         }
         engine.close();
--- a/crates/fake/tests/engine_http.rs
+++ b/crates/fake/tests/engine_http.rs
@@ -1,4 +1,4 @@
-//! An engine's stand-in over HTTP.
+//! Tests of an engine's stand-in over HTTP.
 
 mod support;
 
@@ -20,7 +20,7 @@
 
 const PROMPT: &str = "the log of kiln 4: cone 6 reached at noon, held for twenty minutes";
 
-/// Longer than any test takes.
+/// Longer than any test runs.
 const LONG: Duration = Duration::from_secs(3600);
 
 async fn start(role: EngineRole) -> (StandInEngine, TestClient) {
@@ -98,10 +98,10 @@
 
 #[tokio::test]
 async fn a_prompt_is_read_at_one_engine_and_answered_by_another() {
-    let (reader, read_client) = start(EngineRole::Prefill).await;
-    let (writer, write_client) = start(EngineRole::Decode).await;
-    let params = prefill(&read_client, "r1", PROMPT).await;
-    let (status, body) = complete(&write_client, "r1", &call(PROMPT, Some(params))).await;
+    let (prefill_engine, prefill_client) = start(EngineRole::Prefill).await;
+    let (decode_engine, decode_client) = start(EngineRole::Decode).await;
+    let params = prefill(&prefill_client, "r1", PROMPT).await;
+    let (status, body) = complete(&decode_client, "r1", &call(PROMPT, Some(params))).await;
     assert_eq!(status, StatusCode::OK);
     let (chunks, done) = read_events(&body.unwrap());
     assert!(done);
@@ -111,42 +111,42 @@
     let usage = last.usage.clone().unwrap();
     assert_eq!(usage.completion_tokens, 8);
     assert_eq!(usage.prompt_tokens, prompt_tokens(PROMPT));
-    assert_eq!(reader.counters().prefill_runs["r1"], 1);
-    assert_eq!(writer.counters().decode_runs["r1"], 1);
-    assert_eq!(writer.counters().prompt_tokens_read, 0);
-    reader.close().await;
-    writer.close().await;
+    assert_eq!(prefill_engine.counters().prefill_runs["r1"], 1);
+    assert_eq!(decode_engine.counters().decode_runs["r1"], 1);
+    assert_eq!(decode_engine.counters().prompt_tokens_read, 0);
+    prefill_engine.close().await;
+    decode_engine.close().await;
 }
 
 #[tokio::test]
 async fn a_released_kv_cache_counts_as_evicted() {
-    let (reader, read_client) = start(EngineRole::Prefill).await;
-    let (writer, write_client) = start(EngineRole::Decode).await;
-    let params = prefill(&read_client, "r1", PROMPT).await;
-    let (status, _) = read_client.call(Method::DELETE, "/streams/r1", "").await;
+    let (prefill_engine, prefill_client) = start(EngineRole::Prefill).await;
+    let (decode_engine, decode_client) = start(EngineRole::Decode).await;
+    let params = prefill(&prefill_client, "r1", PROMPT).await;
+    let (status, _) = prefill_client.call(Method::DELETE, "/streams/r1", "").await;
     assert_eq!(status, StatusCode::NO_CONTENT);
-    let (status, body) = complete(&write_client, "r1", &call(PROMPT, Some(params))).await;
+    let (status, body) = complete(&decode_client, "r1", &call(PROMPT, Some(params))).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     let error: EngineError = serde_json::from_slice(&body.unwrap()).unwrap();
     assert_eq!(&*error.error, "evicted");
     assert!(!error.ran);
-    assert_eq!(writer.counters().places_used, 0);
+    assert_eq!(decode_engine.counters().places_used, 0);
     let read = u64::from(prompt_tokens(PROMPT));
-    assert_eq!(reader.counters().prompt_tokens_wasted, read);
-    reader.close().await;
-    writer.close().await;
+    assert_eq!(prefill_engine.counters().prompt_tokens_wasted, read);
+    prefill_engine.close().await;
+    decode_engine.close().await;
 }
 
 #[tokio::test]
 async fn a_kv_cache_of_another_prompt_is_refused() {
-    let (reader, read_client) = start(EngineRole::Prefill).await;
-    let (writer, write_client) = start(EngineRole::Decode).await;
-    let params = prefill(&read_client, "r1", PROMPT).await;
-    let (status, _) = complete(&write_client, "r1", &call("another", Some(params))).await;
+    let (prefill_engine, prefill_client) = start(EngineRole::Prefill).await;
+    let (decode_engine, decode_client) = start(EngineRole::Decode).await;
+    let params = prefill(&prefill_client, "r1", PROMPT).await;
+    let (status, _) = complete(&decode_client, "r1", &call("another", Some(params))).await;
     assert_eq!(status, StatusCode::BAD_REQUEST);
-    assert_eq!(reader.counters().kv_mismatches, 1);
-    reader.close().await;
-    writer.close().await;
+    assert_eq!(prefill_engine.counters().kv_mismatches, 1);
+    prefill_engine.close().await;
+    decode_engine.close().await;
 }
 
 #[tokio::test]
@@ -234,28 +234,28 @@
 
 #[tokio::test]
 async fn a_stalled_transfer_holds_its_place_until_it_is_cancelled() {
-    let (reader, read_client) = start(EngineRole::Prefill).await;
-    let (writer, write_client) = start(EngineRole::Decode).await;
-    writer.set_faults(EngineFaults {
+    let (prefill_engine, prefill_client) = start(EngineRole::Prefill).await;
+    let (decode_engine, decode_client) = start(EngineRole::Decode).await;
+    decode_engine.set_faults(EngineFaults {
         stall_transfers: true,
         ..EngineFaults::default()
     });
-    let params = prefill(&read_client, "r1", PROMPT).await;
+    let params = prefill(&prefill_client, "r1", PROMPT).await;
     let body = serde_json::to_vec(&call(PROMPT, Some(params))).unwrap();
     let headers = [("x-request-id", "r1")];
-    let mut response = write_client
+    let mut response = decode_client
         .send(Method::POST, "/v1/completions", &headers, body)
         .await
         .unwrap();
-    let streams: Vec<StreamRecord> = write_client.get("/streams").await;
+    let streams: Vec<StreamRecord> = decode_client.get("/streams").await;
     assert_eq!(streams[0].state, StreamState::Transferring);
-    write_client.call(Method::DELETE, "/streams/r1", "").await;
+    decode_client.call(Method::DELETE, "/streams/r1", "").await;
     let frame = response.body_mut().frame().await.unwrap().unwrap();
     let (status, _) = (response.status(), frame);
     assert_eq!(status, StatusCode::OK);
-    assert_eq!(writer.counters().places_used, 0);
-    reader.close().await;
-    writer.close().await;
+    assert_eq!(decode_engine.counters().places_used, 0);
+    prefill_engine.close().await;
+    decode_engine.close().await;
 }
 
 #[tokio::test]
@@ -340,30 +340,30 @@
         .eviction(Duration::ZERO)
         .role(EngineRole::Prefill)
         .build();
-    let (reader, read_client) = start_with(settings).await;
-    let (writer, write_client) = start(EngineRole::Decode).await;
-    let params = prefill(&read_client, "r1", PROMPT).await;
-    let (status, body) = complete(&write_client, "r1", &call(PROMPT, Some(params))).await;
+    let (prefill_engine, prefill_client) = start_with(settings).await;
+    let (decode_engine, decode_client) = start(EngineRole::Decode).await;
+    let params = prefill(&prefill_client, "r1", PROMPT).await;
+    let (status, body) = complete(&decode_client, "r1", &call(PROMPT, Some(params))).await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     let error: EngineError = serde_json::from_slice(&body.unwrap()).unwrap();
     assert_eq!(&*error.error, "evicted");
-    assert_eq!(reader.counters().evicted, 1);
-    reader.close().await;
-    writer.close().await;
+    assert_eq!(prefill_engine.counters().evicted, 1);
+    prefill_engine.close().await;
+    decode_engine.close().await;
 }
 
 #[tokio::test]
 async fn a_prefill_engine_that_is_gone_leaves_no_place_held() {
-    let (reader, read_client) = start(EngineRole::Prefill).await;
-    let (writer, write_client) = start(EngineRole::Decode).await;
-    let params = prefill(&read_client, "r1", PROMPT).await;
-    reader.close().await;
-    let (_, body) = complete(&write_client, "r1", &call(PROMPT, Some(params))).await;
+    let (prefill_engine, prefill_client) = start(EngineRole::Prefill).await;
+    let (decode_engine, decode_client) = start(EngineRole::Decode).await;
+    let params = prefill(&prefill_client, "r1", PROMPT).await;
+    prefill_engine.close().await;
+    let (_, body) = complete(&decode_client, "r1", &call(PROMPT, Some(params))).await;
     let error: EngineError = serde_json::from_slice(&body.unwrap()).unwrap();
     assert_eq!(&*error.error, "kv_unreachable");
     assert!(!error.ran);
-    assert_eq!(writer.counters().places_used, 0);
-    writer.close().await;
+    assert_eq!(decode_engine.counters().places_used, 0);
+    decode_engine.close().await;
 }
 
 #[tokio::test]
--- a/crates/fake/tests/engine_prefill.rs
+++ b/crates/fake/tests/engine_prefill.rs
@@ -1,4 +1,4 @@
-//! Reading, prefix cache, priorities and evictions of an engine, in virtual time.
+//! Tests of an engine's prefill queue, prefix cache and evictions in virtual time.
 
 #[path = "support/virtual_engine.rs"]
 mod virtual_engine;
@@ -24,7 +24,7 @@
     }
 }
 
-fn digits(prompt: &str) -> String {
+fn digest(prompt: &str) -> String {
     fake::expected_answer::prompt_digest(prompt)
 }
 
@@ -153,15 +153,15 @@
     let second = engine.submit(prefill_call("b", &kept));
     engine.advance(ms(201));
     let kept_handle = handle(&engine, second);
-    let record = engine.core.find_export(kept_handle, &digits(&kept));
+    let record = engine.core.find_export(kept_handle, &digest(&kept));
     assert_eq!(record.unwrap().tokens, 100);
     engine.event(EngineEvent::KvClaimed(kept_handle));
     engine.advance(ms(1000));
     let gone = engine
         .core
-        .find_export(handle(&engine, first), &digits(&lost));
+        .find_export(handle(&engine, first), &digest(&lost));
     assert_eq!(gone, Err(ExportError::Evicted));
-    assert!(engine.core.find_export(kept_handle, &digits(&kept)).is_ok());
+    assert!(engine.core.find_export(kept_handle, &digest(&kept)).is_ok());
     engine.event(EngineEvent::KvReleased {
         handle: kept_handle,
         used: true,
@@ -184,7 +184,7 @@
     engine.event(EngineEvent::Disconnected(run));
     let export = engine
         .core
-        .find_export(handle(&engine, run), &digits(&prompt));
+        .find_export(handle(&engine, run), &digest(&prompt));
     assert!(export.is_ok());
 }
 
--- a/crates/fake/tests/platform_client.rs
+++ b/crates/fake/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! The project's own client of the platform against its stand-in.
+//! Tests of the platform client against the platform's stand-in.
 
 use {
     bytes::Bytes,
@@ -10,7 +10,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Longer than any test takes.
+/// Longer than any test runs.
 const LONG: Duration = Duration::from_secs(3600);
 const KEY: &str = "work/slot confirm?é%2F";
 
--- a/crates/fake/tests/platform_core.rs
+++ b/crates/fake/tests/platform_core.rs
@@ -1,4 +1,4 @@
-//! The platform's core in virtual time, and its rows against a simple oracle.
+//! Tests of the platform's core in virtual time and of its rows against a reference model.
 
 use {
     fake::{
@@ -50,15 +50,15 @@
     let lag = Duration::from_secs(3);
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
-    let mut board = InstanceRegistry::default();
-    board.put(at(0), record("a", InstanceState::Live));
-    board.put(at(2), record("a", InstanceState::Leaving));
-    board.remove(at(4), "a");
-    assert!(board.list(at(2), lag).is_empty());
-    assert_eq!(board.list(at(3), lag)[0].state, InstanceState::Live);
-    assert_eq!(board.list(at(6), lag)[0].state, InstanceState::Leaving);
-    assert!(board.list(at(7), lag).is_empty());
-    assert!(board.list(at(4), Duration::ZERO).is_empty());
+    let mut registry = InstanceRegistry::default();
+    registry.put(at(0), record("a", InstanceState::Live));
+    registry.put(at(2), record("a", InstanceState::Leaving));
+    registry.remove(at(4), "a");
+    assert!(registry.list(at(2), lag).is_empty());
+    assert_eq!(registry.list(at(3), lag)[0].state, InstanceState::Live);
+    assert_eq!(registry.list(at(6), lag)[0].state, InstanceState::Leaving);
+    assert!(registry.list(at(7), lag).is_empty());
+    assert!(registry.list(at(4), Duration::ZERO).is_empty());
 }
 
 #[test]
@@ -81,7 +81,7 @@
 
 #[test]
 fn lost_replies_follow_the_seed() {
-    let fates = |seed| {
+    let deliveries = |seed| {
         let settings = PlatformSettings::builder().seed(seed).build();
         let mut core = PlatformCore::new(&settings);
         core.set_faults(PlatformFaults {
@@ -93,9 +93,9 @@
             .map(|_| core.commit(now, &write("a")).1)
             .collect::<Vec<_>>()
     };
-    let first = fates(1);
-    assert_eq!(first, fates(1));
-    assert_ne!(first, fates(2));
+    let first = deliveries(1);
+    assert_eq!(first, deliveries(1));
+    assert_ne!(first, deliveries(2));
     assert!(first.contains(&ReplyDelivery::Lost) && first.contains(&ReplyDelivery::Sent));
 }
 
--- a/crates/fake/tests/platform_http.rs
+++ b/crates/fake/tests/platform_http.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in over HTTP.
+//! Tests of the platform's stand-in over HTTP.
 
 mod support;
 
--- a/crates/fake/tests/service_http.rs
+++ b/crates/fake/tests/service_http.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in over HTTP.
+//! Tests of a plain service's stand-in over HTTP.
 
 mod support;
 
--- a/crates/fake/tests/share_table.rs
+++ b/crates/fake/tests/share_table.rs
@@ -1,4 +1,4 @@
-//! Jobs that share a rate.
+//! Tests of jobs that share a rate.
 
 use {
     fake::{FairShareTable, RateLink},
--- a/crates/fake/tests/standins_page.rs
+++ b/crates/fake/tests/standins_page.rs
@@ -1,4 +1,4 @@
-//! The page of the stand-ins names every setting, fault and counter.
+//! Checks that the stand-ins' page documents every setting, fault and counter.
 
 use {
     fake::{
@@ -10,7 +10,7 @@
 
 const PAGE: &str = include_str!("../../../docs/STANDINS.md");
 
-/// Asserts that the part under a heading names each field in backticks.
+/// Asserts that the section under a heading names each field in backticks.
 fn assert_named<T: Default + Serialize>(heading: &str) {
     let start = PAGE.find(&format!("\n## {heading}\n")).unwrap();
     let part = &PAGE[start + 1..];
--- a/crates/fake/tests/support/mod.rs
+++ b/crates/fake/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the tests of the stand-ins.
+//! HTTP client for the stand-ins' tests.
 
 #![allow(
     dead_code,
@@ -18,7 +18,7 @@
     std::net::SocketAddr,
 };
 
-/// One stand-in as a test sees it.
+/// HTTP client of one stand-in.
 #[derive(Clone)]
 pub(crate) struct TestClient {
     address: SocketAddr,
@@ -26,7 +26,7 @@
 }
 
 impl TestClient {
-    /// A client with its own connections.
+    /// Creates a client with its own connection pool.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sends a request and gives the answer's head.
+    /// Sends a request and returns the response with its body unread.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -55,7 +55,7 @@
         self.client.request(request).await
     }
 
-    /// Sends a request and gives the answer's status and whole body.
+    /// Sends a request and returns the status and complete body.
     pub(crate) async fn call(&self, method: Method, path: &str, body: &str) -> (StatusCode, Bytes) {
         let response = self
             .send(method, path, &[], Bytes::from(body.to_owned()))
@@ -65,14 +65,14 @@
         (status, read_body(response).await.unwrap())
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and parses the JSON response.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> T {
         let (status, body) = self.call(Method::GET, path, "").await;
         assert_eq!(status, StatusCode::OK, "{body:?}");
         serde_json::from_slice(&body).unwrap()
     }
 
-    /// Sends JSON and reads JSON.
+    /// Sends a JSON body and parses the JSON response.
     pub(crate) async fn post<T: DeserializeOwned>(&self, path: &str, body: &str) -> T {
         let (status, body) = self.call(Method::POST, path, body).await;
         assert_eq!(status, StatusCode::OK, "{body:?}");
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads a body whole; an error if it is cut.
+/// Reads a complete body; fails if the connection closes early.
 pub(crate) async fn read_body(response: Response<Incoming>) -> Result<Bytes, hyper::Error> {
     Ok(response.into_body().collect().await?.to_bytes())
 }
