--- a/crates/fake/src/model/core_decode.rs
+++ b/crates/fake/src/model/core_decode.rs
@@ -1,12 +1,12 @@
-//! Decode places: imports and the running batch.
+//! Decode places of an engine: KV cache imports and the running batch.
 
 use {
     super::{
-        engine_core::{EngineCore, release},
+        engine_core::{EngineCore, release_action},
         engine_event::{EngineAction, KvAnswer, KvRecord},
         engine_run::{EngineRun, RunEnd, RunId, RunPhase},
     },
-    crate::expected_answer::prompt_digits,
+    crate::expected_answer::prompt_digest,
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -14,20 +14,20 @@
 };
 
 impl EngineCore {
-    /// Counts a decode run.
+    /// Counts a decode run by request id and by prompt.
     pub(super) fn count_decode_run(&mut self, run: RunId) {
         let Some(run) = self.runs.get(&run) else {
             return;
         };
         let counters = &mut self.counters;
-        let digits: Arc<str> = Arc::from(prompt_digits(&run.call.prompt));
+        let digest: Arc<str> = Arc::from(prompt_digest(&run.call.prompt));
         let id = run.call.id.clone();
         *counters.decode_runs.entry(id).or_default() += 1;
-        *counters.decode_runs_by_prompt.entry(digits).or_default() += 1;
+        *counters.decode_runs_by_prompt.entry(digest).or_default() += 1;
     }
 
-    /// Puts an imported stream into the batch, unless transfers stall.
-    pub(super) fn end_transfer(
+    /// Moves an imported stream into the batch, unless the `stall_transfers` fault is set.
+    pub(super) fn finish_transfer(
         &mut self,
         _now: Instant,
         run: RunId,
@@ -43,12 +43,12 @@
             self.stalled.insert(run);
             return;
         }
-        actions.push(release(import, true));
+        actions.push(release_action(import, true));
         imported.phase = RunPhase::Decoding;
         self.counters.transfers += 1;
     }
 
-    /// Gives each stream of the batch its token, if the step ends by `now`.
+    /// Generates one token for each stream of the batch if the step ends by `now`.
     pub(super) fn finish_step(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
         if self.step_end.is_none_or(|end| end > now) {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts a step with all streams that decode, if none runs.
+    /// Starts a step with all decoding streams, unless one is in progress.
     pub(super) fn start_step(&mut self, now: Instant) {
         if self.step_end.is_some() || self.faults.stall_decoding {
             return;
@@ -73,8 +73,8 @@
         self.step_end = Some(now + self.step_time());
     }
 
-    /// Takes the prefill engine's answer to a claim.
-    pub(super) fn take_kv_answer(
+    /// Handles the prefill engine's answer to a claim.
+    pub(super) fn handle_kv_answer(
         &mut self,
         now: Instant,
         run: RunId,
@@ -115,7 +115,7 @@
         let Some(mut stream) = self.runs.remove(&run) else {
             return;
         };
-        self.note_hold(now, &stream);
+        self.record_hold(now, &stream);
         self.counters.finished += 1;
         let view = stream.view_at_end(RunEnd::Finished);
         actions.push(EngineAction::Update { run, view });
--- a/crates/fake/src/model/core_life.rs
+++ b/crates/fake/src/model/core_lifecycle.rs
@@ -1,8 +1,8 @@
-//! How calls come in, and how they go before their end.
+//! Submission, cancellation, disconnection and expiry of runs.
 
 use {
     super::{
-        engine_core::{EngineCore, release},
+        engine_core::{EngineCore, release_action},
         engine_event::{EngineAction, EngineCall},
         engine_run::{EngineRun, RunEnd, RunId, RunPhase, RunView},
     },
@@ -12,7 +12,7 @@
 };
 
 impl EngineCore {
-    /// Ends a run before its end and frees all that it holds.
+    /// Cancels a run and frees everything it holds.
     pub(super) fn cancel(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
         let Some(ended) = self.remove(now, run) else {
             return;
@@ -24,32 +24,32 @@
         self.counters.cancelled += 1;
         if let RunPhase::Claiming(import) | RunPhase::Transferring(import) = &ended.phase {
             actions.push(EngineAction::StopTransfer(run));
-            actions.push(release(import, false));
+            actions.push(release_action(import, false));
         }
         if let RunPhase::Exported { .. } = ended.phase {
-            self.counters.prompt_tokens_wasted += u64::from(ended.read_tokens);
+            self.counters.prompt_tokens_wasted += u64::from(ended.uncached_tokens);
             return;
         }
         let view = ended.view_at_end(RunEnd::Cancelled);
         actions.push(EngineAction::Update { run, view });
     }
 
-    /// Takes one connection off a run. A prefill call's connection goes once the KV cache is exported.
+    /// Removes one connection from a run. Runs that are exported or finished no longer need one.
     pub(super) fn disconnect(&mut self, now: Instant, run: RunId, actions: &mut Vec<EngineAction>) {
-        let Some(left) = self.runs.get_mut(&run) else {
+        let Some(state) = self.runs.get_mut(&run) else {
             return;
         };
-        left.connections = left.connections.saturating_sub(1);
-        if left.connections > 0 || !left.needs_connection() {
+        state.connections = state.connections.saturating_sub(1);
+        if state.connections > 0 || !state.needs_connection() {
             return;
         }
-        left.disconnected = Some(now);
+        state.disconnected = Some(now);
         if !self.settings.keep_on_disconnect {
             self.cancel(now, run, actions);
         }
     }
 
-    /// Evicts, forgets and cancels the runs whose time is up.
+    /// Evicts, forgets and cancels the runs whose timers have expired.
     pub(super) fn expire_runs(&mut self, now: Instant, actions: &mut Vec<EngineAction>) {
         let mut expired = Vec::new();
         for (id, run) in &self.runs {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Notes how long a place was held after its stream's last connection was gone.
-    pub(super) fn note_hold(&mut self, now: Instant, run: &EngineRun) {
+    /// Records how long a place was held after its stream lost the last connection.
+    pub(super) fn record_hold(&mut self, now: Instant, run: &EngineRun) {
         let Some(since) = run.disconnected else {
             return;
         };
@@ -79,7 +79,7 @@
         *longest = hold.max(*longest);
     }
 
-    /// Adds a connection to a run.
+    /// Adds a connection to a run, which stops its disconnect timer.
     pub(super) fn reconnect(&mut self, run: RunId) {
         let Some(run) = self.runs.get_mut(&run) else {
             return;
@@ -88,7 +88,7 @@
         run.disconnected = None;
     }
 
-    /// Answers a call that did not run.
+    /// Reports a call as refused before it ran.
     pub(super) fn refuse(&mut self, run: RunId, error: &str, actions: &mut Vec<EngineAction>) {
         let error: Arc<str> = Arc::from(error);
         *self.counters.refused.entry(error.clone()).or_default() += 1;
@@ -99,7 +99,7 @@
         actions.push(EngineAction::Update { run, view });
     }
 
-    /// Takes a run out of all tables; its reading ends where it stands.
+    /// Removes a run from all tables and counts a partial prefill as wasted.
     pub(super) fn remove(&mut self, now: Instant, run: RunId) -> Option<EngineRun> {
         let removed = self.runs.remove(&run)?;
         if self.ids.get(&removed.call.id) == Some(&run) {
@@ -110,14 +110,14 @@
         if let RunPhase::Exported { handle, .. } = removed.phase {
             self.exports.remove(&handle);
         }
-        if let Some(left) = self.reader.stop(&run) {
-            self.waste_partial_reading(&removed, left);
+        if let Some(remaining) = self.prefill.stop(&run) {
+            self.count_partial_prefill(&removed, remaining);
         }
-        self.note_hold(now, &removed);
+        self.record_hold(now, &removed);
         Some(removed)
     }
 
-    /// When a run has to be evicted, forgotten or cancelled by itself.
+    /// Time at which a run is evicted, forgotten or cancelled without a request; `None` if it has no timer.
     pub(super) fn run_timer(&self, run: &EngineRun) -> Option<Instant> {
         if let RunPhase::Exported { until, .. } | RunPhase::Finished { until } = run.phase {
             return Some(until);
@@ -125,7 +125,7 @@
         Some(run.disconnected? + self.settings.disconnect_grace?)
     }
 
-    /// Takes or refuses a new call.
+    /// Accepts or refuses a new call.
     pub(super) fn submit(
         &mut self,
         now: Instant,
@@ -137,7 +137,7 @@
             self.refuse(run, error, actions);
             return;
         }
-        if let Some(old) = self.run_of(&call.id) {
+        if let Some(old) = self.find_run(&call.id) {
             self.cancel(now, old, actions);
         }
         let new = EngineRun {
@@ -146,16 +146,16 @@
             holds_place: !call.keep_kv,
             phase: RunPhase::Waiting,
             prompt_tokens: prompt_tokens(&call.prompt),
-            read_tokens: 0,
+            uncached_tokens: 0,
             target: self.target(&call),
             tokens: 0,
             call,
         };
         self.ids.insert(new.call.id.clone(), run);
-        self.enter(run, new, actions);
+        self.admit(run, new, actions);
     }
 
-    fn enter(&mut self, run: RunId, mut new: EngineRun, actions: &mut Vec<EngineAction>) {
+    fn admit(&mut self, run: RunId, mut new: EngineRun, actions: &mut Vec<EngineAction>) {
         if let Some(import) = new.call.import.clone() {
             new.phase = RunPhase::Claiming(import);
         }
@@ -180,22 +180,24 @@
             return;
         };
         self.counters.evicted += 1;
-        self.counters.prompt_tokens_wasted += u64::from(evicted.read_tokens);
+        self.counters.prompt_tokens_wasted += u64::from(evicted.uncached_tokens);
     }
 
     fn refusal(&self, call: &EngineCall) -> Option<&'static str> {
-        let wanted = match call.keep_kv {
+        let required = match call.keep_kv {
             false => EngineRole::Decode,
             true => EngineRole::Prefill,
         };
-        let held = self.run_of(&call.id).is_some_and(|run| self.is_held(run));
-        if held {
+        let has_duplicate = self
+            .find_run(&call.id)
+            .is_some_and(|run| self.holds_resources(run));
+        if has_duplicate {
             return Some("duplicate");
         }
         if self.faults.leaving {
             return Some("leaving");
         }
-        if self.next_role.is_some() || wanted != self.role {
+        if self.next_role.is_some() || required != self.role {
             return Some("wrong_role");
         }
         if !self.models.is_empty() && !self.models.contains(&call.model) {
--- a/crates/fake/src/net/stand_in_server.rs
+++ b/crates/fake/src/net/stand_in_server.rs
@@ -1,9 +1,9 @@
-//! Accepts connections and serves a router on them.
+//! Listener that serves a router and can drop its connections.
 
 use {
     super::{
+        aborted_response::{AbortMarker, ConnectionAborted},
         connection_gate::ConnectionGate,
-        cut_mark::{CutBody, CutMark},
     },
     crate::fake_error::{BindSnafu, FakeError},
     axum::{Router, body::Body},
@@ -26,7 +26,7 @@
     tokio_util::{sync::CancellationToken, task::TaskTracker},
 };
 
-/// One listener with its connections.
+/// A listener with its connections; clones share the state.
 #[derive(Clone, Debug)]
 pub(crate) struct StandInServer {
     address: SocketAddr,
@@ -36,26 +36,26 @@
 }
 
 impl StandInServer {
-    /// Where it listens.
+    /// Bound address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the listener and all connections, and waits for them.
+    /// Closes the listener and all connections and waits for their tasks.
     pub(crate) async fn close(self) {
         self.signal.raise();
         self.tracker.close();
         self.tracker.wait().await;
     }
 
-    /// Closes all connections that are open now.
+    /// Closes all open connections.
     pub(crate) fn drop_connections(&self) {
         let mut connections = lock(&self.connections);
         connections.cancel();
         *connections = CancellationToken::new();
     }
 
-    /// Listens on `address`; the port is known before anything is served.
+    /// Binds a listener without serving it yet, so that the port is known before the router is built.
     pub(crate) async fn bind(address: SocketAddr) -> Result<(Self, TcpListener), FakeError> {
         let listener = TcpListener::bind(address)
             .await
@@ -69,7 +69,7 @@
         Ok((server, listener))
     }
 
-    /// Starts to serve.
+    /// Starts to accept connections.
     pub(crate) fn serve<G: ConnectionGate>(&self, listener: TcpListener, router: Router, gate: G) {
         let accept = self.clone().accept(listener, router, gate);
         self.tracker.spawn(accept);
@@ -84,7 +84,7 @@
             let Ok((stream, _)) = accepted else {
                 continue;
             };
-            if !gate.admits() {
+            if !gate.admits_connection() {
                 continue;
             }
             let token = lock(&self.connections).clone();
@@ -106,8 +106,8 @@
     let service = TowerToHyperService::new(router);
     let requests = AtomicU64::new(0);
     let serve = hyper::service::service_fn(|request| {
-        let earlier = requests.fetch_add(1, Ordering::Relaxed);
-        serve_request(service.clone(), gate.clone(), earlier, request)
+        let earlier_requests = requests.fetch_add(1, Ordering::Relaxed);
+        serve_request(service.clone(), gate.clone(), earlier_requests, request)
     });
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -118,15 +118,15 @@
 async fn serve_request<G: ConnectionGate>(
     service: TowerToHyperService<Router>,
     gate: G,
-    earlier: u64,
+    earlier_requests: u64,
     request: Request<Incoming>,
-) -> Result<Response<Body>, CutBody> {
-    if !gate.serves(earlier) {
-        return Err(CutBody);
+) -> Result<Response<Body>, ConnectionAborted> {
+    if !gate.admits_request(earlier_requests) {
+        return Err(ConnectionAborted);
     }
     let Ok(response) = service.call(request).await;
-    if response.extensions().get::<CutMark>().is_some() {
-        return Err(CutBody);
+    if response.extensions().get::<AbortMarker>().is_some() {
+        return Err(ConnectionAborted);
     }
     Ok(response)
 }
