--- a/crates/bench/src/node/link_slope.rs
+++ b/crates/bench/src/node/link_slope.rs
@@ -11,8 +11,9 @@
     bytes::Bytes,
     kernel::InstanceId,
     peer::{
-        ListedMember, MemberSettings, MemberState, PeerBook, PeerDriver, PeerEndpoint, PeerError,
-        PeerIncoming, TableMark, TableSource, make_test_keys, peer_driver::FIRST_FREE_TAG,
+        AddressTable, ListedMember, MemberSettings, MemberState, PeerDriver, PeerEndpoint,
+        PeerError, PeerIncoming, TableRevision, TableSource, make_test_keys,
+        peer_driver::FIRST_FREE_TAG,
     },
     snafu::ResultExt,
     std::{sync::Arc, time::Duration},
@@ -30,15 +31,15 @@
         None
     }
 
-    fn mark(&self) -> TableMark {
-        TableMark {
+    fn revision(&self) -> TableRevision {
+        TableRevision {
             digest: 1,
             version: 1,
         }
     }
 
-    async fn take(&self, _from: &InstanceId, _content: Bytes) -> Result<TableMark, PeerError> {
-        Ok(self.mark())
+    async fn apply(&self, _from: &InstanceId, _content: Bytes) -> Result<TableRevision, PeerError> {
+        Ok(self.revision())
     }
 }
 
@@ -249,17 +250,17 @@
         .collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let (_, keys) = make_test_keys(&names)?;
-    let book = PeerBook::new();
+    let addresses = AddressTable::new();
     let mut endpoints = Vec::new();
     for (name, keys) in names.iter().zip(&keys) {
         let endpoint = PeerEndpoint::builder()
             .address(([127, 0, 0, 1], 0).into())
-            .book(book.clone())
+            .addresses(addresses.clone())
             .incarnation(1)
             .instance((*name).into())
             .keys(keys)
             .build()?;
-        book.set((*name).into(), endpoint.local_address()?);
+        addresses.set((*name).into(), endpoint.local_address()?);
         endpoints.push(endpoint);
     }
     Ok(endpoints)
--- a/crates/bench/src/node/member_fleet.rs
+++ b/crates/bench/src/node/member_fleet.rs
@@ -3,10 +3,10 @@
 use {
     kernel::InstanceId,
     peer::{
-        ListedMember, MemberAction, MemberEvent, MemberMessage, MemberNews, MemberSettings,
-        MemberState, MemberTable, PeerIdentity, TableMark,
+        ListedMember, MemberAction, MemberEvent, MemberMessage, MemberSettings, MemberState,
+        MemberTable, MemberUpdate, PeerIdentity, TableRevision,
         peer_driver::MEMBER_TAG,
-        wire::{self, MessageHead, MessageKind},
+        wire::{self, MessageHeader, MessageKind},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -24,7 +24,7 @@
         body: bytes::Bytes,
         from: PeerIdentity,
     },
-    Table(TableMark),
+    Table(TableRevision),
 }
 
 /// What the fleet sent and did.
@@ -86,7 +86,7 @@
                     .mul_f64(index as f64 / count as f64);
             fleet.queue.insert(
                 (start, fleet.serial),
-                (index, Delivery::Table(TableMark::default())),
+                (index, Delivery::Table(TableRevision::default())),
             );
             fleet.serial += 1;
         }
@@ -144,7 +144,7 @@
     /// A new table version at one core.
     pub fn edit(&mut self, index: usize) {
         self.version += 1;
-        let mark = TableMark {
+        let mark = TableRevision {
             digest: self.version,
             version: self.version,
         };
@@ -179,7 +179,7 @@
                 let mark = self.cores[self.index(&from)].table();
                 self.post(PULL_DELAY, index, Delivery::Table(mark));
             }
-            MemberAction::News(MemberNews::Marked(_)) => self.marked = self.now,
+            MemberAction::Notify(MemberUpdate::Marked(_)) => self.marked = self.now,
             _ => {}
         }
     }
@@ -189,7 +189,7 @@
             return;
         };
         for name in to {
-            let head = MessageHead {
+            let head = MessageHeader {
                 from: from.clone(),
                 kind: MessageKind::Message,
                 tag: MEMBER_TAG,
--- a/crates/peer/src/accept_loop.rs
+++ b/crates/peer/src/accept_loop.rs
@@ -11,7 +11,7 @@
         session_receiver::SessionReceiver,
         session_sender::SessionSender,
         tls_config,
-        wire::{self, MessageHead, MessageKind},
+        wire::{self, MessageHeader, MessageKind},
     },
     bytes::Bytes,
     kernel::{InstanceId, WorkerPool},
@@ -80,8 +80,8 @@
         self.metrics.refuse(cause);
     }
 
-    fn hand_over(&self, tag: u16, incoming: PeerIncoming) {
-        match self.router.hand_over(tag, incoming) {
+    fn dispatch(&self, tag: u16, incoming: PeerIncoming) {
+        match self.router.dispatch(tag, incoming) {
             Ok(()) => self.metrics.received.inc(),
             Err(RouteFailure::Full) => self.metrics.refuse(RefusedCause::Overload),
             Err(RouteFailure::Missing) => self.metrics.refuse(RefusedCause::Tag),
@@ -95,21 +95,21 @@
             tokio::select! {
                 datagram = self.connection.read_datagram() => {
                     let Ok(datagram) = datagram else { return };
-                    self.take_message(&datagram);
+                    self.handle_message(&datagram);
                 }
                 stream = self.connection.accept_uni() => {
                     let Ok(stream) = stream else { return };
-                    self.shared.pool.spawn(self.clone().take_uni(stream));
+                    self.shared.pool.spawn(self.clone().handle_uni(stream));
                 }
                 stream = self.connection.accept_bi() => {
                     let Ok((sender, receiver)) = stream else { return };
-                    self.shared.pool.spawn(self.clone().take_bi(sender, receiver));
+                    self.shared.pool.spawn(self.clone().handle_bi(sender, receiver));
                 }
             }
         }
     }
 
-    fn read_message(&self, message: &Bytes) -> Result<(MessageHead, Bytes), PeerError> {
+    fn read_message(&self, message: &Bytes) -> Result<(MessageHeader, Bytes), PeerError> {
         let (head, body) = wire::decode_message(message)?;
         self.check_name(&head.from)?;
         Ok((head, body))
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    fn take_message(&self, message: &Bytes) {
+    fn handle_message(&self, message: &Bytes) {
         let (head, body) = match self.read_message(message) {
             Ok(read) => read,
             Err(error) => return self.shared.count_error(&error),
@@ -141,12 +141,12 @@
         }
         let from = head.from;
         self.shared
-            .hand_over(head.tag, PeerIncoming::Message { body, from });
+            .dispatch(head.tag, PeerIncoming::Message { body, from });
     }
 
-    async fn take_uni(self, mut stream: RecvStream) {
+    async fn handle_uni(self, mut stream: RecvStream) {
         match self.read_first(&mut stream).await {
-            Ok(message) => self.take_message(&message),
+            Ok(message) => self.handle_message(&message),
             Err(error) => self.shared.count_error(&error),
         }
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    async fn take_bi(self, sender: SendStream, mut receiver: RecvStream) {
+    async fn handle_bi(self, sender: SendStream, mut receiver: RecvStream) {
         let read = self.read_first(&mut receiver).await;
         let read = read.and_then(|message| self.read_message(&message));
         let (head, body) = match read {
@@ -172,28 +172,28 @@
             Err(error) => return self.shared.count_error(&error),
         };
         match head.kind {
-            MessageKind::Call => self.take_call(head, body, sender).await,
+            MessageKind::Call => self.handle_call(head, body, sender).await,
             MessageKind::Message => self.shared.metrics.refuse(RefusedCause::Garbled),
-            MessageKind::Session => self.take_session(head, sender, receiver),
+            MessageKind::Session => self.handle_session(head, sender, receiver),
         }
     }
 
     /// A stream that is dropped without an answer is reset, which the caller sees as a refusal.
-    async fn take_call(&self, head: MessageHead, body: Bytes, mut sender: SendStream) {
+    async fn handle_call(&self, head: MessageHeader, body: Bytes, mut sender: SendStream) {
         let (reply, answer) = CallReply::pair();
         let incoming = PeerIncoming::Call {
             body,
             from: head.from,
             reply,
         };
-        self.shared.hand_over(head.tag, incoming);
+        self.shared.dispatch(head.tag, incoming);
         let answer = tokio::select! {
             answer = answer => answer,
             _ = sender.stopped() => return,
         };
         let Ok(frame) = answer.map_or(Err(PeerError::Closing), |body| wire::frame_message(&body))
         else {
-            let _ = sender.reset(REFUSED.into());
+            let _ = sender.reset(CALL_REFUSED.into());
             return;
         };
         let _ = sender.write_chunk(frame).await;
@@ -201,7 +201,7 @@
         let _ = sender.stopped().await;
     }
 
-    fn take_session(&self, head: MessageHead, sender: SendStream, receiver: RecvStream) {
+    fn handle_session(&self, head: MessageHeader, sender: SendStream, receiver: RecvStream) {
         let limit = self.shared.settings.frame_limit;
         let instance = &head.from.instance;
         let connection = &self.connection;
@@ -212,12 +212,12 @@
             receiver,
             sender,
         };
-        self.shared.hand_over(head.tag, incoming);
+        self.shared.dispatch(head.tag, incoming);
     }
 }
 
 /// The stream error code of a refused call.
-pub(crate) const REFUSED: u32 = 1;
+pub(crate) const CALL_REFUSED: u32 = 1;
 
 fn certificate_names(connection: &Connection, claimed: &str) -> bool {
     let Some(chain) = tls_config::certificate_chain(connection.peer_identity()) else {
--- a/crates/peer/src/peer_book.rs
+++ b/crates/peer/src/address_table.rs
@@ -10,7 +10,7 @@
 };
 
 #[derive(Clone, Copy, Debug)]
-struct BookEntry {
+struct AddressEntry {
     address: SocketAddr,
     pinned: bool,
 }
@@ -18,11 +18,11 @@
 /// The addresses of the peers. What the settings pin stays; what the platform's list and the peers themselves say
 /// replaces what they said before. Clones share one book.
 #[derive(Clone, Debug, Default)]
-pub struct PeerBook {
-    entries: Arc<RwLock<BTreeMap<InstanceId, BookEntry>>>,
+pub struct AddressTable {
+    entries: Arc<RwLock<BTreeMap<InstanceId, AddressEntry>>>,
 }
 
-impl PeerBook {
+impl AddressTable {
     /// Where a peer answers.
     pub fn address(&self, instance: &str) -> Option<SocketAddr> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
@@ -34,10 +34,10 @@
         Self::default()
     }
 
-    /// Sets a peer's address for good: [`PeerBook::set`] does not change it any more.
+    /// Sets a peer's address for good: [`AddressTable::set`] does not change it any more.
     pub fn pin(&self, instance: InstanceId, address: SocketAddr) {
         let pinned = true;
-        self.put(instance, BookEntry { address, pinned });
+        self.put(instance, AddressEntry { address, pinned });
     }
 
     /// Forgets a peer's address.
@@ -49,10 +49,10 @@
     /// Sets a peer's address, in place of an earlier one that is not pinned. The next message opens a new connection.
     pub fn set(&self, instance: InstanceId, address: SocketAddr) {
         let pinned = false;
-        self.put(instance, BookEntry { address, pinned });
+        self.put(instance, AddressEntry { address, pinned });
     }
 
-    fn put(&self, instance: InstanceId, entry: BookEntry) {
+    fn put(&self, instance: InstanceId, entry: AddressEntry) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         let known = entries.get(&instance);
         if !entry.pinned && known.is_some_and(|known| known.pinned) {
--- a/crates/peer/src/driver_task.rs
+++ b/crates/peer/src/driver_task.rs
@@ -6,8 +6,8 @@
         member_action::MemberAction,
         member_event::MemberEvent,
         member_metrics::MemberMetrics,
-        member_news::MemberNews,
         member_table::MemberTable,
+        member_update::MemberUpdate,
         member_view::MemberView,
         peer_driver::{MEMBER_TAG, TABLE_TAG},
         peer_endpoint::PeerEndpoint,
@@ -33,7 +33,7 @@
     pub(crate) endpoint: PeerEndpoint,
     pub(crate) inbox: mpsc::Receiver<PeerIncoming>,
     pub(crate) metrics: MemberMetrics,
-    pub(crate) news: broadcast::Sender<MemberNews>,
+    pub(crate) updates: broadcast::Sender<MemberUpdate>,
     pub(crate) own_commands: mpsc::UnboundedSender<MemberEvent>,
     pub(crate) signal: ShutdownSignal,
     pub(crate) source: Arc<S>,
@@ -57,7 +57,7 @@
             };
             self.take(event);
         }
-        self.say_goodbye().await;
+        self.announce_shutdown().await;
     }
 
     fn take(&mut self, event: MemberEvent) {
@@ -67,17 +67,17 @@
         self.table.on_event(now, event, &mut actions);
         let tells = actions
             .iter()
-            .any(|action| matches!(action, MemberAction::News(_)));
-        self.carry_out(actions);
+            .any(|action| matches!(action, MemberAction::Notify(_)));
+        self.execute(actions);
         if shows || tells {
             self.publish(now);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<MemberAction>) {
+    fn execute(&mut self, actions: Vec<MemberAction>) {
         for action in actions {
             match action {
-                MemberAction::News(news) => self.tell(news),
+                MemberAction::Notify(update) => self.notify(update),
                 MemberAction::Pull { from, version } => self.pull(from, version),
                 MemberAction::Refuse(cause) => self.endpoint.metrics().refuse(cause),
                 MemberAction::Renew { above } => self.renew(above),
@@ -91,38 +91,38 @@
         let cut = view.zones.iter().filter(|zone| zone.cut).count();
         self.metrics.heard.set(as_gauge(view.heard.len()));
         self.metrics.neighbours.set(as_gauge(view.neighbours.len()));
-        self.metrics.zones_cut.set(as_gauge(cut));
+        self.metrics.unreachable_zones.set(as_gauge(cut));
         let version = i64::try_from(view.table.version).unwrap_or(i64::MAX);
         self.metrics.table_version.set(version);
         self.view.store(Arc::new(view));
     }
 
-    fn tell(&self, news: MemberNews) {
-        match &news {
-            MemberNews::DigestDiffers { .. } => self.metrics.digest_differs.inc(),
-            MemberNews::MemberGone { instance, .. } => {
-                self.metrics.members_gone.inc();
+    fn notify(&self, update: MemberUpdate) {
+        match &update {
+            MemberUpdate::DigestDiffers { .. } => self.metrics.digest_differs.inc(),
+            MemberUpdate::MemberDead { instance, .. } => {
+                self.metrics.dead_members.inc();
                 self.endpoint.forget(instance);
                 tracing::info!(%instance, "a member is gone");
             }
-            MemberNews::MemberUp(record) => {
+            MemberUpdate::MemberUp(record) => {
                 let address = record.address;
                 let instance = record.instance.clone();
                 tracing::info!(%instance, "a member is up");
-                self.endpoint.book().set(instance, address);
+                self.endpoint.addresses().set(instance, address);
             }
-            MemberNews::Superseded { by } => {
+            MemberUpdate::Superseded { by } => {
                 tracing::error!(
                     by,
                     "another process has this instance's name and a later life"
                 );
             }
-            MemberNews::ZoneBack { zone } => tracing::info!(%zone, "a zone is heard again"),
-            MemberNews::ZoneCut { zone } => tracing::warn!(%zone, "a zone is cut off"),
+            MemberUpdate::ZoneReachable { zone } => tracing::info!(%zone, "a zone is heard again"),
+            MemberUpdate::ZoneUnreachable { zone } => tracing::warn!(%zone, "a zone is cut off"),
             _ => {}
         }
         // Nobody has to listen.
-        let _ = self.news.send(news);
+        let _ = self.updates.send(update);
     }
 
     fn renew(&mut self, above: Incarnation) {
@@ -180,7 +180,7 @@
     }
 
     /// Tells each neighbour that this life is over, and waits for their answers for a while.
-    async fn say_goodbye(mut self) {
+    async fn announce_shutdown(mut self) {
         let mut actions = Vec::new();
         let now = Instant::now();
         self.table.on_event(now, MemberEvent::Close, &mut actions);
@@ -207,13 +207,13 @@
     source: &S,
     from: &InstanceId,
 ) -> Option<MemberEvent> {
-    let content = ask_table(endpoint, from, source.pull_since()).await?;
-    let mark = source.take(from, content).await.ok()?;
+    let content = request_table(endpoint, from, source.pull_since()).await?;
+    let mark = source.apply(from, content).await.ok()?;
     Some(MemberEvent::Table(mark))
 }
 
 /// Asks a peer for the table's changes after a version; none when it has none or does not answer.
-pub(crate) async fn ask_table(
+pub(crate) async fn request_table(
     endpoint: &PeerEndpoint,
     from: &InstanceId,
     since: TableVersion,
--- a/crates/peer/src/endpoint_dial.rs
+++ b/crates/peer/src/endpoint_dial.rs
@@ -19,7 +19,7 @@
 
 impl PeerEndpoint {
     pub(crate) fn address(&self, instance: &InstanceId) -> Result<SocketAddr, PeerError> {
-        self.book
+        self.addresses
             .address(instance)
             .with_context(|| UnknownPeerSnafu {
                 instance: instance.clone(),
--- a/crates/peer/src/rumour_queue.rs
+++ b/crates/peer/src/gossip_queue.rs
@@ -3,20 +3,20 @@
 use std::{cmp::Reverse, collections::BTreeMap};
 
 #[derive(Clone, Copy, Debug)]
-struct RumourEntry {
+struct GossipEntry {
     order: u64,
     rounds: u8,
 }
 
 /// Counts for each piece of news in how many more heartbeats it goes.
 #[derive(Clone, Debug)]
-pub struct RumourQueue<K> {
-    entries: BTreeMap<K, RumourEntry>,
+pub struct GossipQueue<K> {
+    entries: BTreeMap<K, GossipEntry>,
     pushed: u64,
     start: u8,
 }
 
-impl<K: Clone + Ord> RumourQueue<K> {
+impl<K: Clone + Ord> GossipQueue<K> {
     /// Whether there is news to pass on.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -39,7 +39,7 @@
         let entry = self
             .entries
             .entry(key)
-            .or_insert(RumourEntry { order, rounds });
+            .or_insert(GossipEntry { order, rounds });
         entry.rounds = rounds;
     }
 
@@ -59,7 +59,7 @@
             } else {
                 let rounds = rounds - 1;
                 self.entries
-                    .insert(key.clone(), RumourEntry { order, rounds });
+                    .insert(key.clone(), GossipEntry { order, rounds });
             }
             taken.push(key);
         }
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        cell_summary::CellSummary, floor_ladder::FloorLadder, member_record::MemberRecord,
-        table_mark::TableMark, upstream_mark::UpstreamMark, zone_brief::ZoneBrief,
+        cell_summary::CellSummary, member_record::MemberRecord, table_revision::TableRevision,
+        upstream_mark::UpstreamMark, version_floors::VersionFloors, zone_summary::ZoneSummary,
     },
     kernel::ZoneId,
     serde::{Deserialize, Serialize},
@@ -16,7 +16,7 @@
     /// Cells whose summaries are new.
     pub cells: Vec<CellSummary>,
     /// The lowest table versions around the sender.
-    pub floors: FloorLadder,
+    pub floors: VersionFloors,
     /// Marks that are new.
     pub marks: Vec<UpstreamMark>,
     /// The digest of all marks that the sender knows.
@@ -32,23 +32,23 @@
     /// Counts the heartbeats of the sender's life; one that does not rise is a replay.
     pub sequence: u64,
     /// The table that the sender has in force.
-    pub table: TableMark,
+    pub table: TableRevision,
     /// The sender's own zone, then some others.
-    pub zones: Vec<ZoneBrief>,
+    pub zones: Vec<ZoneSummary>,
 }
 
 impl Heartbeat {
     /// Whether every list is within the bounds.
     pub fn is_bounded(&self) -> bool {
-        self.cells.len() <= LIST_LIMIT
-            && self.marks.len() <= LIST_LIMIT
-            && self.records.len() <= LIST_LIMIT
-            && self.zones.len() <= LIST_LIMIT
+        self.cells.len() <= MAX_LIST_LENGTH
+            && self.marks.len() <= MAX_LIST_LENGTH
+            && self.records.len() <= MAX_LIST_LENGTH
+            && self.zones.len() <= MAX_LIST_LENGTH
     }
 }
 
 /// The most entries that a list of a heartbeat may have.
-pub const LIST_LIMIT: usize = 64;
+pub const MAX_LIST_LENGTH: usize = 64;
 
 /// The digests that a peer compares with its own.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MemberMessage {
     /// A heartbeat.
-    Beat(Box<Heartbeat>),
+    Heartbeat(Box<Heartbeat>),
     /// A heartbeat to one who may know nothing of the sender; it is answered with a heartbeat.
     Probe(Box<Heartbeat>),
     /// Whole lists.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -4,9 +4,10 @@
 //! [`MemberTable`] decides, without I/O, which instances live and which zones are cut off; [`PeerDriver`] drives it and
 //! shows the result as a [`MemberView`]. Heartbeats also spread table versions and marks on upstreams.
 
+pub mod address_table;
 pub mod cell_summary;
 pub mod cell_table;
-pub mod floor_ladder;
+pub mod gossip_queue;
 pub mod heartbeat;
 pub mod keys;
 pub mod link_slot;
@@ -16,15 +17,14 @@
 pub mod member_action;
 pub mod member_event;
 pub mod member_metrics;
-pub mod member_news;
 pub mod member_record;
 pub mod member_settings;
 pub mod member_state;
 pub mod member_table;
+pub mod member_update;
 pub mod member_view;
 pub mod member_watch;
 pub mod neighbour_ring;
-pub mod peer_book;
 pub mod peer_driver;
 pub mod peer_endpoint;
 pub mod peer_error;
@@ -34,37 +34,37 @@
 pub mod peer_router;
 pub mod peer_settings;
 pub mod record_table;
-pub mod rumour_queue;
 pub mod session_receiver;
 pub mod session_sender;
-pub mod table_mark;
+pub mod table_revision;
 pub mod table_source;
 pub mod tls_config;
 pub mod upstream_mark;
+pub mod version_floors;
 pub mod wire;
-pub mod zone_brief;
+pub mod zone_summary;
 pub mod zone_table;
 
 mod accept_loop;
 mod driver_task;
 mod endpoint_dial;
-mod member_beat;
 mod member_merge;
 mod member_sync;
+mod member_timer;
 
 pub use {
+    address_table::AddressTable,
     cell_summary::{CellId, CellSummary},
     heartbeat::{Heartbeat, MemberMessage, SyncReply, SyncRequest},
     keys::{KeyAuthority, PeerKeys, make_test_keys},
     member_action::MemberAction,
     member_event::{ListedMember, MemberEvent},
-    member_news::MemberNews,
     member_record::{MemberRecord, MemberStanding},
     member_settings::MemberSettings,
     member_state::MemberState,
     member_table::MemberTable,
+    member_update::MemberUpdate,
     member_view::MemberView,
-    peer_book::PeerBook,
     peer_driver::PeerDriver,
     peer_endpoint::PeerEndpoint,
     peer_error::PeerError,
@@ -74,7 +74,7 @@
     peer_settings::PeerSettings,
     session_receiver::SessionReceiver,
     session_sender::{SessionFrame, SessionSender},
-    table_mark::TableMark,
+    table_revision::TableRevision,
     table_source::TableSource,
     upstream_mark::UpstreamMark,
 };
--- a/crates/peer/src/link_slot.rs
+++ b/crates/peer/src/link_slot.rs
@@ -67,7 +67,7 @@
     }
 
     /// Whether a best-effort message may try to connect.
-    pub fn may_retry(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn can_retry(&self, now: Instant, address: SocketAddr) -> bool {
         if self.address.is_some_and(|known| known != address) {
             return true;
         }
--- a/crates/peer/src/mark_table.rs
+++ b/crates/peer/src/mark_table.rs
@@ -13,7 +13,7 @@
 pub type MarkKey = (UpstreamId, InstanceId);
 
 #[derive(Clone, Debug)]
-struct HeldMark {
+struct StoredMark {
     mark: UpstreamMark,
     raised: Instant,
 }
@@ -25,7 +25,7 @@
     digest: u64,
     lifetime: Duration,
     limit: usize,
-    marks: BTreeMap<MarkKey, HeldMark>,
+    marks: BTreeMap<MarkKey, StoredMark>,
 }
 
 impl MarkTable {
@@ -85,7 +85,7 @@
         self.remove(&key);
         self.digest ^= mark.digest();
         let raised = now.checked_sub(mark.age).unwrap_or(now);
-        self.marks.insert(key, HeldMark { mark, raised });
+        self.marks.insert(key, StoredMark { mark, raised });
         true
     }
 
@@ -97,7 +97,7 @@
     }
 }
 
-impl HeldMark {
+impl StoredMark {
     fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.raised)
     }
--- a/crates/peer/src/member_action.rs
+++ b/crates/peer/src/member_action.rs
@@ -1,7 +1,7 @@
 //! What the membership decides.
 
 use {
-    crate::{heartbeat::MemberMessage, member_news::MemberNews, peer_metrics::RefusedCause},
+    crate::{heartbeat::MemberMessage, member_update::MemberUpdate, peer_metrics::RefusedCause},
     kernel::{Incarnation, InstanceId, TableVersion},
 };
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     /// Tell the other parts of the process.
-    News(MemberNews),
+    Notify(MemberUpdate),
     /// Pull the table from this peer.
     Pull {
         /// The peer.
--- a/crates/peer/src/member_event.rs
+++ b/crates/peer/src/member_event.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell_summary::CellSummary, heartbeat::MemberMessage, member_state::MemberState,
-        peer_identity::PeerIdentity, table_mark::TableMark,
+        peer_identity::PeerIdentity, table_revision::TableRevision,
     },
     kernel::{Incarnation, InstanceId, UpstreamId},
     route::load_report::LeavingCause,
@@ -45,13 +45,13 @@
         message: MemberMessage,
     },
     /// The platform answered this instance a call that was sent then.
-    PlatformHeard(Instant),
+    PlatformContact(Instant),
     /// This instance took a new life, as [`MemberAction::Renew`](crate::MemberAction) asked.
     Renewed(Incarnation),
     /// This instance's own state.
     State(MemberState),
     /// The table that this instance has in force.
-    Table(TableMark),
+    Table(TableRevision),
     /// Time passed.
     Tick,
 }
--- a/crates/peer/src/member_merge.rs
+++ b/crates/peer/src/member_merge.rs
@@ -4,14 +4,14 @@
     crate::{
         heartbeat::{Heartbeat, MemberMessage, SyncReply},
         member_action::MemberAction,
-        member_news::MemberNews,
         member_record::{MemberRecord, MemberStanding},
         member_state::MemberState,
         member_table::MemberTable,
+        member_update::MemberUpdate,
         peer_identity::PeerIdentity,
         peer_metrics::RefusedCause,
         upstream_mark::UpstreamMark,
-        zone_brief::ZoneBrief,
+        zone_summary::ZoneSummary,
     },
     kernel::{Incarnation, InstanceId},
     std::time::Instant,
@@ -29,11 +29,11 @@
             return;
         }
         match message {
-            MemberMessage::Beat(beat) => {
-                self.on_beat(now, from, &beat, actions);
+            MemberMessage::Heartbeat(beat) => {
+                self.on_heartbeat(now, from, &beat, actions);
             }
             MemberMessage::Probe(beat) => {
-                if self.on_beat(now, from, &beat, actions) {
+                if self.on_heartbeat(now, from, &beat, actions) {
                     self.answer_probe(now, from, actions);
                 }
             }
@@ -46,13 +46,13 @@
         if self.stale.is_some() || self.neighbours.contains(&from.instance) {
             return;
         }
-        let message = MemberMessage::Beat(Box::new(self.make_beat(now)));
+        let message = MemberMessage::Heartbeat(Box::new(self.build_heartbeat(now)));
         let to = vec![from.instance.clone()];
         actions.push(MemberAction::Send { message, to });
     }
 
     /// Whether the heartbeat was believed.
-    fn on_beat(
+    fn on_heartbeat(
         &mut self,
         now: Instant,
         from: &PeerIdentity,
@@ -64,33 +64,33 @@
             actions.push(MemberAction::Refuse(RefusedCause::Garbled));
             return false;
         }
-        if self.tell_if_over(from, actions) {
+        if self.notify_if_dead(from, actions) {
             return false;
         }
         let watch = self.watch(now, &from.instance, from.incarnation);
-        if !watch.take_sequence(from.incarnation, beat.sequence) {
+        if !watch.advance_sequence(from.incarnation, beat.sequence) {
             actions.push(MemberAction::Refuse(RefusedCause::Replayed));
             return false;
         }
         watch.heard = now;
         watch.floors = Some(beat.floors);
-        self.end_cut(&from.instance, actions);
-        self.take_record(now, beat.member.clone(), true, actions);
-        self.tell_if_suspect(now, from, actions);
-        self.take_news(now, beat, actions);
-        self.hear_platform(now, beat);
+        self.mark_reachable(&from.instance, actions);
+        self.merge_record(now, beat.member.clone(), true, actions);
+        self.notify_if_suspect(now, from, actions);
+        self.merge_updates(now, beat, actions);
+        self.merge_platform_contact(now, beat);
         self.compare_tables(now, from, beat, actions);
         self.compare_digests(now, from, beat, actions);
         true
     }
 
     /// A sender whose life is over is told so and not believed.
-    fn tell_if_over(&self, from: &PeerIdentity, actions: &mut Vec<MemberAction>) -> bool {
+    fn notify_if_dead(&self, from: &PeerIdentity, actions: &mut Vec<MemberAction>) -> bool {
         let Some(known) = self.records.get(&from.instance) else {
             return false;
         };
-        let same_life = known.incarnation == from.incarnation;
-        let is_over = known.incarnation > from.incarnation || (same_life && known.is_gone());
+        let same_incarnation = known.incarnation == from.incarnation;
+        let is_over = known.incarnation > from.incarnation || (same_incarnation && known.is_dead());
         if is_over {
             actions.push(tell(from, known));
         }
@@ -98,7 +98,7 @@
     }
 
     /// A sender that is heard and suspected is told, so that it refutes; the judgement waits for that.
-    fn tell_if_suspect(
+    fn notify_if_suspect(
         &mut self,
         now: Instant,
         from: &PeerIdentity,
@@ -115,7 +115,11 @@
         watch.suspected = Some(now);
     }
 
-    pub(crate) fn end_cut(&mut self, instance: &InstanceId, actions: &mut Vec<MemberAction>) {
+    pub(crate) fn mark_reachable(
+        &mut self,
+        instance: &InstanceId,
+        actions: &mut Vec<MemberAction>,
+    ) {
         let Some(watch) = self.watches.get_mut(instance) else {
             return;
         };
@@ -126,33 +130,38 @@
         let Some(record) = self.records.get(instance) else {
             return;
         };
-        if record.is_gone() {
+        if record.is_dead() {
             return;
         }
-        let news = MemberNews::MemberUp(record.clone());
-        actions.push(MemberAction::News(news));
+        let update = MemberUpdate::MemberUp(record.clone());
+        actions.push(MemberAction::Notify(update));
     }
 
-    fn take_news(&mut self, now: Instant, beat: &Heartbeat, actions: &mut Vec<MemberAction>) {
+    fn merge_updates(&mut self, now: Instant, beat: &Heartbeat, actions: &mut Vec<MemberAction>) {
         for record in &beat.records {
-            self.take_record(now, record.clone(), true, actions);
+            self.merge_record(now, record.clone(), true, actions);
         }
         for mark in &beat.marks {
-            self.take_mark(now, mark.clone(), true, actions);
+            self.merge_mark(now, mark.clone(), true, actions);
         }
         for brief in &beat.zones {
-            self.take_brief(now, brief, actions);
+            self.merge_zone_summary(now, brief, actions);
         }
         for summary in &beat.cells {
             let key = (summary.cell.clone(), summary.by.clone());
             let is_near = summary.zone == self.zone;
             if self.cells.put(now, summary.clone()) && is_near {
-                self.cell_rumours.push(key);
+                self.cell_gossip.push(key);
             }
         }
     }
 
-    fn take_brief(&mut self, now: Instant, brief: &ZoneBrief, actions: &mut Vec<MemberAction>) {
+    fn merge_zone_summary(
+        &mut self,
+        now: Instant,
+        brief: &ZoneSummary,
+        actions: &mut Vec<MemberAction>,
+    ) {
         if brief.zone == self.zone {
             return;
         }
@@ -161,37 +170,37 @@
             return;
         }
         let zone = brief.zone.clone();
-        actions.push(MemberAction::News(MemberNews::ZoneBack { zone }));
+        actions.push(MemberAction::Notify(MemberUpdate::ZoneReachable { zone }));
     }
 
-    pub(crate) fn take_mark(
+    pub(crate) fn merge_mark(
         &mut self,
         now: Instant,
         mark: UpstreamMark,
-        is_news: bool,
+        is_gossiped: bool,
         actions: &mut Vec<MemberAction>,
     ) {
         if !self.marks.put(now, mark.clone()) {
             return;
         }
-        if is_news {
+        if is_gossiped {
             let key = (mark.upstream.clone(), mark.by.clone());
-            self.mark_rumours.push(key);
-            self.flush_soon(now);
+            self.mark_gossip.push(key);
+            self.schedule_flush(now);
         }
-        actions.push(MemberAction::News(MemberNews::Marked(mark)));
+        actions.push(MemberAction::Notify(MemberUpdate::Marked(mark)));
     }
 
-    /// Keeps a record when it supersedes the known one. `is_news`: pass it on.
-    pub(crate) fn take_record(
+    /// Keeps a record when it supersedes the known one. `is_gossiped`: pass it on.
+    pub(crate) fn merge_record(
         &mut self,
         now: Instant,
         record: MemberRecord,
-        is_news: bool,
+        is_gossiped: bool,
         actions: &mut Vec<MemberAction>,
     ) {
         if record.instance == self.instance {
-            self.take_own_record(now, &record, actions);
+            self.merge_own_record(now, &record, actions);
             return;
         }
         let known = self.records.get(&record.instance);
@@ -204,13 +213,13 @@
         let old = self.records.put(record.clone());
         self.ring_stale = true;
         if is_refuted(old.as_ref(), &record) {
-            self.end_cut(&record.instance, actions);
+            self.mark_reachable(&record.instance, actions);
         }
         self.note_record(now, &record);
-        tell_change(old.as_ref(), &record, actions);
-        if is_news {
-            self.record_rumours.push(record.instance);
-            self.flush_soon(now);
+        push_record_updates(old.as_ref(), &record, actions);
+        if is_gossiped {
+            self.record_gossip.push(record.instance);
+            self.schedule_flush(now);
         }
     }
 
@@ -218,11 +227,11 @@
         let watch = self.watch(now, &record.instance, record.incarnation);
         match record.standing {
             MemberStanding::Alive => {
-                watch.gone_at = None;
+                watch.dead_since = None;
                 watch.suspected = None;
                 watch.cut = false;
             }
-            MemberStanding::Gone => watch.gone_at = Some(now),
+            MemberStanding::Dead => watch.dead_since = Some(now),
             MemberStanding::Suspect => {
                 watch.suspected.get_or_insert(now);
             }
@@ -230,7 +239,7 @@
     }
 
     /// What the others say of this instance: a suspicion is refuted; a life that is over is left.
-    fn take_own_record(
+    fn merge_own_record(
         &mut self,
         now: Instant,
         record: &MemberRecord,
@@ -240,20 +249,20 @@
         if record.incarnation < own.incarnation || !record.supersedes(own) {
             return;
         }
-        if record.is_gone() {
-            self.leave_life(record.incarnation, actions);
+        if record.is_dead() {
+            self.abandon_incarnation(record.incarnation, actions);
             return;
         }
         if record.incarnation > own.incarnation {
-            self.yield_name(now, record, actions);
+            self.yield_to_superseder(now, record, actions);
             return;
         }
         let revision = record.revision;
         self.change_own(now, |own| own.revision = revision + 1);
     }
 
-    fn leave_life(&mut self, above: Incarnation, actions: &mut Vec<MemberAction>) {
-        if self.own().is_gone() || self.stale == Some(above) {
+    fn abandon_incarnation(&mut self, above: Incarnation, actions: &mut Vec<MemberAction>) {
+        if self.own().is_dead() || self.stale == Some(above) {
             return;
         }
         self.stale = Some(above);
@@ -262,22 +271,27 @@
 
     /// A later life has this name: either another process, or an earlier process of this one before its clock went
     /// back. The first is heard by the others, the second is not.
-    fn yield_name(&mut self, now: Instant, by: &MemberRecord, actions: &mut Vec<MemberAction>) {
+    fn yield_to_superseder(
+        &mut self,
+        now: Instant,
+        by: &MemberRecord,
+        actions: &mut Vec<MemberAction>,
+    ) {
         // One below, so that the end of the later life still asks for a new one.
         let stale = Some(by.incarnation - 1);
         if self.stale != stale {
             self.stale = stale;
             self.superseder_silent = None;
             let by = by.incarnation;
-            actions.push(MemberAction::News(MemberNews::Superseded { by }));
+            actions.push(MemberAction::Notify(MemberUpdate::Superseded { by }));
         }
         if !by.is_suspect() && self.hears_zone() {
             self.superseder_silent = None;
             return;
         }
         let since = *self.superseder_silent.get_or_insert(now);
-        if now.saturating_duration_since(since) > self.gone_after() {
-            self.leave_life(by.incarnation, actions);
+        if now.saturating_duration_since(since) > self.death_timeout() {
+            self.abandon_incarnation(by.incarnation, actions);
         }
     }
 
@@ -306,32 +320,36 @@
 }
 
 /// What a change of a record means to the other parts of the process.
-fn tell_change(old: Option<&MemberRecord>, new: &MemberRecord, actions: &mut Vec<MemberAction>) {
+fn push_record_updates(
+    old: Option<&MemberRecord>,
+    new: &MemberRecord,
+    actions: &mut Vec<MemberAction>,
+) {
     let instance = new.instance.clone();
-    let old_life = old.filter(|old| !old.is_gone());
-    let same_life = old_life.filter(|old| old.incarnation == new.incarnation);
-    let mut tell = |news| actions.push(MemberAction::News(news));
-    if new.is_gone() {
+    let old_live = old.filter(|old| !old.is_dead());
+    let same_incarnation = old_live.filter(|old| old.incarnation == new.incarnation);
+    let mut tell = |update| actions.push(MemberAction::Notify(update));
+    if new.is_dead() {
         let before = new.incarnation + 1;
-        if old_life.is_some() {
-            tell(MemberNews::MemberGone { before, instance });
+        if old_live.is_some() {
+            tell(MemberUpdate::MemberDead { before, instance });
         }
         return;
     }
-    if old_life.is_some() && same_life.is_none() {
+    if old_live.is_some() && same_incarnation.is_none() {
         let before = new.incarnation;
         let instance = instance.clone();
-        tell(MemberNews::MemberGone { before, instance });
+        tell(MemberUpdate::MemberDead { before, instance });
     }
-    if same_life.is_none() {
-        tell(MemberNews::MemberUp(new.clone()));
+    if same_incarnation.is_none() {
+        tell(MemberUpdate::MemberUp(new.clone()));
     }
-    if same_life.is_some_and(|old| old.state == new.state) {
+    if same_incarnation.is_some_and(|old| old.state == new.state) {
         return;
     }
     match new.state {
-        MemberState::Leaving => tell(MemberNews::MemberLeaving { instance }),
+        MemberState::Leaving => tell(MemberUpdate::MemberLeaving { instance }),
         MemberState::NotReady => {}
-        MemberState::Serving => tell(MemberNews::MemberReady { instance }),
+        MemberState::Serving => tell(MemberUpdate::MemberReady { instance }),
     }
 }
--- a/crates/peer/src/member_metrics.rs
+++ b/crates/peer/src/member_metrics.rs
@@ -10,7 +10,7 @@
     /// Members that are heard.
     pub heard: IntGauge,
     /// Members that were declared gone.
-    pub members_gone: IntCounter,
+    pub dead_members: IntCounter,
     /// Instances that this one exchanges heartbeats with.
     pub neighbours: IntGauge,
     /// Pulls of the table that failed.
@@ -22,7 +22,7 @@
     /// The table version in force.
     pub table_version: IntGauge,
     /// Availability zones from which nothing is heard.
-    pub zones_cut: IntGauge,
+    pub unreachable_zones: IntGauge,
 }
 
 impl MemberMetrics {
@@ -34,7 +34,7 @@
                 "Table versions that came with two contents.",
             ),
             heard: gauge("member_heard", "Members that are heard."),
-            members_gone: counter("member_gone_total", "Members declared gone."),
+            dead_members: counter("member_gone_total", "Members declared gone."),
             neighbours: gauge("member_neighbours", "Instances that exchange heartbeats."),
             pulls_failed: counter(
                 "member_pulls_failed_total",
@@ -43,7 +43,7 @@
             pulls: counter("member_pulls_total", "Pulls of the table."),
             renewals: counter("member_renewals_total", "New lives of this instance."),
             table_version: gauge("member_table_version", "The table version in force."),
-            zones_cut: gauge("member_zones_cut", "Availability zones that are not heard."),
+            unreachable_zones: gauge("member_zones_cut", "Availability zones that are not heard."),
         }
     }
 
@@ -51,13 +51,13 @@
     pub fn register(&self, registry: &Registry) {
         let _ = registry.register(Box::new(self.digest_differs.clone()));
         let _ = registry.register(Box::new(self.heard.clone()));
-        let _ = registry.register(Box::new(self.members_gone.clone()));
+        let _ = registry.register(Box::new(self.dead_members.clone()));
         let _ = registry.register(Box::new(self.neighbours.clone()));
         let _ = registry.register(Box::new(self.pulls_failed.clone()));
         let _ = registry.register(Box::new(self.pulls.clone()));
         let _ = registry.register(Box::new(self.renewals.clone()));
         let _ = registry.register(Box::new(self.table_version.clone()));
-        let _ = registry.register(Box::new(self.zones_cut.clone()));
+        let _ = registry.register(Box::new(self.unreachable_zones.clone()));
     }
 }
 
--- a/crates/peer/src/member_record.rs
+++ b/crates/peer/src/member_record.rs
@@ -14,7 +14,8 @@
     /// It is heard.
     Alive,
     /// It was declared gone, or closed: final for its incarnation.
-    Gone,
+    #[serde(rename = "gone")]
+    Dead,
     /// Its heartbeats are missing; it may refute that with a greater revision.
     Suspect,
 }
@@ -46,8 +47,8 @@
     }
 
     /// Whether it is gone.
-    pub fn is_gone(&self) -> bool {
-        self.standing == MemberStanding::Gone
+    pub fn is_dead(&self) -> bool {
+        self.standing == MemberStanding::Dead
     }
 
     /// Whether it is suspected.
@@ -64,7 +65,7 @@
     fn order(&self) -> (Incarnation, bool, u32, bool) {
         (
             self.incarnation,
-            self.is_gone(),
+            self.is_dead(),
             self.revision,
             self.is_suspect(),
         )
--- a/crates/peer/src/member_sync.rs
+++ b/crates/peer/src/member_sync.rs
@@ -4,18 +4,18 @@
     crate::{
         heartbeat::{Heartbeat, MemberMessage, SyncReply, SyncRequest},
         member_action::MemberAction,
-        member_news::MemberNews,
         member_table::{MemberTable, PendingPull},
+        member_update::MemberUpdate,
         peer_identity::PeerIdentity,
-        table_mark::TableMark,
+        table_revision::TableRevision,
     },
     std::time::{Duration, Instant},
 };
 
 /// Whole lists with more changes than this are not passed on as news: the neighbours compare digests themselves.
-const BULK_LIMIT: usize = 16;
+const MAX_GOSSIPED_ENTRIES: usize = 16;
 /// By how much a peer's word from the platform has to be newer than the own one.
-const PLATFORM_MARGIN: Duration = Duration::from_secs(1);
+const MIN_PLATFORM_GAIN: Duration = Duration::from_secs(1);
 
 impl MemberTable {
     pub(crate) fn compare_tables(
@@ -49,18 +49,18 @@
     /// Takes the age of the sender's last word from the platform. Each hop adds the time on its way, so that a word
     /// that comes back looks newer than it is: a gain within the margin is not taken, and neither is what lay in the
     /// inbox while this process stood still.
-    pub(crate) fn hear_platform(&mut self, now: Instant, beat: &Heartbeat) {
+    pub(crate) fn merge_platform_contact(&mut self, now: Instant, beat: &Heartbeat) {
         let Some(heard) = beat.platform_age.and_then(|age| now.checked_sub(age)) else {
             return;
         };
-        if now.saturating_duration_since(self.next_beat) >= self.settings.suspicion_timeout {
+        if now.saturating_duration_since(self.next_heartbeat) >= self.settings.suspicion_timeout {
             return;
         }
         let is_newer = self
-            .platform_heard
-            .is_none_or(|known| heard > known + PLATFORM_MARGIN);
+            .platform_contact
+            .is_none_or(|known| heard > known + MIN_PLATFORM_GAIN);
         if is_newer {
-            self.platform_heard = Some(heard);
+            self.platform_contact = Some(heard);
         }
     }
 
@@ -69,22 +69,22 @@
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        theirs: TableMark,
+        theirs: TableRevision,
         actions: &mut Vec<MemberAction>,
     ) {
         let differs = theirs.version == self.table.version && theirs != self.table;
         let watch = self.watch(now, &from.instance, from.incarnation);
         let differed = std::mem::replace(&mut watch.table_differs, differs);
         let instance = from.instance.clone();
-        let TableMark { digest, version } = theirs;
+        let TableRevision { digest, version } = theirs;
         if differs {
-            actions.push(MemberAction::News(MemberNews::DigestDiffers {
+            actions.push(MemberAction::Notify(MemberUpdate::DigestDiffers {
                 digest,
                 instance,
                 version,
             }));
         } else if differed {
-            actions.push(MemberAction::News(MemberNews::DigestSettled {
+            actions.push(MemberAction::Notify(MemberUpdate::DigestConverged {
                 digest,
                 instance,
                 version,
@@ -156,13 +156,13 @@
         reply: SyncReply,
         actions: &mut Vec<MemberAction>,
     ) {
-        let records_are_news = reply.records.len() <= BULK_LIMIT;
+        let gossip_records = reply.records.len() <= MAX_GOSSIPED_ENTRIES;
         for record in reply.records {
-            self.take_record(now, record, records_are_news, actions);
+            self.merge_record(now, record, gossip_records, actions);
         }
-        let marks_are_news = reply.marks.len() <= BULK_LIMIT;
+        let gossip_marks = reply.marks.len() <= MAX_GOSSIPED_ENTRIES;
         for mark in reply.marks {
-            self.take_mark(now, mark, marks_are_news, actions);
+            self.merge_mark(now, mark, gossip_marks, actions);
         }
     }
 }
--- a/crates/peer/src/member_table.rs
+++ b/crates/peer/src/member_table.rs
@@ -5,25 +5,25 @@
 //! zone, and only while they hear at least half of it: so a zone that is cut off, or a rack, can't declare the rest of
 //! the system gone. Two sides of a partition hold different members for its duration; after it the greater records win.
 //!
-//! The files `member_beat.rs`, `member_merge.rs` and `member_sync.rs` have the parts: what time brings, and what peers bring.
+//! The files `member_timer.rs`, `member_merge.rs` and `member_sync.rs` have the parts: what time brings, and what peers bring.
 
 use {
     crate::{
         cell_summary::CellSummary,
         cell_table::{CellKey, CellTable},
-        floor_ladder::{FloorLadder, LADDER_STEPS, NO_VERSION},
+        gossip_queue::GossipQueue,
         mark_table::{MarkKey, MarkTable},
         member_action::MemberAction,
         member_event::{ListedMember, MemberEvent},
-        member_news::MemberNews,
         member_record::{MemberRecord, MemberStanding},
         member_settings::MemberSettings,
         member_state::MemberState,
+        member_update::MemberUpdate,
         member_watch::MemberWatch,
         record_table::RecordTable,
-        rumour_queue::RumourQueue,
-        table_mark::TableMark,
+        table_revision::TableRevision,
         upstream_mark::UpstreamMark,
+        version_floors::{FLOOR_STEPS, NO_FLOOR, VersionFloors},
         zone_table::ZoneTable,
     },
     kernel::{Incarnation, InstanceId, TableVersion, UpstreamId, ZoneId},
@@ -45,30 +45,30 @@
 /// The core. `on_event` is all that changes it.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    pub(crate) cell_rumours: RumourQueue<CellKey>,
+    pub(crate) cell_gossip: GossipQueue<CellKey>,
     pub(crate) cells: CellTable,
     pub(crate) contacts: BTreeSet<InstanceId>,
-    pub(crate) floors: FloorLadder,
+    pub(crate) floors: VersionFloors,
     pub(crate) instance: InstanceId,
-    pub(crate) last_beat: Instant,
-    pub(crate) mark_rumours: RumourQueue<MarkKey>,
+    pub(crate) last_heartbeat: Instant,
+    pub(crate) mark_gossip: GossipQueue<MarkKey>,
     pub(crate) mark_serial: u32,
     pub(crate) marks: MarkTable,
     pub(crate) neighbours: BTreeSet<InstanceId>,
-    pub(crate) next_beat: Instant,
+    pub(crate) next_heartbeat: Instant,
     pub(crate) next_probe: Instant,
     pub(crate) next_sync: Instant,
-    pub(crate) platform_heard: Option<Instant>,
+    pub(crate) platform_contact: Option<Instant>,
     pub(crate) probe_cursor: usize,
     pub(crate) pull: Option<PendingPull>,
-    pub(crate) record_rumours: RumourQueue<InstanceId>,
+    pub(crate) record_gossip: GossipQueue<InstanceId>,
     pub(crate) records: RecordTable,
     pub(crate) ring_stale: bool,
     pub(crate) sequence: u64,
     pub(crate) settings: MemberSettings,
     pub(crate) stale: Option<Incarnation>,
     pub(crate) superseder_silent: Option<Instant>,
-    pub(crate) table: TableMark,
+    pub(crate) table: TableRevision,
     pub(crate) watches: BTreeMap<InstanceId, MemberWatch>,
     pub(crate) zone: ZoneId,
     pub(crate) zones: ZoneTable,
@@ -87,30 +87,30 @@
         let zone = identity.zone.clone();
         records.put(identity);
         Self {
-            cell_rumours: RumourQueue::new(1),
+            cell_gossip: GossipQueue::new(1),
             cells: CellTable::new(settings.summary_lifetime, settings.mark_limit),
             contacts,
-            floors: [NO_VERSION; LADDER_STEPS + 1],
+            floors: [NO_FLOOR; FLOOR_STEPS + 1],
             instance,
-            last_beat: now,
-            mark_rumours: RumourQueue::new(settings.rumour_rounds),
+            last_heartbeat: now,
+            mark_gossip: GossipQueue::new(settings.rumour_rounds),
             mark_serial: 0,
             marks: MarkTable::new(settings.mark_lifetime, settings.mark_limit),
             neighbours: BTreeSet::new(),
-            next_beat: now,
+            next_heartbeat: now,
             next_probe: now,
             next_sync: now,
-            platform_heard: None,
+            platform_contact: None,
             probe_cursor: 0,
             pull: None,
-            record_rumours: RumourQueue::new(settings.rumour_rounds),
+            record_gossip: GossipQueue::new(settings.rumour_rounds),
             records,
             ring_stale: true,
             sequence: 0,
             settings,
             stale: None,
             superseder_silent: None,
-            table: TableMark::default(),
+            table: TableRevision::default(),
             watches: BTreeMap::new(),
             zone,
             zones: ZoneTable::default(),
@@ -145,8 +145,8 @@
             MemberEvent::Message { from, message } => {
                 self.on_message(now, &from, message, actions);
             }
-            MemberEvent::PlatformHeard(at) => {
-                self.platform_heard = self.platform_heard.max(Some(at));
+            MemberEvent::PlatformContact(at) => {
+                self.platform_contact = self.platform_contact.max(Some(at));
             }
             MemberEvent::Renewed(incarnation) => self.on_renewed(now, incarnation, actions),
             MemberEvent::State(state) => self.on_state(now, state),
@@ -163,7 +163,7 @@
     /// The members that are heard, here or by others, and not gone, suspected or cut off; this instance among them.
     pub fn heard(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.live().filter(|record| {
-            record.standing == MemberStanding::Alive && !self.member_cut(&record.instance)
+            record.standing == MemberStanding::Alive && !self.is_unreachable(&record.instance)
         })
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Whether a member can't be heard from here although it was not declared gone.
-    pub fn member_cut(&self, instance: &str) -> bool {
+    pub fn is_unreachable(&self, instance: &str) -> bool {
         self.watches.get(instance).is_some_and(|watch| watch.cut)
     }
 
@@ -204,22 +204,22 @@
 
     /// When the next [`MemberEvent::Tick`] is due.
     pub fn next_wake(&self) -> Instant {
-        self.next_beat
+        self.next_heartbeat
     }
 
     /// When the platform answered this instance, or one that told of it, by this instance's clock.
-    pub fn platform_heard(&self) -> Option<Instant> {
-        self.platform_heard
+    pub fn platform_contact(&self) -> Option<Instant> {
+        self.platform_contact
     }
 
     /// The table that this instance has in force.
-    pub fn table(&self) -> TableMark {
+    pub fn table(&self) -> TableRevision {
         self.table
     }
 
     /// The lowest table version among the serving members of this instance's own zone, as far as heard.
     pub fn zone_floor(&self) -> TableVersion {
-        self.floors[LADDER_STEPS]
+        self.floors[FLOOR_STEPS]
     }
 
     /// The other zones as heard.
@@ -239,18 +239,18 @@
         record.revision += 1;
         change(&mut record);
         self.records.put(record);
-        self.record_rumours.push(self.instance.clone());
-        self.flush_soon(now);
+        self.record_gossip.push(self.instance.clone());
+        self.schedule_flush(now);
     }
 
     /// Brings the next heartbeat forward, so that news does not wait for it.
-    pub(crate) fn flush_soon(&mut self, now: Instant) {
-        let soon = (self.last_beat + self.settings.flush_gap).max(now);
-        self.next_beat = self.next_beat.min(soon);
+    pub(crate) fn schedule_flush(&mut self, now: Instant) {
+        let soon = (self.last_heartbeat + self.settings.flush_gap).max(now);
+        self.next_heartbeat = self.next_heartbeat.min(soon);
     }
 
     /// How long a member is silent before it is declared gone.
-    pub(crate) fn gone_after(&self) -> Duration {
+    pub(crate) fn death_timeout(&self) -> Duration {
         self.settings.suspicion_timeout + self.settings.gone_timeout
     }
 
@@ -258,14 +258,14 @@
     pub(crate) fn own_floor(&self) -> TableVersion {
         match self.own().state {
             MemberState::Serving => self.table.version,
-            MemberState::Leaving | MemberState::NotReady => NO_VERSION,
+            MemberState::Leaving | MemberState::NotReady => NO_FLOOR,
         }
     }
 
     fn on_cell(&mut self, now: Instant, summary: CellSummary) {
         let key = (summary.cell.clone(), summary.by.clone());
         if self.cells.put(now, summary) {
-            self.cell_rumours.push(key);
+            self.cell_gossip.push(key);
         }
     }
 
@@ -276,7 +276,9 @@
             }
             if member.leaving && self.records.get(&member.instance).is_some() {
                 let instance = member.instance.clone();
-                actions.push(MemberAction::News(MemberNews::MemberLeaving { instance }));
+                actions.push(MemberAction::Notify(MemberUpdate::MemberLeaving {
+                    instance,
+                }));
             }
             if self.contacts.len() >= self.settings.member_limit {
                 continue;
@@ -301,7 +303,7 @@
             serial: self.mark_serial,
             upstream,
         };
-        self.take_mark(now, mark, true, actions);
+        self.merge_mark(now, mark, true, actions);
     }
 
     fn on_renewed(
@@ -324,8 +326,8 @@
             own.revision = 0;
             own.standing = MemberStanding::Alive;
         });
-        let news = MemberNews::Renewed { incarnation };
-        actions.push(MemberAction::News(news));
+        let update = MemberUpdate::Renewed { incarnation };
+        actions.push(MemberAction::Notify(update));
     }
 
     fn on_state(&mut self, now: Instant, state: MemberState) {
@@ -335,9 +337,9 @@
         self.change_own(now, |own| own.state = state);
     }
 
-    fn on_table(&mut self, now: Instant, mark: TableMark, actions: &mut Vec<MemberAction>) {
+    fn on_table(&mut self, now: Instant, mark: TableRevision, actions: &mut Vec<MemberAction>) {
         if mark.version < self.table.version {
-            actions.push(MemberAction::News(MemberNews::VersionFell {
+            actions.push(MemberAction::Notify(MemberUpdate::VersionRegressed {
                 ours: self.table.version,
                 version: mark.version,
             }));
@@ -347,7 +349,7 @@
         self.table = mark;
         if rose {
             self.pull = None;
-            self.flush_soon(now);
+            self.schedule_flush(now);
         }
     }
 }
--- a/crates/peer/src/member_beat.rs
+++ b/crates/peer/src/member_timer.rs
@@ -2,22 +2,22 @@
 
 use {
     crate::{
-        floor_ladder::{self, FloorLadder},
         heartbeat::{Heartbeat, MemberMessage},
         member_action::MemberAction,
-        member_news::MemberNews,
         member_record::{MemberRecord, MemberStanding},
         member_table::MemberTable,
+        member_update::MemberUpdate,
         member_watch::MemberWatch,
         neighbour_ring::NeighbourRing,
-        zone_brief::ZoneBrief,
+        version_floors::{self, VersionFloors},
+        zone_summary::ZoneSummary,
     },
     kernel::InstanceId,
     std::time::{Duration, Instant},
 };
 
 /// How many other zones a heartbeat speaks of.
-const ZONES_PER_BEAT: usize = 4;
+const ZONES_PER_HEARTBEAT: usize = 4;
 
 impl MemberTable {
     pub(crate) fn on_close(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
@@ -25,35 +25,35 @@
             return;
         }
         self.refresh_ring(now, actions);
-        self.change_own(now, |own| own.standing = MemberStanding::Gone);
-        self.send_beat(now, actions);
+        self.change_own(now, |own| own.standing = MemberStanding::Dead);
+        self.send_heartbeat(now, actions);
         self.stale = Some(self.incarnation());
     }
 
     pub(crate) fn on_tick(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
-        if now < self.next_beat {
+        if now < self.next_heartbeat {
             return;
         }
-        self.notice_own_pause(now, actions);
+        self.detect_own_pause(now, actions);
         self.expire(now);
         self.refresh_ring(now, actions);
         self.suspect_silent(now, actions);
-        self.judge_suspects(now, actions);
-        self.note_silent_zones(now, actions);
+        self.expire_suspects(now, actions);
+        self.report_silent_zones(now, actions);
         self.refresh_ring(now, actions);
-        self.climb_floors();
+        self.advance_floors();
         if self.stale.is_none() {
-            self.send_beat(now, actions);
+            self.send_heartbeat(now, actions);
         }
         self.probe(now, actions);
-        self.last_beat = now;
-        self.next_beat = now + self.settings.heartbeat_interval;
+        self.last_heartbeat = now;
+        self.next_heartbeat = now + self.settings.heartbeat_interval;
     }
 
     /// After a pause of this process the silence was its own: nobody is judged by it. After a pause as long as the
     /// others take to declare a member gone, this life is over, told or not.
-    fn notice_own_pause(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
-        let pause = now.saturating_duration_since(self.next_beat);
+    fn detect_own_pause(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
+        let pause = now.saturating_duration_since(self.next_heartbeat);
         if pause < self.settings.suspicion_timeout {
             return;
         }
@@ -62,7 +62,7 @@
             watch.suspected = watch.suspected.map(|_| now);
         }
         self.zones.shift(now);
-        if pause < self.gone_after() || self.stale.is_some() {
+        if pause < self.death_timeout() || self.stale.is_some() {
             return;
         }
         let above = self.incarnation();
@@ -75,10 +75,10 @@
         self.marks.expire(now);
         let mut forgotten = Vec::new();
         for (instance, watch) in &self.watches {
-            let Some(gone_at) = watch.gone_at else {
+            let Some(dead_since) = watch.dead_since else {
                 continue;
             };
-            if now.saturating_duration_since(gone_at) < self.settings.forget_after {
+            if now.saturating_duration_since(dead_since) < self.settings.forget_after {
                 continue;
             }
             forgotten.push(instance.clone());
@@ -99,11 +99,11 @@
         let mut ring = NeighbourRing::default();
         for record in self.records.live() {
             // So that those behind it are watched in its place.
-            if record.zone == self.zone && self.member_cut(&record.instance) {
+            if record.zone == self.zone && self.is_unreachable(&record.instance) {
                 continue;
             }
-            let may_relay = !record.is_suspect();
-            ring.add(record.zone.clone(), record.instance.clone(), may_relay);
+            let can_relay = !record.is_suspect();
+            ring.add(record.zone.clone(), record.instance.clone(), can_relay);
         }
         let limits = self.settings.ring_limits();
         let neighbours = ring.neighbours(&self.zone, &self.instance, limits);
@@ -118,17 +118,17 @@
         let left = std::mem::replace(&mut self.neighbours, neighbours);
         for instance in left {
             if !self.neighbours.contains(&instance) {
-                self.end_foreign_cut(&instance, actions);
+                self.mark_foreign_reachable(&instance, actions);
             }
         }
     }
 
     /// A member of another zone that is no neighbour any more is what its own zone says it is.
-    fn end_foreign_cut(&mut self, instance: &InstanceId, actions: &mut Vec<MemberAction>) {
+    fn mark_foreign_reachable(&mut self, instance: &InstanceId, actions: &mut Vec<MemberAction>) {
         let record = self.records.get(instance);
         let is_well = record.is_some_and(|record| record.zone != self.zone && !record.is_suspect());
         if is_well {
-            self.end_cut(instance, actions);
+            self.mark_reachable(instance, actions);
         }
     }
 
@@ -145,7 +145,9 @@
                 let limit = self.settings.suspicion_timeout + self.settings.gone_timeout;
                 if silence > limit && !watch.cut {
                     watch.cut = true;
-                    actions.push(MemberAction::News(MemberNews::MemberCut { instance }));
+                    actions.push(MemberAction::Notify(MemberUpdate::MemberUnreachable {
+                        instance,
+                    }));
                 }
                 continue;
             }
@@ -156,13 +158,13 @@
                 standing: MemberStanding::Suspect,
                 ..record
             };
-            self.take_record(now, suspect, true, actions);
+            self.merge_record(now, suspect, true, actions);
         }
     }
 
     /// Suspects of the own zone that did not refute are declared gone, while at least half of the zone is heard;
     /// else they are cut off from here and no more.
-    fn judge_suspects(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
+    fn expire_suspects(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let mut heard = 0;
         let mut total = 0;
         let mut due = Vec::new();
@@ -174,27 +176,27 @@
                 due.push(record.clone());
             }
         }
-        let may_judge = heard * 2 >= total && self.stale.is_none();
+        let can_declare_dead = heard * 2 >= total && self.stale.is_none();
         for record in due {
-            if !may_judge || record.zone != self.zone {
-                self.ask_again(now, record.instance.clone());
-                self.cut_member(record.instance, actions);
+            if !can_declare_dead || record.zone != self.zone {
+                self.repeat_suspicion(now, record.instance.clone());
+                self.mark_unreachable(record.instance, actions);
                 continue;
             }
             let gone = MemberRecord {
-                standing: MemberStanding::Gone,
+                standing: MemberStanding::Dead,
                 ..record
             };
-            self.take_record(now, gone, true, actions);
+            self.merge_record(now, gone, true, actions);
         }
     }
 
     /// Passes a suspicion on once more, so that a suspect that lives hears of it and refutes.
-    fn ask_again(&mut self, now: Instant, instance: InstanceId) {
+    fn repeat_suspicion(&mut self, now: Instant, instance: InstanceId) {
         if let Some(watch) = self.watches.get_mut(&instance) {
             watch.suspected = Some(now);
         }
-        self.record_rumours.push(instance);
+        self.record_gossip.push(instance);
     }
 
     fn is_due(&self, now: Instant, instance: &str) -> bool {
@@ -207,7 +209,7 @@
         now.saturating_duration_since(suspected) > self.settings.gone_timeout
     }
 
-    fn cut_member(&mut self, instance: InstanceId, actions: &mut Vec<MemberAction>) {
+    fn mark_unreachable(&mut self, instance: InstanceId, actions: &mut Vec<MemberAction>) {
         let Some(watch) = self.watches.get_mut(&instance) else {
             return;
         };
@@ -216,25 +218,27 @@
         }
         watch.cut = true;
         self.ring_stale = true;
-        actions.push(MemberAction::News(MemberNews::MemberCut { instance }));
+        actions.push(MemberAction::Notify(MemberUpdate::MemberUnreachable {
+            instance,
+        }));
     }
 
-    fn note_silent_zones(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
+    fn report_silent_zones(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         for zone in self.zones.cut(now, self.settings.zone_timeout) {
-            actions.push(MemberAction::News(MemberNews::ZoneCut { zone }));
+            actions.push(MemberAction::Notify(MemberUpdate::ZoneUnreachable { zone }));
         }
     }
 
-    fn climb_floors(&mut self) {
+    fn advance_floors(&mut self) {
         let own = self.own_floor();
         let neighbours = self
             .neighbours
             .iter()
             .filter_map(|instance| self.neighbour_floors(instance));
-        self.floors = floor_ladder::climb(own, &self.floors, neighbours);
+        self.floors = version_floors::advance(own, &self.floors, neighbours);
     }
 
-    fn neighbour_floors(&self, instance: &str) -> Option<&FloorLadder> {
+    fn neighbour_floors(&self, instance: &str) -> Option<&VersionFloors> {
         let record = self.records.get(instance)?;
         if record.zone != self.zone || record.is_suspect() {
             return None;
@@ -242,28 +246,28 @@
         self.watches.get(instance)?.floors.as_ref()
     }
 
-    pub(crate) fn send_beat(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
+    pub(crate) fn send_heartbeat(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let to: Vec<InstanceId> = self.neighbours.iter().cloned().collect();
-        let beat = self.make_beat(now);
+        let beat = self.build_heartbeat(now);
         if to.is_empty() {
             return;
         }
-        let message = MemberMessage::Beat(Box::new(beat));
+        let message = MemberMessage::Heartbeat(Box::new(beat));
         actions.push(MemberAction::Send { message, to });
     }
 
-    pub(crate) fn make_beat(&mut self, now: Instant) -> Heartbeat {
+    pub(crate) fn build_heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.sequence += 1;
-        let own_zone = ZoneBrief {
+        let own_zone = ZoneSummary {
             age: Duration::ZERO,
             floor: self.zone_floor(),
             zone: self.zone.clone(),
         };
         let mut zones = vec![own_zone];
-        zones.extend(self.zones.next(now, ZONES_PER_BEAT));
-        let cells = self.cell_rumours.take(self.settings.cells_per_beat);
-        let marks = self.mark_rumours.take(self.settings.marks_per_beat);
-        let records = self.record_rumours.take(self.settings.records_per_beat);
+        zones.extend(self.zones.next(now, ZONES_PER_HEARTBEAT));
+        let cells = self.cell_gossip.take(self.settings.cells_per_beat);
+        let marks = self.mark_gossip.take(self.settings.marks_per_beat);
+        let records = self.record_gossip.take(self.settings.records_per_beat);
         Heartbeat {
             cells: cells
                 .iter()
@@ -278,7 +282,7 @@
             member: self.own().clone(),
             members_digest: self.records.digest(),
             platform_age: self
-                .platform_heard
+                .platform_contact
                 .map(|at| now.saturating_duration_since(at)),
             records: records
                 .iter()
@@ -295,7 +299,7 @@
     /// sides of a partition find each other again.
     fn probe(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let alone = self.neighbours.is_empty() || self.stale.is_some();
-        if (now < self.next_probe && !alone) || self.own().is_gone() {
+        if (now < self.next_probe && !alone) || self.own().is_dead() {
             return;
         }
         self.next_probe = now + self.settings.probe_interval;
@@ -309,7 +313,7 @@
         }
         self.probe_cursor += 1;
         let target = targets[self.probe_cursor % targets.len()].clone();
-        let message = MemberMessage::Probe(Box::new(self.make_beat(now)));
+        let message = MemberMessage::Probe(Box::new(self.build_heartbeat(now)));
         let to = vec![target];
         actions.push(MemberAction::Send { message, to });
     }
@@ -321,7 +325,7 @@
         let Some(record) = self.records.get(instance) else {
             return true;
         };
-        record.is_gone() || self.member_cut(instance)
+        record.is_dead() || self.is_unreachable(instance)
     }
 
     /// What this instance heard from a member; made when it is new.
--- a/crates/peer/src/member_news.rs
+++ b/crates/peer/src/member_update.rs
@@ -7,7 +7,7 @@
 
 /// One piece of news.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MemberNews {
+pub enum MemberUpdate {
     /// A peer has the same table version with another content.
     DigestDiffers {
         /// The digest of its content.
@@ -18,7 +18,7 @@
         version: TableVersion,
     },
     /// A peer that had the same table version with another content has another version now, or the same content.
-    DigestSettled {
+    DigestConverged {
         /// The digest of its content.
         digest: TableDigest,
         /// The peer.
@@ -29,12 +29,12 @@
     /// An upstream is marked, or a mark is taken back.
     Marked(UpstreamMark),
     /// A member can't be heard from here, and is not declared gone: it may still act. Choose another for new work.
-    MemberCut {
+    MemberUnreachable {
         /// The member.
         instance: InstanceId,
     },
     /// All lives of a member before this one are gone.
-    MemberGone {
+    MemberDead {
         /// The first life that is not gone.
         before: Incarnation,
         /// The member.
@@ -63,19 +63,19 @@
         by: Incarnation,
     },
     /// This instance was told to put an older table in force than it has; it keeps what it has.
-    VersionFell {
+    VersionRegressed {
         /// The version that it has.
         ours: TableVersion,
         /// The version that it was given.
         version: TableVersion,
     },
     /// An availability zone is heard again.
-    ZoneBack {
+    ZoneReachable {
         /// The zone.
         zone: ZoneId,
     },
     /// Nothing is heard from an availability zone.
-    ZoneCut {
+    ZoneUnreachable {
         /// The zone.
         zone: ZoneId,
     },
--- a/crates/peer/src/member_view.rs
+++ b/crates/peer/src/member_view.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         cell_summary::CellSummary, member_record::MemberRecord, member_state::MemberState,
-        member_table::MemberTable, table_mark::TableMark, upstream_mark::UpstreamMark,
+        member_table::MemberTable, table_revision::TableRevision, upstream_mark::UpstreamMark,
     },
     kernel::{Incarnation, InstanceId, TableVersion, ZoneId},
     serde::Serialize,
@@ -42,9 +42,9 @@
     pub neighbours: Vec<InstanceId>,
     /// When the platform answered this instance, or one that told of it.
     #[serde(skip)]
-    pub platform_heard: Option<Instant>,
+    pub platform_contact: Option<Instant>,
     /// The table in force here.
-    pub table: TableMark,
+    pub table: TableRevision,
     /// The members that are suspected or cut off.
     pub unheard: Vec<MemberRecord>,
     /// The lowest table version in force in the own zone.
@@ -65,7 +65,7 @@
             is_stale: table.is_stale(),
             marks: table.marks(now),
             neighbours: table.neighbours().iter().cloned().collect(),
-            platform_heard: table.platform_heard(),
+            platform_contact: table.platform_contact(),
             table: table.table(),
             unheard: unheard(table),
             zone_floor: table.zone_floor(),
@@ -84,7 +84,7 @@
 fn unheard(table: &MemberTable) -> Vec<MemberRecord> {
     let mut unheard = Vec::new();
     for record in table.members().live() {
-        if record.is_suspect() || table.member_cut(&record.instance) {
+        if record.is_suspect() || table.is_unreachable(&record.instance) {
             unheard.push(record.clone());
         }
     }
--- a/crates/peer/src/member_watch.rs
+++ b/crates/peer/src/member_watch.rs
@@ -1,6 +1,6 @@
 //! What this instance itself heard from a member; it is not passed on.
 
-use {crate::floor_ladder::FloorLadder, kernel::Incarnation, std::time::Instant};
+use {crate::version_floors::VersionFloors, kernel::Incarnation, std::time::Instant};
 
 /// One member as heard here.
 #[derive(Clone, Debug)]
@@ -10,9 +10,9 @@
     /// Heartbeats in a row whose digests differ from this instance's.
     pub differs: u8,
     /// The table versions around it, from its last heartbeat.
-    pub floors: Option<FloorLadder>,
+    pub floors: Option<VersionFloors>,
     /// When it was declared gone.
-    pub gone_at: Option<Instant>,
+    pub dead_since: Option<Instant>,
     /// When it was last heard, or became a neighbour.
     pub heard: Instant,
     /// The life whose heartbeats `sequence` counts.
@@ -32,7 +32,7 @@
             cut: false,
             differs: 0,
             floors: None,
-            gone_at: None,
+            dead_since: None,
             heard: now,
             incarnation,
             sequence: None,
@@ -42,7 +42,7 @@
     }
 
     /// Whether a heartbeat is the first of its number in this life; notes it.
-    pub fn take_sequence(&mut self, incarnation: Incarnation, sequence: u64) -> bool {
+    pub fn advance_sequence(&mut self, incarnation: Incarnation, sequence: u64) -> bool {
         let last = self.sequence.filter(|_| self.incarnation == incarnation);
         if last.is_some_and(|last| sequence <= last) {
             return false;
--- a/crates/peer/src/neighbour_ring.rs
+++ b/crates/peer/src/neighbour_ring.rs
@@ -29,8 +29,8 @@
 
 impl NeighbourRing {
     /// Adds an instance. One that is suspected may not carry the links between zones.
-    pub fn add(&mut self, zone: ZoneId, instance: InstanceId, may_relay: bool) {
-        if may_relay {
+    pub fn add(&mut self, zone: ZoneId, instance: InstanceId, can_relay: bool) {
+        if can_relay {
             let relays = self.relays.entry(zone.clone()).or_default();
             relays.push(instance.clone());
         }
--- a/crates/peer/src/peer_driver.rs
+++ b/crates/peer/src/peer_driver.rs
@@ -7,14 +7,14 @@
         driver_task::{self, DriverTask},
         member_event::{ListedMember, MemberEvent},
         member_metrics::MemberMetrics,
-        member_news::MemberNews,
         member_settings::MemberSettings,
         member_state::MemberState,
         member_table::MemberTable,
+        member_update::MemberUpdate,
         member_view::MemberView,
         peer_endpoint::PeerEndpoint,
         peer_error::PeerError,
-        table_mark::TableMark,
+        table_revision::TableRevision,
         table_source::TableSource,
     },
     arc_swap::ArcSwap,
@@ -39,8 +39,8 @@
 /// Tags from here on belong to other parts of the system.
 pub const FIRST_FREE_TAG: ProtocolTag = 16;
 
-const CLOSE_LIMIT: Duration = Duration::from_secs(3);
-const NEWS_LIMIT: usize = 1_024;
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+const UPDATE_BUFFER: usize = 1_024;
 
 /// The handle of the running membership. Clones share it. Put an `Arc` of it into the state map for dump and metrics.
 #[derive(Clone, Debug)]
@@ -48,7 +48,7 @@
     commands: mpsc::UnboundedSender<MemberEvent>,
     endpoint: PeerEndpoint,
     metrics: MemberMetrics,
-    news: broadcast::Sender<MemberNews>,
+    updates: broadcast::Sender<MemberUpdate>,
     pool: WorkerPool,
     view: Arc<ArcSwap<MemberView>>,
 }
@@ -84,11 +84,11 @@
             commands,
             endpoint,
             metrics: MemberMetrics::new(),
-            news: broadcast::Sender::new(NEWS_LIMIT),
+            updates: broadcast::Sender::new(UPDATE_BUFFER),
             pool: WorkerPool::new(),
             view: Arc::new(ArcSwap::from_pointee(view)),
         };
-        driver.set_table(source.mark());
+        driver.set_table(source.revision());
         driver.set_listed(contacts);
         driver.run(table, source, receiver);
         Ok(driver)
@@ -98,7 +98,7 @@
 impl PeerDriver {
     /// Tells the neighbours that this life is over and ends the tasks. The endpoint stays open.
     pub async fn close(self) {
-        self.pool.close(CLOSE_LIMIT).await;
+        self.pool.close(CLOSE_TIMEOUT).await;
     }
 
     /// The endpoint.
@@ -117,14 +117,14 @@
     }
 
     /// What happens from now on. One who reads too slowly loses the oldest and should look at the view anew.
-    pub fn news(&self) -> broadcast::Receiver<MemberNews> {
-        self.news.subscribe()
+    pub fn updates(&self) -> broadcast::Receiver<MemberUpdate> {
+        self.updates.subscribe()
     }
 
     /// Asks a peer for the table's changes after a version, 0 for all; none when it has none or does not answer.
     pub async fn pull_table(&self, from: &InstanceId, since: TableVersion) -> Option<Bytes> {
         self.metrics.pulls.inc();
-        let content = driver_task::ask_table(&self.endpoint, from, since).await;
+        let content = driver_task::request_table(&self.endpoint, from, since).await;
         if content.is_none() {
             self.metrics.pulls_failed.inc();
         }
@@ -140,15 +140,15 @@
     pub fn set_listed(&self, members: Vec<ListedMember>) {
         for member in &members {
             self.endpoint
-                .book()
+                .addresses()
                 .set(member.instance.clone(), member.address);
         }
         self.command(MemberEvent::Listed(members));
     }
 
     /// States that the platform answered this instance a call that was sent at `at`.
-    pub fn set_platform_heard(&self, at: Instant) {
-        self.command(MemberEvent::PlatformHeard(at));
+    pub fn set_platform_contact(&self, at: Instant) {
+        self.command(MemberEvent::PlatformContact(at));
     }
 
     /// States whether this instance takes requests.
@@ -157,7 +157,7 @@
     }
 
     /// States which table is in force here.
-    pub fn set_table(&self, mark: TableMark) {
+    pub fn set_table(&self, mark: TableRevision) {
         self.command(MemberEvent::Table(mark));
     }
 
@@ -192,7 +192,7 @@
             endpoint: self.endpoint.clone(),
             inbox: self.endpoint.register(MEMBER_TAG),
             metrics: self.metrics.clone(),
-            news: self.news.clone(),
+            updates: self.updates.clone(),
             own_commands: self.commands.clone(),
             signal: self.pool.signal(),
             source,
--- a/crates/peer/src/peer_endpoint.rs
+++ b/crates/peer/src/peer_endpoint.rs
@@ -4,10 +4,10 @@
     crate::{
         ProtocolTag,
         accept_loop::AcceptLoop,
+        address_table::AddressTable,
         keys::PeerKeys,
         link_table::LinkTable,
         link_traffic::LinkTraffic,
-        peer_book::PeerBook,
         peer_error::{BindSnafu, PeerError, TimeoutSnafu, TooLargeSnafu},
         peer_identity::PeerIdentity,
         peer_incoming::PeerIncoming,
@@ -17,7 +17,7 @@
         session_receiver::SessionReceiver,
         session_sender::SessionSender,
         tls_config::TlsConfig,
-        wire::{self, MessageHead, MessageKind},
+        wire::{self, MessageHeader, MessageKind},
     },
     arc_swap::ArcSwap,
     bon::bon,
@@ -36,13 +36,13 @@
     tokio::sync::mpsc,
 };
 
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends to peers and takes what they send, each end authenticated by its certificate. Clones share one endpoint.
 #[derive(Clone, Debug)]
 pub struct PeerEndpoint {
     pub(crate) accepted: Arc<Mutex<Vec<Connection>>>,
-    pub(crate) book: PeerBook,
+    pub(crate) addresses: AddressTable,
     pub(crate) endpoint: Endpoint,
     pub(crate) incarnation: Arc<AtomicU64>,
     pub(crate) instance: InstanceId,
@@ -64,7 +64,7 @@
     #[builder]
     pub fn new(
         address: SocketAddr,
-        book: PeerBook,
+        addresses: AddressTable,
         incarnation: Incarnation,
         instance: InstanceId,
         keys: &PeerKeys,
@@ -75,7 +75,7 @@
             Endpoint::server(tls.server.clone(), address).context(BindSnafu { address })?;
         let this = Self {
             accepted: Arc::default(),
-            book,
+            addresses,
             endpoint,
             incarnation: Arc::new(AtomicU64::new(incarnation)),
             instance,
@@ -93,8 +93,8 @@
 
 impl PeerEndpoint {
     /// The addresses of the peers.
-    pub fn book(&self) -> &PeerBook {
-        &self.book
+    pub fn addresses(&self) -> &AddressTable {
+        &self.addresses
     }
 
     /// Asks a peer and waits for its answer.
@@ -120,8 +120,8 @@
     /// Refuses new work, closes all connections and waits for the tasks to end.
     pub async fn close(self) {
         self.endpoint.close(VarInt::from_u32(0), b"closing");
-        self.pool.close(CLOSE_LIMIT).await;
-        let _ = tokio::time::timeout(CLOSE_LIMIT, self.endpoint.wait_idle()).await;
+        self.pool.close(CLOSE_TIMEOUT).await;
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
     }
 
     /// Forgets the connection to a peer, such as to a life of it that is over. Sessions over it go on.
@@ -234,7 +234,7 @@
             self.send_over(&connection, message);
             return Ok(());
         }
-        if !guard.may_retry(Instant::now(), address) {
+        if !guard.can_retry(Instant::now(), address) {
             self.metrics.dropped.inc();
             return Ok(());
         }
@@ -297,7 +297,7 @@
             incarnation: self.incarnation(),
             instance: self.instance.clone(),
         };
-        let message = wire::encode_message(&MessageHead { from, kind, tag }, body)?;
+        let message = wire::encode_message(&MessageHeader { from, kind, tag }, body)?;
         let limit = self.settings.message_limit;
         let size = message.len();
         if size > limit {
--- a/crates/peer/src/peer_router.rs
+++ b/crates/peer/src/peer_router.rs
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// When nothing takes the tag, or too many wait.
-    pub fn hand_over(&self, tag: ProtocolTag, incoming: PeerIncoming) -> Result<(), RouteFailure> {
+    pub fn dispatch(&self, tag: ProtocolTag, incoming: PeerIncoming) -> Result<(), RouteFailure> {
         let Some(inbox) = self.inbox(tag) else {
             return Err(RouteFailure::Missing);
         };
--- a/crates/peer/src/record_table.rs
+++ b/crates/peer/src/record_table.rs
@@ -45,7 +45,7 @@
 
     /// The records of the members that are not gone.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.records.values().filter(|record| !record.is_gone())
+        self.records.values().filter(|record| !record.is_dead())
     }
 
     /// Takes a record in place of the earlier one, and gives that.
@@ -81,7 +81,7 @@
 
     /// Adding twice takes out.
     fn add_digest(&mut self, record: &MemberRecord) {
-        if record.is_gone() {
+        if record.is_dead() {
             return;
         }
         let digest = self.digests.entry(record.zone.clone()).or_default();
--- a/crates/peer/src/session_receiver.rs
+++ b/crates/peer/src/session_receiver.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         peer_error::{GarbledSnafu, LostSnafu, PeerError, WireVersionSnafu},
-        session_sender::{FRAME_HEAD, SessionFrame},
+        session_sender::{FRAME_HEADER_LENGTH, SessionFrame},
         wire::{self, WIRE_VERSION},
     },
     bytes::{Buf, Bytes},
@@ -53,7 +53,7 @@
     ///
     /// When the connection is lost, or a frame is over the limit or has another wire version.
     pub async fn receive(&mut self) -> Result<Option<SessionFrame>, PeerError> {
-        let limit = self.limit + FRAME_HEAD;
+        let limit = self.limit + FRAME_HEADER_LENGTH;
         let content = match wire::read_frame(&mut self.stream, limit).await {
             Ok(Some(content)) => content,
             Ok(None) => return Ok(None),
@@ -71,7 +71,7 @@
 }
 
 fn decode_frame(mut content: Bytes) -> Result<SessionFrame, PeerError> {
-    if content.len() < FRAME_HEAD {
+    if content.len() < FRAME_HEADER_LENGTH {
         return GarbledSnafu {
             detail: "the frame is cut off",
         }
--- a/crates/peer/src/session_sender.rs
+++ b/crates/peer/src/session_sender.rs
@@ -21,10 +21,10 @@
 }
 
 /// The bytes of a session frame's length field.
-pub(crate) const FRAME_HEAD: usize = 4;
+pub(crate) const FRAME_HEADER_LENGTH: usize = 4;
 
 /// The stream error code of a session that was dropped before its end.
-const BROKEN_OFF: u32 = 2;
+const SESSION_ABORTED: u32 = 2;
 
 /// Sends the frames of a session in order. Dropping it without [`SessionSender::close`] breaks the session off.
 #[derive(Debug)]
@@ -96,13 +96,13 @@
         if self.closed {
             return;
         }
-        let _ = self.stream.reset(BROKEN_OFF.into());
+        let _ = self.stream.reset(SESSION_ABORTED.into());
     }
 }
 
 fn encode_frame(tag: ProtocolTag, body: &[u8]) -> Bytes {
-    let length = (body.len() + FRAME_HEAD) as u32;
-    let mut frame = BytesMut::with_capacity(body.len() + 2 * FRAME_HEAD);
+    let length = (body.len() + FRAME_HEADER_LENGTH) as u32;
+    let mut frame = BytesMut::with_capacity(body.len() + 2 * FRAME_HEADER_LENGTH);
     frame.put_u32_le(length);
     frame.put_u16_le(WIRE_VERSION);
     frame.put_u16_le(tag);
--- a/crates/peer/src/table_mark.rs
+++ b/crates/peer/src/table_revision.rs
@@ -7,7 +7,7 @@
 
 /// The version and the digest of a table.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct TableMark {
+pub struct TableRevision {
     /// The hash of the whole content.
     pub digest: TableDigest,
     /// The version; 0 before there is a table.
--- a/crates/peer/src/table_source.rs
+++ b/crates/peer/src/table_source.rs
@@ -1,7 +1,7 @@
 //! Where the table comes from and goes to.
 
 use {
-    crate::{peer_error::PeerError, table_mark::TableMark},
+    crate::{peer_error::PeerError, table_revision::TableRevision},
     bytes::Bytes,
     kernel::{InstanceId, TableVersion},
     std::future::Future,
@@ -13,11 +13,11 @@
     fn changes(&self, since: TableVersion) -> Option<Bytes>;
 
     /// The table in force.
-    fn mark(&self) -> TableMark;
+    fn revision(&self) -> TableRevision;
 
     /// The version after which to ask a peer for changes; 0 asks for all.
     fn pull_since(&self) -> TableVersion {
-        self.mark().version
+        self.revision().version
     }
 
     /// Puts in force what a peer gave, and tells what is in force then.
@@ -25,9 +25,9 @@
     /// # Errors
     ///
     /// When the content can't be read or is refused.
-    fn take(
+    fn apply(
         &self,
         from: &InstanceId,
         content: Bytes,
-    ) -> impl Future<Output = Result<TableMark, PeerError>> + Send;
+    ) -> impl Future<Output = Result<TableRevision, PeerError>> + Send;
 }
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -18,8 +18,8 @@
 /// too: the codec names no fields. 2 added `platform_age` to heartbeats.
 pub const WIRE_VERSION: u16 = 9;
 
-const HEAD_LENGTH_AT: usize = 2;
-const HEAD_AT: usize = 4;
+const HEADER_LENGTH_OFFSET: usize = 2;
+const HEADER_OFFSET: usize = 4;
 
 /// What a message asks for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -34,7 +34,7 @@
 
 /// What goes before each message's body.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct MessageHead {
+pub struct MessageHeader {
     /// Who sends it.
     pub from: PeerIdentity,
     /// What it asks for.
@@ -74,10 +74,10 @@
 /// # Errors
 ///
 /// When the head can't be written.
-pub fn encode_message(head: &MessageHead, body: &[u8]) -> Result<Bytes, PeerError> {
+pub fn encode_message(head: &MessageHeader, body: &[u8]) -> Result<Bytes, PeerError> {
     let head = encode(head)?;
     let length = u16::try_from(head.len()).map_err(|error| garbled(&error))?;
-    let mut message = BytesMut::with_capacity(HEAD_AT + head.len() + body.len());
+    let mut message = BytesMut::with_capacity(HEADER_OFFSET + head.len() + body.len());
     message.put_u16_le(WIRE_VERSION);
     message.put_u16_le(length);
     message.put_slice(&head);
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// When it has another wire version or can't be read.
-pub fn decode_message(message: &Bytes) -> Result<(MessageHead, Bytes), PeerError> {
+pub fn decode_message(message: &Bytes) -> Result<(MessageHeader, Bytes), PeerError> {
     let version = read_u16(message, 0)?;
     if version != WIRE_VERSION {
         return WireVersionSnafu {
@@ -99,15 +99,15 @@
         }
         .fail();
     }
-    let length = usize::from(read_u16(message, HEAD_LENGTH_AT)?);
-    let body_at = HEAD_AT + length;
+    let length = usize::from(read_u16(message, HEADER_LENGTH_OFFSET)?);
+    let body_at = HEADER_OFFSET + length;
     if body_at > message.len() {
         return GarbledSnafu {
             detail: "the head is cut off",
         }
         .fail();
     }
-    let head = decode(&message[HEAD_AT..body_at])?;
+    let head = decode(&message[HEADER_OFFSET..body_at])?;
     Ok((head, message.slice(body_at..)))
 }
 
--- a/crates/peer/src/zone_brief.rs
+++ b/crates/peer/src/zone_summary.rs
@@ -10,7 +10,7 @@
 /// How lately an availability zone was heard and which table version all its serving instances have.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ZoneBrief {
+pub struct ZoneSummary {
     /// How long ago the zone said so; whole milliseconds on the wire.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub age: Duration,
--- a/crates/peer/src/zone_table.rs
+++ b/crates/peer/src/zone_table.rs
@@ -1,7 +1,7 @@
 //! The other availability zones as this instance hears of them.
 
 use {
-    crate::zone_brief::ZoneBrief,
+    crate::zone_summary::ZoneSummary,
     kernel::{TableVersion, ZoneId},
     std::{
         collections::BTreeMap,
@@ -47,14 +47,14 @@
     }
 
     /// The next few zones to pass on; all come in turn.
-    pub fn next(&mut self, now: Instant, count: usize) -> Vec<ZoneBrief> {
+    pub fn next(&mut self, now: Instant, count: usize) -> Vec<ZoneSummary> {
         let total = self.zones.len();
         let mut briefs = Vec::new();
         for step in 0..count.min(total) {
             let Some((zone, view)) = self.zones.iter().nth((self.cursor + step) % total) else {
                 continue;
             };
-            briefs.push(ZoneBrief {
+            briefs.push(ZoneSummary {
                 age: now.saturating_duration_since(view.heard),
                 floor: view.floor,
                 zone: zone.clone(),
@@ -65,7 +65,7 @@
     }
 
     /// Takes a brief when it is fresher than what is known; `true` when the zone was cut off and is back.
-    pub fn put(&mut self, now: Instant, brief: ZoneBrief, limit: Duration) -> bool {
+    pub fn put(&mut self, now: Instant, brief: ZoneSummary, limit: Duration) -> bool {
         let heard = now.checked_sub(brief.age).unwrap_or(now);
         let known = self.zones.get(&brief.zone);
         if known.is_some_and(|known| known.heard >= heard) {
--- a/crates/peer/tests/driver.rs
+++ b/crates/peer/tests/driver.rs
@@ -6,8 +6,8 @@
     bytes::Bytes,
     kernel::{InstanceId, PluginEntry, StateMap, TableVersion},
     peer::{
-        ListedMember, MemberNews, MemberSettings, MemberState, PeerBook, PeerDriver, PeerError,
-        PeerSettings, TableMark, TableSource, make_test_keys, wire,
+        AddressTable, ListedMember, MemberSettings, MemberState, MemberUpdate, PeerDriver,
+        PeerError, PeerSettings, TableRevision, TableSource, make_test_keys, wire,
     },
     route::load_report::LeavingCause,
     std::{
@@ -25,7 +25,7 @@
 }
 
 impl VersionSource {
-    fn set(&self, version: TableVersion) -> TableMark {
+    fn set(&self, version: TableVersion) -> TableRevision {
         let mut known = self.version.lock().unwrap();
         *known = version.max(*known);
         mark(*known)
@@ -34,24 +34,24 @@
 
 impl TableSource for VersionSource {
     fn changes(&self, since: TableVersion) -> Option<Bytes> {
-        let version = self.mark().version;
+        let version = self.revision().version;
         if version <= since {
             return None;
         }
         Some(wire::encode(&version).unwrap())
     }
 
-    fn mark(&self) -> TableMark {
+    fn revision(&self) -> TableRevision {
         mark(*self.version.lock().unwrap())
     }
 
-    async fn take(&self, _from: &InstanceId, content: Bytes) -> Result<TableMark, PeerError> {
+    async fn apply(&self, _from: &InstanceId, content: Bytes) -> Result<TableRevision, PeerError> {
         Ok(self.set(wire::decode(&content)?))
     }
 }
 
-fn mark(version: TableVersion) -> TableMark {
-    TableMark {
+fn mark(version: TableVersion) -> TableRevision {
+    TableRevision {
         digest: version * 31,
         version,
     }
@@ -74,7 +74,7 @@
     let mut drivers: Vec<PeerDriver> = Vec::new();
     let mut sources = Vec::new();
     for (name, keys) in names.iter().zip(&keys) {
-        let endpoint = make_endpoint(name, &PeerBook::new(), keys, PeerSettings::default());
+        let endpoint = make_endpoint(name, &AddressTable::new(), keys, PeerSettings::default());
         let mut contacts = Vec::new();
         if let Some(first) = drivers.first() {
             contacts.push(ListedMember {
@@ -99,9 +99,9 @@
 }
 
 async fn wait_for(
-    news: &mut broadcast::Receiver<MemberNews>,
-    wanted: impl Fn(&MemberNews) -> bool,
-) -> MemberNews {
+    news: &mut broadcast::Receiver<MemberUpdate>,
+    wanted: impl Fn(&MemberUpdate) -> bool,
+) -> MemberUpdate {
     let wait = async {
         loop {
             let item = news.recv().await.expect("the news are read in time");
@@ -128,20 +128,20 @@
     drivers[2].set_table(version);
     for (driver, source) in drivers.iter().zip(&sources) {
         until(|| driver.view().table == mark(7)).await;
-        assert_eq!(source.mark(), mark(7));
+        assert_eq!(source.revision(), mark(7));
     }
     until(|| drivers[0].view().zone_floor == 7).await;
-    let mut news = drivers[0].news();
+    let mut news = drivers[0].updates();
     let last = drivers.pop().unwrap();
     let life = last.view().incarnation;
     last.close().await;
     let gone = wait_for(&mut news, |item| {
-        matches!(item, MemberNews::MemberGone { .. })
+        matches!(item, MemberUpdate::MemberDead { .. })
     })
     .await;
     let instance = "node-3".into();
     let before = life + 1;
-    assert_eq!(gone, MemberNews::MemberGone { before, instance });
+    assert_eq!(gone, MemberUpdate::MemberDead { before, instance });
 }
 
 #[tokio::test]
--- a/crates/peer/tests/keys.rs
+++ b/crates/peer/tests/keys.rs
@@ -5,11 +5,11 @@
 use {
     bytes::Bytes,
     peer::{
-        KeyAuthority, PeerBook, PeerEndpoint, PeerError, PeerIdentity, PeerKeys, PeerSettings,
+        AddressTable, KeyAuthority, PeerEndpoint, PeerError, PeerIdentity, PeerKeys, PeerSettings,
         make_test_keys,
         peer_metrics::RefusedCause,
         tls_config::TlsConfig,
-        wire::{self, MessageHead, MessageKind},
+        wire::{self, MessageHeader, MessageKind},
     },
     quinn::{Connection, Endpoint},
     support::{echo, loopback, make_endpoint, name, until},
@@ -27,12 +27,12 @@
     (endpoint, connection)
 }
 
-fn head(instance: &str) -> MessageHead {
+fn head(instance: &str) -> MessageHeader {
     let from = PeerIdentity {
         incarnation: 1,
         instance: instance.into(),
     };
-    MessageHead {
+    MessageHeader {
         from,
         kind: MessageKind::Message,
         tag: TAG,
@@ -43,15 +43,15 @@
 async fn a_peer_with_a_foreign_key_gets_nothing_and_is_counted() {
     let (_, keys) = make_test_keys(&["b"]).unwrap();
     let (foreign, foreign_keys) = make_test_keys(&["a"]).unwrap();
-    let book = PeerBook::new();
-    let second = make_endpoint("b", &book, &keys[0], PeerSettings::default());
+    let addresses = AddressTable::new();
+    let second = make_endpoint("b", &addresses, &keys[0], PeerSettings::default());
     echo(&second, TAG);
     // The stranger believes the authority of `b`, but can't show a key that it signed.
     let stranger_keys = PeerKeys {
         authorities: format!("{}{}", foreign.pem(), keys[0].authorities).into(),
         ..foreign_keys[0].clone()
     };
-    let stranger = make_endpoint("a", &book, &stranger_keys, PeerSettings::default());
+    let stranger = make_endpoint("a", &addresses, &stranger_keys, PeerSettings::default());
     let answer = stranger.call(&name("b"), TAG, b"secret").await;
     assert!(answer.is_err(), "{answer:?}");
     until(|| second.metrics().refused_for(RefusedCause::Key) > 0).await;
@@ -61,10 +61,10 @@
 #[tokio::test]
 async fn a_name_that_the_certificate_does_not_have_is_refused() {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let book = PeerBook::new();
-    let second = make_endpoint("b", &book, &keys[1], PeerSettings::default());
+    let addresses = AddressTable::new();
+    let second = make_endpoint("b", &addresses, &keys[1], PeerSettings::default());
     echo(&second, TAG);
-    let liar = make_endpoint("c", &book, &keys[0], PeerSettings::default());
+    let liar = make_endpoint("c", &addresses, &keys[0], PeerSettings::default());
     let answer = liar.call(&name("b"), TAG, b"").await;
     assert!(
         matches!(answer, Err(PeerError::Refused { .. })),
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn a_name_that_changes_on_a_connection_is_refused() {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let second = make_endpoint("b", &PeerBook::new(), &keys[1], PeerSettings::default());
+    let second = make_endpoint("b", &AddressTable::new(), &keys[1], PeerSettings::default());
     let _inbox = second.register(TAG);
     let (_endpoint, connection) = connect_raw(&keys[0], &second).await;
     let honest = wire::encode_message(&head("a"), b"").unwrap();
@@ -90,7 +90,7 @@
 #[tokio::test]
 async fn garbage_is_refused_and_counted() {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let second = make_endpoint("b", &PeerBook::new(), &keys[1], PeerSettings::default());
+    let second = make_endpoint("b", &AddressTable::new(), &keys[1], PeerSettings::default());
     let (_endpoint, connection) = connect_raw(&keys[0], &second).await;
     let cut_head = [&wire::WIRE_VERSION.to_le_bytes()[..], b"\xff\xff"].concat();
     let cut_name = [&wire::WIRE_VERSION.to_le_bytes()[..], b"\x02\x00zz"].concat();
@@ -104,7 +104,7 @@
 #[tokio::test]
 async fn another_wire_version_is_refused_and_counted() {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let second = make_endpoint("b", &PeerBook::new(), &keys[1], PeerSettings::default());
+    let second = make_endpoint("b", &AddressTable::new(), &keys[1], PeerSettings::default());
     let (_endpoint, connection) = connect_raw(&keys[0], &second).await;
     let mut message = wire::encode_message(&head("a"), b"").unwrap().to_vec();
     message[0] = 200;
@@ -115,10 +115,10 @@
 #[tokio::test]
 async fn an_oversized_message_is_refused_at_both_ends() {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let book = PeerBook::new();
+    let addresses = AddressTable::new();
     let small = PeerSettings::builder().message_limit(1_000).build();
-    let first = make_endpoint("a", &book, &keys[0], PeerSettings::default());
-    let second = make_endpoint("b", &book, &keys[1], small);
+    let first = make_endpoint("a", &addresses, &keys[0], PeerSettings::default());
+    let second = make_endpoint("b", &addresses, &keys[1], small);
     let sent = second.send(&name("a"), TAG, &[0; 2_000]);
     assert!(matches!(sent, Err(PeerError::TooLarge { .. })));
     first.send(&name("b"), TAG, &[0; 2_000]).unwrap();
@@ -130,12 +130,12 @@
     let old = KeyAuthority::new().unwrap();
     let new = KeyAuthority::new().unwrap();
     let both: std::sync::Arc<str> = format!("{}{}", old.pem(), new.pem()).into();
-    let book = PeerBook::new();
+    let addresses = AddressTable::new();
     let old_key = old.issue("a").unwrap();
-    let first = make_endpoint("a", &book, &old_key, PeerSettings::default());
+    let first = make_endpoint("a", &addresses, &old_key, PeerSettings::default());
     let second = make_endpoint(
         "b",
-        &book,
+        &addresses,
         &old.issue("b").unwrap(),
         PeerSettings::default(),
     );
@@ -168,7 +168,12 @@
     let old = KeyAuthority::new().unwrap();
     let new = KeyAuthority::new().unwrap();
     let old_keys = old.issue("b").unwrap();
-    let second = make_endpoint("b", &PeerBook::new(), &old_keys, PeerSettings::default());
+    let second = make_endpoint(
+        "b",
+        &AddressTable::new(),
+        &old_keys,
+        PeerSettings::default(),
+    );
     let (_endpoint, connection) = connect_raw(&old.issue("a").unwrap(), &second).await;
     let message = wire::encode_message(&head("a"), b"").unwrap();
     let _inbox = second.register(TAG);
@@ -199,11 +204,11 @@
     let authority = KeyAuthority::new().unwrap();
     let copy = KeyAuthority::from_private_key(&authority.private_key()).unwrap();
     let [keys_a, keys_b] = ["a", "b"].map(|instance| PeerKeys::self_signed(instance).unwrap());
-    let book = PeerBook::new();
+    let addresses = AddressTable::new();
     let certified = authority.certify("a", &keys_a).unwrap();
-    let first = make_endpoint("a", &book, &certified, PeerSettings::default());
-    let second = make_endpoint("b", &book, &keys_b, PeerSettings::default());
-    book.set(name("b"), second.local_address().unwrap());
+    let first = make_endpoint("a", &addresses, &certified, PeerSettings::default());
+    let second = make_endpoint("b", &addresses, &keys_b, PeerSettings::default());
+    addresses.set(name("b"), second.local_address().unwrap());
     echo(&second, TAG);
     assert!(first.call(&name("b"), TAG, b"unknown").await.is_err());
     until(|| second.metrics().refused_for(RefusedCause::Key) > 0).await;
@@ -221,6 +226,6 @@
     // Another authority's certificate is not let in.
     let other = KeyAuthority::new().unwrap();
     let stranger = other.certify("c", &keys_a).unwrap();
-    let third = make_endpoint("c", &book, &stranger, PeerSettings::default());
+    let third = make_endpoint("c", &addresses, &stranger, PeerSettings::default());
     assert!(third.call(&name("b"), TAG, b"stranger").await.is_err());
 }
--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -56,14 +56,14 @@
 
 #[tokio::test]
 async fn a_peer_that_moves_is_found_at_its_new_address() {
-    let (first, second, book) = make_pair();
+    let (first, second, addresses) = make_pair();
     let (_, keys) = peer::make_test_keys(&["b"]).unwrap();
     echo(&second, TAG);
     first.call(&name("b"), TAG, b"one").await.unwrap();
-    let stranger = support::make_endpoint("b", &book, &keys[0], Default::default());
+    let stranger = support::make_endpoint("b", &addresses, &keys[0], Default::default());
     let lost = first.call(&name("b"), TAG, b"two").await;
     assert!(matches!(lost, Err(PeerError::Connect { .. })), "{lost:?}");
-    book.set(name("b"), second.local_address().unwrap());
+    addresses.set(name("b"), second.local_address().unwrap());
     first.call(&name("b"), TAG, b"three").await.unwrap();
     stranger.close().await;
 }
@@ -121,10 +121,10 @@
 #[tokio::test]
 async fn messages_over_the_inbox_limit_are_refused_and_counted() {
     let (_, keys) = peer::make_test_keys(&["a", "b"]).unwrap();
-    let book = peer::PeerBook::new();
+    let addresses = peer::AddressTable::new();
     let settings = peer::PeerSettings::builder().inbox_limit(1).build();
-    let first = support::make_endpoint("a", &book, &keys[0], settings.clone());
-    let second = support::make_endpoint("b", &book, &keys[1], settings);
+    let first = support::make_endpoint("a", &addresses, &keys[0], settings.clone());
+    let second = support::make_endpoint("b", &addresses, &keys[1], settings);
     let _inbox = second.register(TAG);
     for _ in 0..4 {
         first.send(&name("b"), TAG, b"beat").unwrap();
@@ -136,12 +136,12 @@
 #[tokio::test]
 async fn a_link_that_nothing_uses_is_given_up_and_made_anew() {
     let (_, keys) = peer::make_test_keys(&["a", "b"]).unwrap();
-    let book = peer::PeerBook::new();
+    let addresses = peer::AddressTable::new();
     let settings = peer::PeerSettings::builder()
         .link_idle(std::time::Duration::from_millis(50))
         .build();
-    let first = support::make_endpoint("a", &book, &keys[0], settings.clone());
-    let second = support::make_endpoint("b", &book, &keys[1], settings);
+    let first = support::make_endpoint("a", &addresses, &keys[0], settings.clone());
+    let second = support::make_endpoint("b", &addresses, &keys[1], settings);
     echo(&second, TAG);
     first.call(&name("b"), TAG, b"one").await.unwrap();
     until(|| first.link_count() == 0).await;
--- a/crates/peer/tests/members.rs
+++ b/crates/peer/tests/members.rs
@@ -7,10 +7,10 @@
     fleet::{Fleet, mark},
     kernel::{InstanceId, ZoneId},
     peer::{
-        MemberAction, MemberEvent, MemberMessage, MemberNews, MemberSettings, MemberState,
-        MemberTable, PeerIdentity, RefusedCause,
-        floor_ladder::LADDER_STEPS,
+        MemberAction, MemberEvent, MemberMessage, MemberSettings, MemberState, MemberTable,
+        MemberUpdate, PeerIdentity, RefusedCause,
         neighbour_ring::{NeighbourRing, RingLimits},
+        version_floors::FLOOR_STEPS,
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -36,7 +36,7 @@
 fn gone(fleet: &Fleet) -> BTreeSet<InstanceId> {
     let mut gone = BTreeSet::new();
     for (_, _, news) in &fleet.news {
-        let MemberNews::MemberGone { instance, .. } = news else {
+        let MemberUpdate::MemberDead { instance, .. } = news else {
             continue;
         };
         gone.insert(instance.clone());
@@ -97,7 +97,7 @@
     let rack = [fleet.name(0), fleet.name(2), fleet.name(4)];
     let mut judged = BTreeMap::<InstanceId, BTreeSet<InstanceId>>::new();
     for (hearer, _, news) in &fleet.news {
-        if let MemberNews::MemberGone { instance, .. } = news {
+        if let MemberUpdate::MemberDead { instance, .. } = news {
             let hearer = fleet.name(*hearer);
             judged.entry(hearer).or_default().insert(instance.clone());
         }
@@ -124,8 +124,7 @@
     fleet.partition(mask);
     fleet.run(second(30));
     assert_eq!(gone(&fleet), BTreeSet::new());
-    let cut =
-        |news: &MemberNews| matches!(news, MemberNews::ZoneCut { zone } if &**zone == "zone-00");
+    let cut = |news: &MemberUpdate| matches!(news, MemberUpdate::ZoneUnreachable { zone } if &**zone == "zone-00");
     let hearers: BTreeSet<usize> = fleet
         .news
         .iter()
@@ -138,7 +137,7 @@
     let back = fleet
         .news
         .iter()
-        .filter(|(.., news)| matches!(news, MemberNews::ZoneBack { .. }));
+        .filter(|(.., news)| matches!(news, MemberUpdate::ZoneReachable { .. }));
     assert!(back.count() >= 30);
     fleet.check_agreement();
 }
@@ -153,7 +152,7 @@
     let marked = fleet
         .news
         .iter()
-        .filter(|(.., news)| matches!(news, MemberNews::Marked(_)));
+        .filter(|(.., news)| matches!(news, MemberUpdate::Marked(_)));
     assert_eq!(marked.count(), 120);
     fleet.check_agreement();
 }
@@ -192,7 +191,7 @@
     let mut fleet = settled(3, 1);
     fleet.feed(0, MemberEvent::Table(mark(1)));
     let ours = fleet.head;
-    let told = MemberNews::VersionFell { ours, version: 1 };
+    let told = MemberUpdate::VersionRegressed { ours, version: 1 };
     assert_eq!(fleet.news.last().unwrap().2, told);
     assert_eq!(fleet.nodes[0].table.as_ref().unwrap().table(), mark(ours));
 }
@@ -207,7 +206,7 @@
     let told = fleet
         .news
         .iter()
-        .filter(|(.., news)| matches!(news, MemberNews::DigestDiffers { .. }));
+        .filter(|(.., news)| matches!(news, MemberUpdate::DigestDiffers { .. }));
     assert!(told.count() > 0);
 }
 
@@ -313,7 +312,7 @@
                 .collect();
             steps += 1;
             assert!(
-                steps <= LADDER_STEPS,
+                steps <= FLOOR_STEPS,
                 "{count} members take more than {steps} steps"
             );
         }
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -5,8 +5,8 @@
 use {
     kernel::{InstanceId, TableVersion, UpstreamId},
     peer::{
-        ListedMember, MemberAction, MemberEvent, MemberMessage, MemberNews, MemberSettings,
-        MemberState, MemberTable, PeerIdentity, TableMark, wire,
+        ListedMember, MemberAction, MemberEvent, MemberMessage, MemberSettings, MemberState,
+        MemberTable, MemberUpdate, PeerIdentity, TableRevision, wire,
     },
     rand::{RngExt, SeedableRng},
     rand_pcg::Pcg64Mcg,
@@ -23,7 +23,7 @@
 
 enum Delivery {
     Message { body: Vec<u8>, from: PeerIdentity },
-    Table(TableMark),
+    Table(TableRevision),
 }
 
 /// One process, or the place of one that died.
@@ -48,7 +48,7 @@
     pub(crate) head: TableVersion,
     pub(crate) jitter: Duration,
     pub(crate) loss: f64,
-    pub(crate) news: Vec<(usize, Duration, MemberNews)>,
+    pub(crate) news: Vec<(usize, Duration, MemberUpdate)>,
     pub(crate) nodes: Vec<Node>,
     pub(crate) now: Duration,
     queue: BTreeMap<(Duration, u64), (usize, Delivery)>,
@@ -204,13 +204,13 @@
             instance: table.instance().clone(),
         };
         for action in actions {
-            self.carry_out(index, &from, action);
+            self.execute(index, &from, action);
         }
     }
 
-    fn carry_out(&mut self, index: usize, from: &PeerIdentity, action: MemberAction) {
+    fn execute(&mut self, index: usize, from: &PeerIdentity, action: MemberAction) {
         match action {
-            MemberAction::News(news) => self.hear(index, news),
+            MemberAction::Notify(news) => self.hear(index, news),
             MemberAction::Pull { from, .. } => self.pull(index, &from),
             MemberAction::Refuse(_) => {}
             MemberAction::Renew { above } => {
@@ -222,16 +222,16 @@
     }
 
     /// Follows the news as a reader of them would.
-    fn hear(&mut self, index: usize, news: MemberNews) {
+    fn hear(&mut self, index: usize, news: MemberUpdate) {
         let told = &mut self.told[index];
         match &news {
-            MemberNews::MemberCut { instance } => {
+            MemberUpdate::MemberUnreachable { instance } => {
                 told.remove(instance);
             }
-            MemberNews::MemberGone { instance, .. } => {
+            MemberUpdate::MemberDead { instance, .. } => {
                 told.remove(instance);
             }
-            MemberNews::MemberUp(record) => {
+            MemberUpdate::MemberUp(record) => {
                 told.insert(record.instance.clone());
             }
             _ => {}
@@ -401,8 +401,8 @@
 }
 
 /// The table of a version.
-pub(crate) fn mark(version: TableVersion) -> TableMark {
-    TableMark {
+pub(crate) fn mark(version: TableVersion) -> TableRevision {
+    TableRevision {
         digest: version * 31,
         version,
     }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use {
     kernel::InstanceId,
-    peer::{PeerBook, PeerEndpoint, PeerIncoming, PeerKeys, PeerSettings, make_test_keys},
+    peer::{AddressTable, PeerEndpoint, PeerIncoming, PeerKeys, PeerSettings, make_test_keys},
     std::{net::SocketAddr, time::Duration},
     tokio::sync::mpsc,
 };
@@ -18,30 +18,30 @@
 
 pub(crate) fn make_endpoint(
     name: &str,
-    book: &PeerBook,
+    addresses: &AddressTable,
     keys: &PeerKeys,
     settings: PeerSettings,
 ) -> PeerEndpoint {
     let endpoint = PeerEndpoint::builder()
         .address(loopback())
-        .book(book.clone())
+        .addresses(addresses.clone())
         .incarnation(1)
         .instance(name.into())
         .keys(keys)
         .settings(settings)
         .build()
         .unwrap();
-    book.set(name.into(), endpoint.local_address().unwrap());
+    addresses.set(name.into(), endpoint.local_address().unwrap());
     endpoint
 }
 
 /// Two instances that know each other.
-pub(crate) fn make_pair() -> (PeerEndpoint, PeerEndpoint, PeerBook) {
+pub(crate) fn make_pair() -> (PeerEndpoint, PeerEndpoint, AddressTable) {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let book = PeerBook::new();
-    let first = make_endpoint("a", &book, &keys[0], PeerSettings::default());
-    let second = make_endpoint("b", &book, &keys[1], PeerSettings::default());
-    (first, second, book)
+    let addresses = AddressTable::new();
+    let first = make_endpoint("a", &addresses, &keys[0], PeerSettings::default());
+    let second = make_endpoint("b", &addresses, &keys[1], PeerSettings::default());
+    (first, second, addresses)
 }
 
 pub(crate) fn name(text: &str) -> InstanceId {
--- a/crates/spread/src/member_registry.rs
+++ b/crates/spread/src/member_registry.rs
@@ -3,7 +3,7 @@
 use {
     crate::{DirectoryView, MemberRow, ReaderElection, ReportOrigin, SpreadState},
     kernel::{InstanceId, RankedLock, steady_clock},
-    peer::PeerBook,
+    peer::AddressTable,
     policy::AgedReport,
     relay::ZoneSize,
     std::{sync::Arc, time::Instant},
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct MemberRegistry {
     /// Addresses of the instances.
-    pub addresses: PeerBook,
+    pub addresses: AddressTable,
     /// Entry of this instance.
     pub own: MemberRow,
     /// Decides which instances read the store.
--- a/crates/spread/src/shared_source.rs
+++ b/crates/spread/src/shared_source.rs
@@ -114,7 +114,7 @@
             quarantine,
         ));
         let members = MemberRegistry {
-            addresses: endpoint.book().clone(),
+            addresses: endpoint.addresses().clone(),
             own: own.clone(),
             election: Arc::new(RankedLock::new(LockRank::Members, election)),
             state: Arc::new(state),
--- a/crates/table/src/cell_parse.rs
+++ b/crates/table/src/cell_parse.rs
@@ -7,11 +7,11 @@
 };
 
 /// The longest name, in bytes.
-pub const NAME_LIMIT: usize = 128;
+pub const MAX_NAME_LENGTH: usize = 128;
 /// The longest duration that a cell may have: a week.
-pub const DURATION_LIMIT: Duration = Duration::from_secs(7 * 24 * 3600);
+pub const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3600);
 /// The characters of a faulty cell that a message repeats.
-const QUOTE_LENGTH: usize = 40;
+const MAX_QUOTE_LENGTH: usize = 40;
 
 /// What is wrong with one cell.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads a duration with a unit, such as `480ms` or `2min`; over 0 and at most [`DURATION_LIMIT`].
+/// Reads a duration with a unit, such as `480ms` or `2min`; over 0 and at most [`MAX_DURATION`].
 ///
 /// # Errors
 ///
@@ -41,7 +41,7 @@
     let Ok(duration) = humantime::parse_duration(text) else {
         return Err(CellFault::quoting(FaultCode::DurationInvalid, text));
     };
-    if duration.is_zero() || duration > DURATION_LIMIT {
+    if duration.is_zero() || duration > MAX_DURATION {
         let detail = format!("{}, not over 0 and up to 168h", quote(text));
         return Err(CellFault {
             code: FaultCode::DurationRange,
@@ -55,14 +55,14 @@
 ///
 /// # Errors
 ///
-/// When the text has other characters or is longer than [`NAME_LIMIT`].
+/// When the text has other characters or is longer than [`MAX_NAME_LENGTH`].
 pub fn parse_name(text: &str, more: &str) -> Result<Arc<str>, CellFault> {
     let fits = |letter: char| letter.is_ascii_alphanumeric() || "._-".contains(letter);
     let starts_well = text.starts_with(|letter: char| letter.is_ascii_alphanumeric());
     let reads_well = text
         .chars()
         .all(|letter| fits(letter) || more.contains(letter));
-    if !starts_well || !reads_well || text.len() > NAME_LIMIT {
+    if !starts_well || !reads_well || text.len() > MAX_NAME_LENGTH {
         return Err(CellFault::quoting(FaultCode::NameInvalid, text));
     }
     Ok(text.into())
@@ -144,7 +144,7 @@
 
 /// The start of a text between back quotes, without control characters.
 pub fn quote(text: &str) -> String {
-    let start: String = text.chars().take(QUOTE_LENGTH).collect();
+    let start: String = text.chars().take(MAX_QUOTE_LENGTH).collect();
     let rest = if start.len() < text.len() { "…" } else { "" };
     format!("`{}{rest}`", start.escape_debug())
 }
--- a/crates/table/src/csv_read.rs
+++ b/crates/table/src/csv_read.rs
@@ -12,19 +12,19 @@
 };
 
 /// The largest file, in bytes.
-pub const FILE_LIMIT: usize = 16 << 20;
+pub const MAX_FILE_SIZE: usize = 16 << 20;
 /// The most rows a file may have.
-pub const ROWS_LIMIT: usize = 100_000;
+pub const MAX_ROWS: usize = 100_000;
 /// The mark that starts a comment line.
-const COMMENT_MARK: char = '#';
+const COMMENT_PREFIX: char = '#';
 /// The separators that spreadsheets write; the first is the canonical one.
 const SEPARATORS: [u8; 3] = [b',', b';', b'\t'];
 /// The first line by which some spreadsheets tell the separator.
 const SEPARATOR_LINE: &str = "sep=";
 /// The byte order mark of UTF-8.
-const UTF8_MARK: &[u8] = b"\xef\xbb\xbf";
+const UTF8_BOM: &[u8] = b"\xef\xbb\xbf";
 /// The byte order marks of UTF-16.
-const UTF16_MARKS: [&[u8]; 2] = [b"\xff\xfe", b"\xfe\xff"];
+const UTF16_BOMS: [&[u8]; 2] = [b"\xff\xfe", b"\xfe\xff"];
 
 /// Reads a whole table file. `file` is the name that faults show.
 ///
@@ -99,15 +99,15 @@
     }
 
     fn read(&mut self, content: &[u8]) {
-        if content.len() > FILE_LIMIT {
-            let detail = format!("{} bytes, not up to {FILE_LIMIT}", content.len());
+        if content.len() > MAX_FILE_SIZE {
+            let detail = format!("{} bytes, not up to {MAX_FILE_SIZE}", content.len());
             return self.fault(FaultCode::FileTooLarge, 0, None, detail);
         }
-        if UTF16_MARKS.iter().any(|mark| content.starts_with(mark)) {
+        if UTF16_BOMS.iter().any(|mark| content.starts_with(mark)) {
             let detail = "it is UTF-16; save it as `CSV UTF-8`";
             return self.fault(FaultCode::FileEncoding, 0, None, detail);
         }
-        let content = content.strip_prefix(UTF8_MARK).unwrap_or(content);
+        let content = content.strip_prefix(UTF8_BOM).unwrap_or(content);
         let quotes = content.iter().filter(|byte| **byte == b'"').count();
         if !quotes.is_multiple_of(2) {
             self.fault(FaultCode::QuoteOpen, 0, None, "");
@@ -127,8 +127,8 @@
                 continue;
             }
             rows += 1;
-            if rows > ROWS_LIMIT {
-                let detail = format!("not up to {ROWS_LIMIT}");
+            if rows > MAX_ROWS {
+                let detail = format!("not up to {MAX_ROWS}");
                 self.fault(FaultCode::RowsTooMany, line, None, detail);
                 break;
             }
@@ -144,7 +144,7 @@
             return false;
         }
         let first = String::from_utf8_lossy(record.get(0).unwrap_or_default());
-        if first.trim_start().starts_with(COMMENT_MARK) {
+        if first.trim_start().starts_with(COMMENT_PREFIX) {
             self.read_comment(first.trim(), line);
             return false;
         }
@@ -232,7 +232,7 @@
     for line in content.split(|byte| matches!(byte, b'\n' | b'\r')) {
         let start = line.trim_ascii_start();
         let start = start.strip_prefix(b"\"").unwrap_or(start);
-        let is_comment = start.first() == Some(&(COMMENT_MARK as u8));
+        let is_comment = start.first() == Some(&(COMMENT_PREFIX as u8));
         let is_blank = start.iter().all(|byte| SEPARATORS.contains(byte));
         if is_comment || is_blank || start.starts_with(SEPARATOR_LINE.as_bytes()) {
             continue;
--- a/crates/table/src/file_base.rs
+++ b/crates/table/src/file_base.rs
@@ -6,9 +6,9 @@
 };
 
 /// The word that starts a version line.
-const VERSION_MARK: &str = "version";
+const VERSION_KEYWORD: &str = "version";
 /// The word before the digest.
-const DIGEST_MARK: &str = "digest";
+const DIGEST_KEYWORD: &str = "digest";
 
 /// The version that a file was taken from: `# version 1764685438 digest 9f2c51d0a7b3e846`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -24,7 +24,7 @@
     pub fn from_comment(comment: &str) -> Option<Result<Self, ()>> {
         let comment = comment.trim_start_matches('#').trim();
         let mut words = comment.split_whitespace();
-        if words.next() != Some(VERSION_MARK) {
+        if words.next() != Some(VERSION_KEYWORD) {
             return None;
         }
         Some(Self::from_words(words).ok_or(()))
@@ -38,7 +38,7 @@
                 version,
             });
         };
-        if mark != DIGEST_MARK {
+        if mark != DIGEST_KEYWORD {
             return None;
         }
         let digest = TableDigest::from_str_radix(words.next()?, 16).ok()?;
@@ -54,10 +54,10 @@
 
 impl fmt::Display for FileBase {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "# {VERSION_MARK} {}", self.version)?;
+        write!(formatter, "# {VERSION_KEYWORD} {}", self.version)?;
         let Some(digest) = self.digest else {
             return Ok(());
         };
-        write!(formatter, " {DIGEST_MARK} {digest:016x}")
+        write!(formatter, " {DIGEST_KEYWORD} {digest:016x}")
     }
 }
--- a/crates/table/src/keeper_action.rs
+++ b/crates/table/src/keeper_action.rs
@@ -9,7 +9,7 @@
 /// One decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeeperAction {
-    /// Log and count an alarm; it stands until [`KeeperAction::AlarmOver`].
+    /// Log and count an alarm; it stands until [`KeeperAction::AlarmCleared`].
     Alarm {
         /// `DigestDiffers`, `VersionFell` or `PeerRefused`.
         code: ResultCode,
@@ -19,7 +19,7 @@
         source: TableSource,
     },
     /// The cause of an alarm is gone.
-    AlarmOver {
+    AlarmCleared {
         /// The alarm.
         code: ResultCode,
         /// Whose it was.
--- a/crates/table/src/keeper_event.rs
+++ b/crates/table/src/keeper_event.rs
@@ -19,9 +19,9 @@
         source: TableSource,
     },
     /// A peer is gone.
-    PeerGone(InstanceId),
+    PeerRemoved(InstanceId),
     /// The platform answered somebody at this time: this instance, or a peer whose heartbeat says so.
-    PlatformSeen {
+    PlatformContact {
         /// When, by this instance's clock.
         at: Instant,
     },
--- a/crates/table/src/row_cells.rs
+++ b/crates/table/src/row_cells.rs
@@ -35,7 +35,7 @@
 /// The weights.
 pub const WEIGHT_RANGE: RangeInclusive<f64> = 0.001..=1_000_000.0;
 /// The characters that a model's name has beyond those of other names.
-const MODEL_MARKS: &str = "/:@+";
+const MODEL_NAME_SYMBOLS: &str = "/:@+";
 
 /// Reads the cells of one line and collects their faults.
 pub struct RowCells<'a> {
@@ -64,19 +64,21 @@
         let between_tokens = self.optional(WorkColumn::BetweenTokens, parse_duration);
         let first_token = self.optional(WorkColumn::FirstToken, parse_duration);
         let limit = self.optional(WorkColumn::Limit, |text| parse_whole(text, LIMIT_RANGE));
-        let model = self.optional(WorkColumn::Model, |text| parse_name(text, MODEL_MARKS));
+        let model = self.optional(WorkColumn::Model, |text| {
+            parse_name(text, MODEL_NAME_SYMBOLS)
+        });
         let patience = self.optional(WorkColumn::Patience, parse_duration);
         let rank = self.small(WorkColumn::Rank, RANK_RANGE, DEFAULT_RANK);
         let repeat = self.optional(WorkColumn::Repeat, parse_repeat);
         let retries = self.small(WorkColumn::Retries, RETRIES_RANGE, DEFAULT_RETRIES);
-        let service = self.needed(WorkColumn::Service);
+        let service = self.required(WorkColumn::Service);
         let waste = self.optional(WorkColumn::Waste, |text| {
             parse_decimal(text, WASTE_RANGE, comma)
         });
         let weight = self.optional(WorkColumn::Weight, |text| {
             parse_decimal(text, WEIGHT_RANGE, comma)
         });
-        let work = self.needed(WorkColumn::Work);
+        let work = self.required(WorkColumn::Work);
         let zones = self.optional(WorkColumn::Zones, parse_zones);
         let row = WorkRow {
             between_tokens,
@@ -93,7 +95,7 @@
             work,
             zones: zones.unwrap_or_default(),
         };
-        self.check_whole(&row);
+        self.check_row(&row);
         if self.faults.is_empty() {
             return Ok(row);
         }
@@ -101,7 +103,7 @@
         Err(self.faults)
     }
 
-    fn check_whole(&mut self, row: &WorkRow) {
+    fn check_row(&mut self, row: &WorkRow) {
         // A `model` cell with a fault is not a missing model.
         let has_model = self
             .cells
@@ -116,7 +118,7 @@
         }
     }
 
-    fn needed(&mut self, column: WorkColumn) -> Arc<str> {
+    fn required(&mut self, column: WorkColumn) -> Arc<str> {
         if self.cells.get(&column).is_some_and(|text| text.is_empty()) {
             let fault = CellFault {
                 code: FaultCode::CellEmpty,
--- a/crates/table/src/stamped_row.rs
+++ b/crates/table/src/stamped_row.rs
@@ -32,7 +32,7 @@
 
     /// Whether this row is in force over `other`: the later stamp wins. Two edits with one stamp are told apart by their
     /// content, so that every instance takes the same one.
-    pub fn wins_over(&self, other: &Self, work: &str) -> bool {
+    pub fn supersedes(&self, other: &Self, work: &str) -> bool {
         if self.stamp != other.stamp {
             return self.stamp > other.stamp;
         }
--- a/crates/table/src/stamped_table.rs
+++ b/crates/table/src/stamped_table.rs
@@ -61,7 +61,7 @@
     pub fn join(&mut self, patch: &TablePatch) -> bool {
         let before = self.head();
         for (work, stamped) in &patch.rows {
-            if self.takes(work, stamped) {
+            if self.accepts(work, stamped) {
                 self.put(work.clone(), stamped.clone());
             }
         }
@@ -131,11 +131,11 @@
         self.digest = self.digest.wrapping_sub(removed).wrapping_add(added);
     }
 
-    fn takes(&self, work: &WorkId, stamped: &StampedRow) -> bool {
+    fn accepts(&self, work: &WorkId, stamped: &StampedRow) -> bool {
         match self.rows.get(work) {
             // The same edit, got by the platform once more, is passed on once more.
             Some(held) if held.is_same_edit(stamped) => stamped.written > held.written,
-            Some(held) => stamped.wins_over(held, work),
+            Some(held) => stamped.supersedes(held, work),
             None => true,
         }
     }
--- a/crates/table/src/table_keeper.rs
+++ b/crates/table/src/table_keeper.rs
@@ -16,24 +16,24 @@
 /// How long the platform may be silent before the instance counts as cut off.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(10);
 /// How long a pull may take before another source is asked.
-pub const PULL_LIMIT: Duration = Duration::from_secs(2);
+pub const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The least time between two write-backs.
-pub const RESTORE_PAUSE: Duration = Duration::from_secs(2);
+pub const MIN_RESTORE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Keeps the table in force on one instance. The version never goes down, and no row goes back to an earlier edit,
 /// whatever the platform or a peer offers.
 #[derive(Clone, Debug)]
 pub struct TableKeeper {
     /// Whether the last patch added up to its sender's digest.
-    adds_up: bool,
+    is_consistent: bool,
     alarms: BTreeSet<(ResultCode, TableSource)>,
     heads: BTreeMap<TableSource, TableHead>,
     in_force_since: Instant,
-    platform_seen: Instant,
+    platform_contact: Instant,
     pull: Option<(TableSource, Instant)>,
     restored_at: Option<Instant>,
     /// The heads that were pulled whole, beside the head here at that time: pulling them again brings nothing.
-    settled: BTreeMap<TableSource, (TableHead, TableHead)>,
+    reconciled: BTreeMap<TableSource, (TableHead, TableHead)>,
     table: Arc<StampedTable>,
 }
 
@@ -45,8 +45,8 @@
 
     /// Since when neither this instance nor a peer has heard from the platform, when that is long ago.
     pub fn cut_off_since(&self, now: Instant) -> Option<Instant> {
-        let silence = now.saturating_duration_since(self.platform_seen);
-        (silence > CUT_OFF_AFTER).then_some(self.platform_seen)
+        let silence = now.saturating_duration_since(self.platform_contact);
+        (silence > CUT_OFF_AFTER).then_some(self.platform_contact)
     }
 
     /// The head to announce in heartbeats.
@@ -67,14 +67,14 @@
     /// A keeper without a table.
     pub fn new(now: Instant) -> Self {
         Self {
-            adds_up: true,
+            is_consistent: true,
             alarms: BTreeSet::new(),
             heads: BTreeMap::new(),
             in_force_since: now,
-            platform_seen: now,
+            platform_contact: now,
             pull: None,
             restored_at: None,
-            settled: BTreeMap::new(),
+            reconciled: BTreeMap::new(),
             table: Arc::default(),
         }
     }
@@ -87,8 +87,10 @@
                 head,
                 source,
             } => self.on_head(now, asked, head, source, actions),
-            KeeperEvent::PeerGone(instance) => self.on_gone(TableSource::Peer(instance), actions),
-            KeeperEvent::PlatformSeen { at } => self.see_platform(at),
+            KeeperEvent::PeerRemoved(instance) => {
+                self.on_peer_removed(TableSource::Peer(instance), actions)
+            }
+            KeeperEvent::PlatformContact { at } => self.record_platform_contact(at),
             KeeperEvent::PullFailed { source } => {
                 // Its head comes again with its next heartbeat; until then others are asked.
                 self.heads.remove(&source);
@@ -109,7 +111,7 @@
     /// The version after which to ask a holder of a greater version for rows: 0, which asks for all, as long as the last
     /// patch did not add up to its sender's digest.
     pub fn pull_since(&self) -> TableVersion {
-        match self.adds_up {
+        match self.is_consistent {
             true => self.table.version(),
             false => 0,
         }
@@ -117,7 +119,7 @@
 
     /// How long the platform has not been heard, by this instance or a peer that told of it.
     pub fn platform_silence(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.platform_seen)
+        now.saturating_duration_since(self.platform_contact)
     }
 
     /// The table in force; empty before the first one.
@@ -142,7 +144,7 @@
         });
     }
 
-    fn alarm_over(
+    fn clear_alarm(
         &mut self,
         code: ResultCode,
         source: &TableSource,
@@ -151,22 +153,22 @@
         if !self.alarms.remove(&(code, source.clone())) {
             return;
         }
-        actions.push(KeeperAction::AlarmOver {
+        actions.push(KeeperAction::AlarmCleared {
             code,
             source: source.clone(),
         });
     }
 
-    fn on_gone(&mut self, source: TableSource, actions: &mut Vec<KeeperAction>) {
+    fn on_peer_removed(&mut self, source: TableSource, actions: &mut Vec<KeeperAction>) {
         for code in [
             ResultCode::DigestDiffers,
             ResultCode::PeerRefused,
             ResultCode::VersionFell,
         ] {
-            self.alarm_over(code, &source, actions);
+            self.clear_alarm(code, &source, actions);
         }
         self.heads.remove(&source);
-        self.settled.remove(&source);
+        self.reconciled.remove(&source);
         self.end_pull(&source);
     }
 
@@ -182,7 +184,7 @@
         // A poll that was under way while a newer table came says nothing about the platform now.
         let is_stale = asked < self.in_force_since && head.version <= own.version;
         if source == TableSource::Platform {
-            self.see_platform(asked);
+            self.record_platform_contact(asked);
             if is_stale {
                 return;
             }
@@ -192,14 +194,14 @@
         let fell = head.version < own.version && source == TableSource::Platform;
         match differs {
             true => self.alarm(ResultCode::DigestDiffers, head, &source, actions),
-            false => self.alarm_over(ResultCode::DigestDiffers, &source, actions),
+            false => self.clear_alarm(ResultCode::DigestDiffers, &source, actions),
         }
         match fell {
             true => self.alarm(ResultCode::VersionFell, head, &source, actions),
-            false => self.alarm_over(ResultCode::VersionFell, &source, actions),
+            false => self.clear_alarm(ResultCode::VersionFell, &source, actions),
         }
-        let is_settled = self.settled.get(&source) == Some(&(head, own));
-        if fell || (differs && is_settled && source == TableSource::Platform) {
+        let is_reconciled = self.reconciled.get(&source) == Some(&(head, own));
+        if fell || (differs && is_reconciled && source == TableSource::Platform) {
             self.restore(now, actions);
         }
     }
@@ -220,18 +222,18 @@
             self.heads.remove(&source);
             return self.alarm(ResultCode::PeerRefused, head, &source, actions);
         }
-        self.alarm_over(ResultCode::PeerRefused, &source, actions);
+        self.clear_alarm(ResultCode::PeerRefused, &source, actions);
         if Arc::make_mut(&mut self.table).join(patch) {
             self.in_force_since = now;
             actions.push(KeeperAction::InForce(self.table.clone()));
         }
         let own = self.head();
         self.heads.insert(source.clone(), head);
-        self.adds_up = patch.is_whole() || head == own;
+        self.is_consistent = patch.is_whole() || head == own;
         if !patch.is_whole() {
             return;
         }
-        self.settled.insert(source.clone(), (head, own));
+        self.reconciled.insert(source.clone(), (head, own));
         if head != own && source == TableSource::Platform {
             let code = match head.version < own.version {
                 true => ResultCode::VersionFell,
@@ -260,8 +262,8 @@
         let own = self.head();
         let mut best: Option<(TableVersion, &TableSource)> = None;
         for (source, head) in &self.heads {
-            let is_settled = self.settled.get(source) == Some(&(*head, own));
-            if head.version < own.version || *head == own || is_settled {
+            let is_reconciled = self.reconciled.get(source) == Some(&(*head, own));
+            if head.version < own.version || *head == own || is_reconciled {
                 continue;
             }
             if best.is_none_or(|(version, _)| head.version > version) {
@@ -279,7 +281,7 @@
 
     fn pull_next(&mut self, now: Instant, actions: &mut Vec<KeeperAction>) {
         if let Some((source, asked)) = self.pull.clone() {
-            if now.saturating_duration_since(asked) < PULL_LIMIT {
+            if now.saturating_duration_since(asked) < PULL_TIMEOUT {
                 return;
             }
             self.heads.remove(&source);
@@ -293,7 +295,7 @@
     }
 
     fn restore(&mut self, now: Instant, actions: &mut Vec<KeeperAction>) {
-        let pause_over = |at: Instant| now.saturating_duration_since(at) >= RESTORE_PAUSE;
+        let pause_over = |at: Instant| now.saturating_duration_since(at) >= MIN_RESTORE_INTERVAL;
         if !self.restored_at.is_none_or(pause_over) {
             return;
         }
@@ -301,7 +303,7 @@
         actions.push(KeeperAction::Restore(self.table.clone()));
     }
 
-    fn see_platform(&mut self, at: Instant) {
-        self.platform_seen = self.platform_seen.max(at);
+    fn record_platform_contact(&mut self, at: Instant) {
+        self.platform_contact = self.platform_contact.max(at);
     }
 }
--- a/crates/table/src/table_merge.rs
+++ b/crates/table/src/table_merge.rs
@@ -27,7 +27,7 @@
     /// The rows that both changed differently; none of the file is applied while there are any.
     pub conflicts: Vec<RowConflict>,
     /// The rows that the file changed to what the table has already.
-    pub settled: Vec<WorkId>,
+    pub unchanged: Vec<WorkId>,
 }
 
 /// Merges the rows of a file (`mine`), taken from a table at `base`, into the table now (`theirs`).
@@ -41,7 +41,7 @@
     for edit in diff_rows(base, mine) {
         let now = theirs.get(&edit.work);
         if now == edit.after.as_ref() {
-            merge.settled.push(edit.work);
+            merge.unchanged.push(edit.work);
             continue;
         }
         if now == edit.before.as_ref() {
--- a/crates/table/tests/csv_faults.rs
+++ b/crates/table/tests/csv_faults.rs
@@ -171,7 +171,7 @@
     assert_eq!(over.len(), 1);
     assert_eq!(Some(over[0].0), last_line);
     assert_eq!(found.iter().filter(|fault| fault.0 == 2).count(), 1);
-    let content = vec![b'x'; table::csv_read::FILE_LIMIT + 1];
+    let content = vec![b'x'; table::csv_read::MAX_FILE_SIZE + 1];
     assert_eq!(faults(content), [(0, None, FaultCode::FileTooLarge)]);
 }
 
--- a/crates/table/tests/keeper.rs
+++ b/crates/table/tests/keeper.rs
@@ -134,7 +134,7 @@
         })
     };
     let mut hangs = bench.keeper.clone();
-    let later = bench.now + table_keeper::PULL_LIMIT;
+    let later = bench.now + table_keeper::PULL_TIMEOUT;
     let mut actions = Vec::new();
     hangs.on_event(later, KeeperEvent::Tick, &mut actions);
     assert!(asks_platform(&actions));
@@ -154,7 +154,7 @@
     // The alarm is raised once, and ends when the platform has caught up.
     assert!(bench.head(TableSource::Platform, old.head()).is_empty());
     let actions = bench.head(TableSource::Platform, new.head());
-    let over = KeeperAction::AlarmOver {
+    let over = KeeperAction::AlarmCleared {
         code: ResultCode::VersionFell,
         source: TableSource::Platform,
     };
@@ -291,7 +291,7 @@
 fn the_keeper_says_since_when_it_is_cut_off() {
     let mut bench = Bench::new();
     let seen = bench.now + Duration::from_secs(60);
-    bench.send(KeeperEvent::PlatformSeen { at: seen });
+    bench.send(KeeperEvent::PlatformContact { at: seen });
     let keeper = &bench.keeper;
     assert_eq!(
         keeper.cut_off_since(seen + table_keeper::CUT_OFF_AFTER),
--- a/crates/trestlewalk/src/entry/member_watch.rs
+++ b/crates/trestlewalk/src/entry/member_watch.rs
@@ -4,7 +4,7 @@
     crate::{admin::ReadinessState, entry::AllocatorFactory},
     flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamRegistry},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, UpstreamId, ZoneId},
-    peer::{ListedMember, MemberNews, MemberState, PeerDriver},
+    peer::{ListedMember, MemberState, MemberUpdate, PeerDriver},
     plat::{InstanceKind, InstanceRecord, InstanceState},
     route::load_report::LeavingCause,
     std::{
@@ -84,7 +84,7 @@
         cells: Arc<CellTable<AllocatorFactory, GrantRouter>>,
         hub: Arc<CellHub>,
     ) {
-        let mut updates = self.driver.news();
+        let mut updates = self.driver.updates();
         loop {
             match updates.recv().await {
                 Ok(update) => self.on_update(update, &cells, &hub),
@@ -113,33 +113,33 @@
 
     fn on_update(
         &self,
-        update: MemberNews,
+        update: MemberUpdate,
         cells: &CellTable<AllocatorFactory, GrantRouter>,
         hub: &CellHub,
     ) {
         match update {
-            MemberNews::MemberGone { before, instance } => {
+            MemberUpdate::MemberDead { before, instance } => {
                 tracing::info!(%instance, before, "an instance is gone");
                 self.lost.lock().gone.insert(instance.clone(), before);
                 cells.on_holder_gone(&instance, before);
             }
-            MemberNews::Renewed { incarnation } => {
+            MemberUpdate::Renewed { incarnation } => {
                 tracing::warn!(
                     incarnation,
                     "the other instances took this instance for gone; it goes on with a new incarnation"
                 );
                 hub.renew(incarnation);
             }
-            MemberNews::Superseded { by } => {
+            MemberUpdate::Superseded { by } => {
                 tracing::error!(
                     by,
                     "another process runs under this instance's name with a later incarnation"
                 );
             }
-            MemberNews::ZoneBack { zone } => {
+            MemberUpdate::ZoneReachable { zone } => {
                 tracing::info!(%zone, "the availability zone is reachable again")
             }
-            MemberNews::ZoneCut { zone } => {
+            MemberUpdate::ZoneUnreachable { zone } => {
                 tracing::warn!(%zone, "the availability zone is cut off")
             }
             _ => {}
--- a/crates/trestlewalk/src/entry/path_components.rs
+++ b/crates/trestlewalk/src/entry/path_components.rs
@@ -14,7 +14,7 @@
         StreamCanceller, UpstreamRegistry,
     },
     kernel::{ShutdownSignal, WorkerPool},
-    peer::{PeerBook, PeerEndpoint, PeerError},
+    peer::{AddressTable, PeerEndpoint, PeerError},
     plat::{BudgetPlatform, CallRate, HttpPlatform, InstanceKind, InstanceRecord, InstanceState},
     route::UpstreamRole,
     snafu::ResultExt,
@@ -152,13 +152,13 @@
 
 fn bind_endpoint(parts: &EntryParts) -> Result<PeerEndpoint, RunError> {
     let keys = load_keys(&parts.settings.keys)?;
-    let book = PeerBook::new();
+    let book = AddressTable::new();
     for peer in &parts.settings.peers {
         book.set(peer.instance.clone(), peer.address);
     }
     PeerEndpoint::builder()
         .address(parts.settings.listen.peers)
-        .book(book)
+        .addresses(book)
         .incarnation(parts.identity.incarnation)
         .instance(parts.identity.instance.clone())
         .keys(&keys)
--- a/crates/trestlewalk/src/entry/peer_socket.rs
+++ b/crates/trestlewalk/src/entry/peer_socket.rs
@@ -4,7 +4,7 @@
 use {
     crate::{RunError, run_error::PeersSnafu, settings::RelayFile},
     kernel::unix_time,
-    peer::{PeerBook, PeerEndpoint, PeerKeys, PeerSettings},
+    peer::{AddressTable, PeerEndpoint, PeerKeys, PeerSettings},
     snafu::ResultExt,
     spread::MemberRow,
     std::time::{Duration, SystemTime},
@@ -43,7 +43,7 @@
             .build();
         let endpoint = PeerEndpoint::builder()
             .address(address)
-            .book(PeerBook::new())
+            .addresses(AddressTable::new())
             .incarnation(unix_time::micros(SystemTime::now()))
             .instance(settings.instance.clone())
             .keys(&keys)
--- a/crates/trestlewalk/src/entry/table_driver.rs
+++ b/crates/trestlewalk/src/entry/table_driver.rs
@@ -8,7 +8,7 @@
     bytes::Bytes,
     flow::CurrentTable,
     kernel::{InstanceId, LockRank, RankedLock, TableVersion, WorkerPool, ZoneId, unix_time},
-    peer::{MemberNews, PeerDriver, PeerError, TableMark, peer_error::GarbledSnafu},
+    peer::{MemberUpdate, PeerDriver, PeerError, TableRevision, peer_error::GarbledSnafu},
     plat::{EditOrigin, PollAction, PollEvent, PollPlan, RowStore, TableRepository},
     std::{
         sync::{Arc, OnceLock},
@@ -85,9 +85,9 @@
 
 impl<S: RowStore + 'static> TableDriver<S> {
     /// The version and the digest of the table, as the membership announces them.
-    pub fn mark(&self) -> TableMark {
+    pub fn mark(&self) -> TableRevision {
         let head = self.head();
-        TableMark {
+        TableRevision {
             digest: head.digest,
             version: head.version,
         }
@@ -131,7 +131,7 @@
 
     /// Passes what the membership learns of peers' tables to the keeper. Returns when the membership is closed.
     pub async fn run_updates(self: Arc<Self>, driver: Arc<PeerDriver>) {
-        let mut updates = driver.news();
+        let mut updates = driver.updates();
         loop {
             match updates.recv().await {
                 Ok(update) => self.on_update(update),
@@ -159,7 +159,7 @@
                 let number = code.number();
                 tracing::error!(code = number, version = head.version, %source, "{}", code.text());
             }
-            KeeperAction::AlarmOver { code, source } => {
+            KeeperAction::AlarmCleared { code, source } => {
                 tracing::info!(code = code.number(), %source, "the alarm is over");
             }
             KeeperAction::InForce(table) => self.put_in_force(&table),
@@ -180,9 +180,9 @@
         let heard = self
             .peers
             .get()
-            .and_then(|peers| peers.view().platform_heard);
+            .and_then(|peers| peers.view().platform_contact);
         if let Some(at) = heard {
-            self.on_event(KeeperEvent::PlatformSeen { at });
+            self.on_event(KeeperEvent::PlatformContact { at });
         }
     }
 
@@ -193,9 +193,9 @@
         if let Ok(head) = head {
             let head = head.map(|row| row.head()).unwrap_or_default();
             self.state.lock().platform_head = Some(head);
-            self.on_event(KeeperEvent::PlatformSeen { at: asked });
+            self.on_event(KeeperEvent::PlatformContact { at: asked });
             if let Some(peers) = self.peers.get() {
-                peers.set_platform_heard(asked);
+                peers.set_platform_contact(asked);
             }
             self.on_event(KeeperEvent::Head {
                 asked,
@@ -226,20 +226,20 @@
         self.repository.patch_since(since).await.ok()
     }
 
-    fn on_update(self: &Arc<Self>, update: MemberNews) {
+    fn on_update(self: &Arc<Self>, update: MemberUpdate) {
         let (head, source) = match update {
-            MemberNews::DigestDiffers {
+            MemberUpdate::DigestDiffers {
                 digest,
                 instance,
                 version,
             }
-            | MemberNews::DigestSettled {
+            | MemberUpdate::DigestConverged {
                 digest,
                 instance,
                 version,
             } => (TableHead { digest, version }, TableSource::Peer(instance)),
-            MemberNews::MemberGone { instance, .. } => {
-                return self.on_event(KeeperEvent::PeerGone(instance));
+            MemberUpdate::MemberDead { instance, .. } => {
+                return self.on_event(KeeperEvent::PeerRemoved(instance));
             }
             _ => return,
         };
@@ -323,7 +323,7 @@
         postcard::to_stdvec(&patch).ok().map(Bytes::from)
     }
 
-    fn mark(&self) -> TableMark {
+    fn revision(&self) -> TableRevision {
         self.driver.mark()
     }
 
@@ -331,7 +331,7 @@
         self.driver.state.lock().keeper.pull_since()
     }
 
-    async fn take(&self, from: &InstanceId, content: Bytes) -> Result<TableMark, PeerError> {
+    async fn apply(&self, from: &InstanceId, content: Bytes) -> Result<TableRevision, PeerError> {
         let patch = postcard::from_bytes::<TablePatch>(&content);
         let Ok(patch) = patch else {
             return GarbledSnafu {
--- a/crates/trestlewalk/src/subcommand/table/edit_plan.rs
+++ b/crates/trestlewalk/src/subcommand/table/edit_plan.rs
@@ -57,8 +57,8 @@
     pub fn print(&self, instances: &[InstanceRecord]) -> Result<(), TableCliError> {
         print_text(&changes_text(&self.merge.changes))?;
         print_text(&name_notes(&self.merge.changes, instances).concat())?;
-        if !self.merge.settled.is_empty() {
-            let settled = self.merge.settled.join(" ");
+        if !self.merge.unchanged.is_empty() {
+            let settled = self.merge.unchanged.join(" ");
             print_text(&format!("already so: {settled}\n"))?;
         }
         match self.merge.conflicts.is_empty() {
