--- a/crates/peer/src/accept_loop.rs
+++ b/crates/peer/src/accept_loop.rs
@@ -1,4 +1,4 @@
-//! Takes connections and what comes over them.
+//! Accepts connections and dispatches the messages, calls and sessions that arrive over them.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     std::sync::{Arc, Mutex, OnceLock},
 };
 
-/// What the tasks that take connections share.
+/// State shared by the tasks that serve accepted connections.
 #[derive(Clone, Debug)]
 pub(crate) struct AcceptLoop {
     pub(crate) accepted: Arc<Mutex<Vec<Connection>>>,
@@ -30,7 +30,7 @@
     pub(crate) settings: Arc<PeerSettings>,
 }
 
-/// One accepted connection.
+/// One accepted connection; `name` is set once the first message was checked against the certificate.
 #[derive(Clone)]
 struct AcceptedLink {
     connection: Connection,
@@ -39,20 +39,20 @@
 }
 
 impl AcceptLoop {
-    /// Takes connections until the endpoint closes.
+    /// Accepts connections until the endpoint closes.
     pub(crate) async fn run(self, endpoint: Endpoint) {
         while let Some(incoming) = endpoint.accept().await {
             let shared = self.clone();
-            self.pool.spawn(shared.take(incoming));
+            self.pool.spawn(shared.serve(incoming));
         }
     }
 
-    async fn take(self, incoming: Incoming) {
+    async fn serve(self, incoming: Incoming) {
         let Ok(connection) = incoming.await else {
             self.metrics.refuse(RefusedCause::Key);
             return;
         };
-        self.keep(&connection);
+        self.track(&connection);
         let link = AcceptedLink {
             connection,
             name: Arc::default(),
@@ -61,7 +61,7 @@
         link.run().await;
     }
 
-    fn keep(&self, connection: &Connection) {
+    fn track(&self, connection: &Connection) {
         let mut accepted = self
             .accepted
             .lock()
@@ -115,7 +115,7 @@
         Ok((head, body))
     }
 
-    /// The first message's name is checked against the certificate; the later ones have to repeat it.
+    /// Checks the first message's name against the certificate; later messages must carry the same name.
     fn check_name(&self, from: &PeerIdentity) -> Result<(), PeerError> {
         let claimed = from.instance.clone();
         if let Some(name) = self.name.get() {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// A stream that is dropped without an answer is reset, which the caller sees as a refusal.
+    /// Resets the stream when the handler drops the call without an answer; the caller sees that as a refusal.
     async fn handle_call(&self, head: MessageHeader, body: Bytes, mut sender: SendStream) {
         let (reply, answer) = CallReply::pair();
         let incoming = PeerIncoming::Call {
@@ -216,7 +216,7 @@
     }
 }
 
-/// The stream error code of a refused call.
+/// QUIC stream error code of a refused call.
 pub(crate) const CALL_REFUSED: u32 = 1;
 
 fn certificate_names(connection: &Connection, claimed: &str) -> bool {
--- a/crates/peer/src/address_table.rs
+++ b/crates/peer/src/address_table.rs
@@ -1,4 +1,4 @@
-//! Where peers answer.
+//! The addresses of peers.
 
 use {
     kernel::InstanceId,
@@ -15,38 +15,38 @@
     pinned: bool,
 }
 
-/// The addresses of the peers. What the settings pin stays; what the platform's list and the peers themselves say
-/// replaces what they said before. Clones share one book.
+/// The addresses of the peers. Addresses pinned by the settings stay; those from the platform's list and from the peers
+/// themselves replace earlier ones. Clones share one table.
 #[derive(Clone, Debug, Default)]
 pub struct AddressTable {
     entries: Arc<RwLock<BTreeMap<InstanceId, AddressEntry>>>,
 }
 
 impl AddressTable {
-    /// Where a peer answers.
+    /// The address of a peer.
     pub fn address(&self, instance: &str) -> Option<SocketAddr> {
         let entries = self.entries.read().unwrap_or_else(PoisonError::into_inner);
         entries.get(instance).map(|entry| entry.address)
     }
 
-    /// An empty book.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets a peer's address for good: [`AddressTable::set`] does not change it any more.
+    /// Pins a peer's address: [`AddressTable::set`] no longer changes it.
     pub fn pin(&self, instance: InstanceId, address: SocketAddr) {
         let pinned = true;
         self.put(instance, AddressEntry { address, pinned });
     }
 
-    /// Forgets a peer's address.
+    /// Removes a peer's address, even a pinned one.
     pub fn remove(&self, instance: &str) {
         let mut entries = self.entries.write().unwrap_or_else(PoisonError::into_inner);
         entries.remove(instance);
     }
 
-    /// Sets a peer's address, in place of an earlier one that is not pinned. The next message opens a new connection.
+    /// Sets a peer's address unless it is pinned. The next message opens a new connection if the address changed.
     pub fn set(&self, instance: InstanceId, address: SocketAddr) {
         let pinned = false;
         self.put(instance, AddressEntry { address, pinned });
--- a/crates/peer/src/cell_summary.rs
+++ b/crates/peer/src/cell_summary.rs
@@ -1,4 +1,4 @@
-//! How busy a cell is, as its allocator says.
+//! The load of a cell, as reported by its allocator.
 
 use {
     kernel::{Incarnation, InstanceId, ZoneId},
@@ -6,32 +6,32 @@
     std::sync::Arc,
 };
 
-/// Names one cell.
+/// Identifies one cell.
 pub type CellId = Arc<str>;
 
-/// One allocator's word on its cell.
+/// The load of one cell as reported by one allocator.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CellSummary {
-    /// The allocator.
+    /// The instance that runs the allocator.
     pub by: InstanceId,
     /// The cell.
     pub cell: CellId,
-    /// Decode places that are free.
+    /// Free decode places.
     pub free_places: u32,
-    /// The life of the allocator.
+    /// The incarnation of the allocator's instance.
     pub incarnation: Incarnation,
-    /// KV cache that waits for the link, bytes.
+    /// KV cache waiting to be transferred over the link, in bytes.
     pub link_bytes: u64,
-    /// Requests in the queue.
+    /// Queued requests.
     pub queue_length: u32,
-    /// Counts the summaries of that life.
+    /// Rises with each summary of the same incarnation.
     pub serial: u64,
     /// The cell's availability zone.
     pub zone: ZoneId,
 }
 
 impl CellSummary {
-    /// Whether it replaces another summary of the same allocator of the same cell.
+    /// Whether this summary is newer than another one from the same allocator for the same cell.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.incarnation, self.serial) > (other.incarnation, other.serial)
     }
--- a/crates/peer/src/cell_table.rs
+++ b/crates/peer/src/cell_table.rs
@@ -1,4 +1,4 @@
-//! The summaries of cells that an instance knows.
+//! The cell summaries that an instance has received.
 
 use {
     crate::cell_summary::{CellId, CellSummary},
@@ -12,7 +12,7 @@
 /// A cell and its allocator.
 pub type CellKey = (CellId, InstanceId);
 
-/// Holds the newest summary of each allocator of each cell until its lifetime ends.
+/// Holds the newest summary per cell and allocator until it expires.
 #[derive(Clone, Debug)]
 pub struct CellTable {
     cells: BTreeMap<CellKey, (Instant, CellSummary)>,
@@ -21,24 +21,24 @@
 }
 
 impl CellTable {
-    /// The summaries, by cell and allocator.
+    /// All summaries, ordered by cell and allocator.
     pub fn all(&self) -> impl Iterator<Item = &CellSummary> {
         self.cells.values().map(|(_, summary)| summary)
     }
 
-    /// Drops the summaries that are too old to go by.
+    /// Drops the summaries that are older than the lifetime.
     pub fn expire(&mut self, now: Instant) {
         let lifetime = self.lifetime;
         self.cells
-            .retain(|_, (heard, _)| now.saturating_duration_since(*heard) < lifetime);
+            .retain(|_, (received, _)| now.saturating_duration_since(*received) < lifetime);
     }
 
-    /// One summary.
+    /// The summary of one cell from one allocator.
     pub fn get(&self, key: &CellKey) -> Option<&CellSummary> {
         self.cells.get(key).map(|(_, summary)| summary)
     }
 
-    /// An empty table.
+    /// Creates an empty table that holds at most `limit` summaries.
     pub fn new(lifetime: Duration, limit: usize) -> Self {
         Self {
             cells: BTreeMap::new(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes a summary; `false` when it is old or over the limit.
+    /// Stores a summary; returns `false` when it is not newer than the known one or the table is full.
     pub fn put(&mut self, now: Instant, summary: CellSummary) -> bool {
         let key = (summary.cell.clone(), summary.by.clone());
         let known = self.get(&key);
--- a/crates/peer/src/driver_task.rs
+++ b/crates/peer/src/driver_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the membership core: it feeds events in and carries decisions out.
+//! The task that owns the membership state machine: it feeds events in and executes the resulting actions.
 
 use {
     crate::{
@@ -27,7 +27,7 @@
     tokio::sync::{broadcast, mpsc},
 };
 
-/// All that the task holds.
+/// The task's state and channels.
 pub(crate) struct DriverTask<S> {
     pub(crate) commands: mpsc::UnboundedReceiver<MemberEvent>,
     pub(crate) endpoint: PeerEndpoint,
@@ -42,34 +42,34 @@
 }
 
 impl<S: TableSource> DriverTask<S> {
-    /// Runs until the close signal, and then tells the neighbours.
+    /// Runs until the shutdown signal, then announces the shutdown to the neighbours.
     pub(crate) async fn run(mut self) {
         loop {
             let wake = tokio::time::Instant::from_std(self.table.next_wake());
             let event = tokio::select! {
                 () = self.signal.raised() => break,
                 Some(command) = self.commands.recv() => Some(command),
-                Some(incoming) = self.inbox.recv() => self.read(incoming),
+                Some(incoming) = self.inbox.recv() => self.decode(incoming),
                 () = tokio::time::sleep_until(wake) => Some(MemberEvent::Tick),
             };
             let Some(event) = event else {
                 continue;
             };
-            self.take(event);
+            self.handle(event);
         }
         self.announce_shutdown().await;
     }
 
-    fn take(&mut self, event: MemberEvent) {
+    fn handle(&mut self, event: MemberEvent) {
         let now = Instant::now();
-        let shows = !matches!(event, MemberEvent::Message { .. });
+        let changes_view = !matches!(event, MemberEvent::Message { .. });
         let mut actions = Vec::new();
         self.table.on_event(now, event, &mut actions);
-        let tells = actions
+        let notifies = actions
             .iter()
             .any(|action| matches!(action, MemberAction::Notify(_)));
         self.execute(actions);
-        if shows || tells {
+        if changes_view || notifies {
             self.publish(now);
         }
     }
@@ -103,25 +103,29 @@
             MemberUpdate::MemberDead { instance, .. } => {
                 self.metrics.dead_members.inc();
                 self.endpoint.forget(instance);
-                tracing::info!(%instance, "a member is gone");
+                tracing::info!(%instance, "member is dead");
             }
             MemberUpdate::MemberUp(record) => {
                 let address = record.address;
                 let instance = record.instance.clone();
-                tracing::info!(%instance, "a member is up");
+                tracing::info!(%instance, "member is up");
                 self.endpoint.addresses().set(instance, address);
             }
             MemberUpdate::Superseded { by } => {
                 tracing::error!(
                     by,
-                    "another process has this instance's name and a later life"
+                    "another process uses this instance's name with a later incarnation"
                 );
             }
-            MemberUpdate::ZoneReachable { zone } => tracing::info!(%zone, "a zone is heard again"),
-            MemberUpdate::ZoneUnreachable { zone } => tracing::warn!(%zone, "a zone is cut off"),
+            MemberUpdate::ZoneReachable { zone } => {
+                tracing::info!(%zone, "availability zone is reachable again")
+            }
+            MemberUpdate::ZoneUnreachable { zone } => {
+                tracing::warn!(%zone, "availability zone is unreachable")
+            }
             _ => {}
         }
-        // Nobody has to listen.
+        // An error only means that there are no subscribers.
         let _ = self.updates.send(update);
     }
 
@@ -129,7 +133,10 @@
         let incarnation = unix_time::micros(SystemTime::now()).max(above + 1);
         self.metrics.renewals.inc();
         self.endpoint.set_incarnation(incarnation);
-        tracing::warn!(incarnation, "the peers held this instance for gone");
+        tracing::warn!(
+            incarnation,
+            "peers declared this instance dead; starting a new incarnation"
+        );
         let _ = self.own_commands.send(MemberEvent::Renewed(incarnation));
     }
 
@@ -142,18 +149,18 @@
         }
     }
 
-    fn read(&self, incoming: PeerIncoming) -> Option<MemberEvent> {
+    fn decode(&self, incoming: PeerIncoming) -> Option<MemberEvent> {
         match incoming {
             PeerIncoming::Call { body, from, reply } => {
                 reply.send(Bytes::new());
-                self.read_body(from, &body)
+                self.decode_body(from, &body)
             }
-            PeerIncoming::Message { body, from } => self.read_body(from, &body),
+            PeerIncoming::Message { body, from } => self.decode_body(from, &body),
             PeerIncoming::Session { .. } => None,
         }
     }
 
-    fn read_body(&self, from: PeerIdentity, body: &[u8]) -> Option<MemberEvent> {
+    fn decode_body(&self, from: PeerIdentity, body: &[u8]) -> Option<MemberEvent> {
         match wire::decode(body) {
             Ok(message) => Some(MemberEvent::Message { from, message }),
             Err(_) => {
@@ -172,14 +179,14 @@
         self.endpoint.spawn(async move {
             let Some(event) = pull_table(&endpoint, &*source, &from).await else {
                 failed.inc();
-                tracing::debug!(%from, version, "a pull of the table failed");
+                tracing::debug!(%from, version, "pulling the table failed");
                 return;
             };
             let _ = commands.send(event);
         });
     }
 
-    /// Tells each neighbour that this life is over, and waits for their answers for a while.
+    /// Tells each neighbour that this incarnation has ended and waits for their answers, up to the call timeout.
     async fn announce_shutdown(mut self) {
         let mut actions = Vec::new();
         let now = Instant::now();
@@ -208,11 +215,11 @@
     from: &InstanceId,
 ) -> Option<MemberEvent> {
     let content = request_table(endpoint, from, source.pull_since()).await?;
-    let mark = source.apply(from, content).await.ok()?;
-    Some(MemberEvent::Table(mark))
+    let revision = source.apply(from, content).await.ok()?;
+    Some(MemberEvent::Table(revision))
 }
 
-/// Asks a peer for the table's changes after a version; none when it has none or does not answer.
+/// Requests the table's changes after a version from a peer; `None` when it has none or does not answer.
 pub(crate) async fn request_table(
     endpoint: &PeerEndpoint,
     from: &InstanceId,
@@ -227,7 +234,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Answers the peers' pulls of the table.
+/// Answers table pulls from peers.
 pub(crate) async fn serve_table<S: TableSource>(
     source: Arc<S>,
     mut inbox: mpsc::Receiver<PeerIncoming>,
--- a/crates/peer/src/endpoint_dial.rs
+++ b/crates/peer/src/endpoint_dial.rs
@@ -1,4 +1,4 @@
-//! How an endpoint reaches its peers: one connection of its own to each, made when it is needed.
+//! Outgoing connections of an endpoint: one to each peer, opened on demand.
 
 use {
     crate::{
@@ -44,9 +44,9 @@
         slot: &mut LinkSlot,
     ) -> Result<Connection, PeerError> {
         let attempt = self.attempt(instance, address);
-        let made = tokio::time::timeout(self.settings.connect_timeout, attempt).await;
-        let made = made.unwrap_or_else(|_| Err("no answer in time".to_owned()));
-        match made {
+        let result = tokio::time::timeout(self.settings.connect_timeout, attempt).await;
+        let result = result.unwrap_or_else(|_| Err("no answer in time".to_owned()));
+        match result {
             Ok(connection) => {
                 self.metrics.links.inc();
                 slot.put(address, connection.clone());
--- a/crates/peer/src/gossip_queue.rs
+++ b/crates/peer/src/gossip_queue.rs
@@ -1,4 +1,4 @@
-//! News that has to be passed on a few times.
+//! Updates that are gossiped in a few heartbeats.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -8,7 +8,7 @@
     rounds: u8,
 }
 
-/// Counts for each piece of news in how many more heartbeats it goes.
+/// Counts for each update in how many more heartbeats it is sent.
 #[derive(Clone, Debug)]
 pub struct GossipQueue<K> {
     entries: BTreeMap<K, GossipEntry>,
@@ -17,12 +17,12 @@
 }
 
 impl<K: Clone + Ord> GossipQueue<K> {
-    /// Whether there is news to pass on.
+    /// Whether no update is pending.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An empty queue; each piece of news goes into `start` heartbeats.
+    /// Creates an empty queue; each update is sent in `start` heartbeats.
     pub fn new(start: u8) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Adds news, or starts it anew in the place that it has.
+    /// Adds an update, or restarts its count while keeping its position.
     pub fn push(&mut self, key: K) {
         self.pushed += 1;
         let order = self.pushed;
@@ -43,7 +43,7 @@
         entry.rounds = rounds;
     }
 
-    /// What goes into the next heartbeat: what was passed on least, then what waits longest; at most `limit`.
+    /// Takes at most `limit` updates for the next heartbeat: the least sent first, then the oldest.
     pub fn take(&mut self, limit: usize) -> Vec<K> {
         let mut keys: Vec<(Reverse<u8>, u64, K)> = self
             .entries
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other all the time.
+//! The messages of the membership protocol: heartbeats and anti-entropy.
 
 use {
     crate::{
@@ -10,35 +10,35 @@
     std::time::Duration,
 };
 
-/// One heartbeat: who sends it, what it has in force, and what changed lately. Every list is bounded.
+/// One heartbeat: the sender's record, its table revision and recent changes. Every list is bounded.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Cells whose summaries are new.
+    /// New cell summaries.
     pub cells: Vec<CellSummary>,
-    /// The lowest table versions around the sender.
+    /// The lowest table versions around the sender, by distance.
     pub floors: VersionFloors,
-    /// Marks that are new.
+    /// New upstream marks.
     pub marks: Vec<UpstreamMark>,
     /// The digest of all marks that the sender knows.
     pub marks_digest: u64,
-    /// The sender itself.
+    /// The sender's own record.
     pub member: MemberRecord,
     /// The digest of all members that the sender knows.
     pub members_digest: u64,
-    /// How long ago the platform answered the sender, or one that told the sender of it; none when it never did.
+    /// How long ago the platform answered the sender or a peer whose heartbeat reported it; `None` when it never did.
     pub platform_age: Option<Duration>,
-    /// Members whose records are new.
+    /// New member records.
     pub records: Vec<MemberRecord>,
-    /// Counts the heartbeats of the sender's life; one that does not rise is a replay.
+    /// Rises with each heartbeat of the sender's incarnation; a heartbeat that does not rise is a replay.
     pub sequence: u64,
-    /// The table that the sender has in force.
+    /// The table in force at the sender.
     pub table: TableRevision,
-    /// The sender's own zone, then some others.
+    /// The sender's own availability zone, then some others in rotation.
     pub zones: Vec<ZoneSummary>,
 }
 
 impl Heartbeat {
-    /// Whether every list is within the bounds.
+    /// Whether every list has at most [`MAX_LIST_LENGTH`] entries.
     pub fn is_bounded(&self) -> bool {
         self.cells.len() <= MAX_LIST_LENGTH
             && self.marks.len() <= MAX_LIST_LENGTH
@@ -47,10 +47,10 @@
     }
 }
 
-/// The most entries that a list of a heartbeat may have.
+/// The maximum number of entries in a list of a heartbeat.
 pub const MAX_LIST_LENGTH: usize = 64;
 
-/// The digests that a peer compares with its own.
+/// An anti-entropy request: the digests that the receiver compares with its own.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SyncRequest {
     /// The digest of all marks.
@@ -59,7 +59,8 @@
     pub zones: Vec<(ZoneId, u64)>,
 }
 
-/// Whole lists, for what differs. Also tells a peer that its life is over.
+/// An anti-entropy reply: the full lists whose digests differ. Also tells a peer that its incarnation is dead or
+/// suspected.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SyncReply {
     /// All marks, when the digests differ.
@@ -73,10 +74,10 @@
 pub enum MemberMessage {
     /// A heartbeat.
     Heartbeat(Box<Heartbeat>),
-    /// A heartbeat to one who may know nothing of the sender; it is answered with a heartbeat.
+    /// A heartbeat to an instance that may not know the sender; it is answered with a heartbeat.
     Probe(Box<Heartbeat>),
-    /// Whole lists.
+    /// Answers an anti-entropy request.
     Reply(SyncReply),
-    /// Asks for whole lists.
+    /// Requests the lists that differ.
     Request(SyncRequest),
 }
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates of an instance.
+//! Keys and certificates for mutual TLS between instances.
 
 use {
     crate::peer_error::{KeysSnafu, PeerError},
@@ -7,8 +7,8 @@
     std::sync::Arc,
 };
 
-/// What an instance shows its peers and what it believes of theirs, as PEM text. The certificate has the instance's
-/// name as a DNS subject alternative name.
+/// An instance's certificate and private key and the authorities that it trusts, as PEM text. The certificate has the
+/// instance's name as a DNS subject alternative name.
 #[derive(Clone, Deserialize, Serialize)]
 pub struct PeerKeys {
     /// The certificates of the authorities that peers' certificates are checked against; two during a rotation.
@@ -20,11 +20,11 @@
 }
 
 impl PeerKeys {
-    /// New keys with a certificate that is signed by itself, until an authority certifies them.
+    /// Generates keys with a self-signed certificate, for use until an authority certifies them.
     ///
     /// # Errors
     ///
-    /// When the name can't stand in a certificate.
+    /// When the name can't be encoded in a certificate.
     pub fn self_signed(instance: &str) -> Result<Self, PeerError> {
         let pair = KeyPair::generate().map_err(keys_error)?;
         let mut params = CertificateParams::new(vec![instance.to_owned()]).map_err(keys_error)?;
@@ -44,10 +44,11 @@
     }
 }
 
-/// What all certificates of one authority say of it, so that a copy made from its private key is the same authority.
+/// The issuer name of all certificates. It is constant, so that an authority recreated from its private key is the same
+/// issuer.
 const AUTHORITY_NAME: &str = "trestlewalk instances";
 
-/// An authority that signs the certificates of instances. It is its private key: whoever has that can sign.
+/// A certificate authority for instances. Its private key is its whole identity: whoever holds it can sign.
 pub struct KeyAuthority {
     issuer: Issuer<'static, KeyPair>,
     pem: Arc<str>,
@@ -55,50 +56,50 @@
 }
 
 impl KeyAuthority {
-    /// The keys of an instance with a certificate of this authority.
+    /// Signs a certificate for an instance's existing keys.
     ///
     /// # Errors
     ///
-    /// When the name can't stand in a certificate, or the private key can't be read.
+    /// When the name can't be encoded in a certificate, or the private key can't be read.
     pub fn certify(&self, instance: &str, keys: &PeerKeys) -> Result<PeerKeys, PeerError> {
         let pair = KeyPair::from_pem(&keys.private_key).map_err(keys_error)?;
         self.sign(instance, &pair)
     }
 
-    /// The authority with a private key, PEM.
+    /// Recreates an authority from its private key, as PEM text.
     ///
     /// # Errors
     ///
-    /// When the text is no private key.
+    /// When the text is not a private key.
     pub fn from_private_key(private_key: &str) -> Result<Self, PeerError> {
         Self::from_pair(KeyPair::from_pem(private_key).map_err(keys_error)?)
     }
 
-    /// New keys for one instance.
+    /// Generates and certifies keys for one instance.
     ///
     /// # Errors
     ///
-    /// When the name can't stand in a certificate.
+    /// When the name can't be encoded in a certificate.
     pub fn issue(&self, instance: &str) -> Result<PeerKeys, PeerError> {
         let pair = KeyPair::generate().map_err(keys_error)?;
         self.sign(instance, &pair)
     }
 
-    /// A new authority.
+    /// Generates a new authority.
     ///
     /// # Errors
     ///
-    /// When the system gives no random numbers.
+    /// When the system's random number generator fails.
     pub fn new() -> Result<Self, PeerError> {
         Self::from_pair(KeyPair::generate().map_err(keys_error)?)
     }
 
-    /// The authority's certificate, PEM.
+    /// The authority's certificate, as PEM text.
     pub fn pem(&self) -> Arc<str> {
         self.pem.clone()
     }
 
-    /// The authority's private key, PEM.
+    /// The authority's private key, as PEM text.
     pub fn private_key(&self) -> Arc<str> {
         self.private_key.clone()
     }
@@ -129,7 +130,7 @@
     }
 }
 
-/// Makes an authority and keys for each instance, in the order given. For tests, benches and the demo.
+/// Generates an authority and keys for each instance, in the given order. For tests, benchmarks and the demo.
 ///
 /// # Errors
 ///
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Membership and messages between entry instances.
+//! Membership and messaging between entry instances.
 //!
-//! [`PeerEndpoint`] has the mutually authenticated links over QUIC, for messages, calls and sessions.
-//! [`MemberTable`] decides, without I/O, which instances live and which zones are cut off; [`PeerDriver`] drives it and
-//! shows the result as a [`MemberView`]. Heartbeats also spread table versions and marks on upstreams.
+//! [`PeerEndpoint`] provides mutually authenticated QUIC connections for messages, calls and sessions.
+//! [`MemberTable`] decides, without I/O, which instances are alive and which zones are unreachable; [`PeerDriver`]
+//! drives it and publishes the result as a [`MemberView`]. Heartbeats also spread table versions and upstream marks.
 
 pub mod address_table;
 pub mod cell_summary;
@@ -79,5 +79,5 @@
     upstream_mark::UpstreamMark,
 };
 
-/// Names a protocol or a kind of frame between instances; each part of the system has its own tags.
+/// Identifies a protocol or a kind of frame between instances; each part of the system has its own tags.
 pub type ProtocolTag = u16;
--- a/crates/peer/src/link_table.rs
+++ b/crates/peer/src/link_table.rs
@@ -10,14 +10,14 @@
     },
 };
 
-/// One slot a peer. Clones share it. A slot's lock is held while a connection is made, so that there is one attempt.
+/// One slot per peer, shared by clones. A slot's lock is held while connecting, so that there is only one attempt.
 #[derive(Clone, Debug, Default)]
 pub struct LinkTable {
     slots: Arc<Mutex<BTreeMap<InstanceId, Arc<tokio::sync::Mutex<LinkSlot>>>>>,
 }
 
 impl LinkTable {
-    /// Forgets all connections: each closes when nothing uses it any more.
+    /// Drops all connections; each closes when its last user releases it.
     pub fn clear(&self) {
         let mut slots = self
             .slots
@@ -26,7 +26,7 @@
         slots.clear();
     }
 
-    /// Forgets one peer's connection.
+    /// Drops one peer's connection.
     pub fn remove(&self, instance: &str) {
         let mut slots = self
             .slots
@@ -35,7 +35,7 @@
         slots.remove(instance);
     }
 
-    /// How many peers have a slot.
+    /// The number of peers with a slot.
     pub fn len(&self) -> usize {
         let slots = self
             .slots
@@ -49,7 +49,7 @@
         self.len() == 0
     }
 
-    /// Forgets the connections that were not used for longer than the limit; sessions over them go on.
+    /// Drops the connections that were unused for longer than the limit; sessions over them continue.
     pub fn sweep(&self, now: Instant, limit: Duration) {
         let mut slots = self
             .slots
@@ -63,7 +63,7 @@
         });
     }
 
-    /// Gives up connections that nothing uses: a probe or a call leaves one behind, and its keep-alives cost.
+    /// Drops idle connections periodically: a probe or a call leaves one behind, whose keep-alives cost traffic.
     pub(crate) async fn run_sweep(self, idle: Duration) {
         let mut ticks = tokio::time::interval(idle);
         loop {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The slot of a peer.
+    /// The slot of a peer, created when missing.
     pub fn slot(&self, instance: &InstanceId) -> Arc<tokio::sync::Mutex<LinkSlot>> {
         let mut slots = self
             .slots
--- a/crates/peer/src/link_traffic.rs
+++ b/crates/peer/src/link_traffic.rs
@@ -1,11 +1,11 @@
-//! What went over the links, for measurements.
+//! Traffic over the links, for measurements.
 
 use quinn::Connection;
 
 /// UDP payloads over the accepted connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkTraffic {
-    /// Bytes received and sent, without IP and UDP heads.
+    /// Bytes received and sent, without IP and UDP headers.
     pub bytes: u64,
     /// Datagrams received and sent.
     pub datagrams: u64,
--- a/crates/peer/src/mark_table.rs
+++ b/crates/peer/src/mark_table.rs
@@ -1,4 +1,4 @@
-//! The marks that an instance knows.
+//! The upstream marks that an instance has received.
 
 use {
     crate::upstream_mark::UpstreamMark,
@@ -18,8 +18,8 @@
     raised: Instant,
 }
 
-/// Holds the newest mark of each instance on each upstream until its lifetime ends. A mark that still holds is raised
-/// anew by its instance before that.
+/// Holds the newest mark of each instance on each upstream until it expires. An instance renews a mark that still
+/// applies before that.
 #[derive(Clone, Debug)]
 pub struct MarkTable {
     digest: u64,
@@ -29,17 +29,17 @@
 }
 
 impl MarkTable {
-    /// The marks as they travel now.
+    /// All marks, with their current age.
     pub fn all(&self, now: Instant) -> Vec<UpstreamMark> {
         self.marks.values().map(|held| held.at(now)).collect()
     }
 
-    /// A number that is equal for equal marks.
+    /// A digest that is equal for equal sets of marks.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Drops the marks whose lifetime ended and gives their keys.
+    /// Drops the expired marks and returns their keys.
     pub fn expire(&mut self, now: Instant) -> Vec<MarkKey> {
         let mut expired = Vec::new();
         for (key, held) in &self.marks {
@@ -54,12 +54,12 @@
         expired
     }
 
-    /// One mark as it travels now.
+    /// One mark, with its current age.
     pub fn get(&self, now: Instant, key: &MarkKey) -> Option<UpstreamMark> {
         self.marks.get(key).map(|held| held.at(now))
     }
 
-    /// An empty table.
+    /// Creates an empty table that holds at most `limit` marks.
     pub fn new(lifetime: Duration, limit: usize) -> Self {
         Self {
             digest: 0,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes a mark; `false` when it is old, expired, or over the limit.
+    /// Stores a mark; returns `false` when it is not newer than the known one, has expired, or the table is full.
     pub fn put(&mut self, now: Instant, mark: UpstreamMark) -> bool {
         let key = (mark.upstream.clone(), mark.by.clone());
         let known = self.marks.get(&key);
--- a/crates/peer/src/member_action.rs
+++ b/crates/peer/src/member_action.rs
@@ -1,31 +1,31 @@
-//! What the membership decides.
+//! The actions that the membership state machine requests.
 
 use {
     crate::{heartbeat::MemberMessage, member_update::MemberUpdate, peer_metrics::RefusedCause},
     kernel::{Incarnation, InstanceId, TableVersion},
 };
 
-/// One decision.
+/// One action for the driver to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
-    /// Tell the other parts of the process.
+    /// Publish an update to the other parts of the process.
     Notify(MemberUpdate),
     /// Pull the table from this peer.
     Pull {
         /// The peer.
         from: InstanceId,
-        /// The version that it has, at least.
+        /// The lowest version that the peer has.
         version: TableVersion,
     },
-    /// Count a message that was refused.
+    /// Count a refused message.
     Refuse(RefusedCause),
-    /// The others hold this life for gone: take a life with a greater number, and answer with
+    /// The other members consider this incarnation dead: start a higher incarnation and answer with
     /// [`MemberEvent::Renewed`](crate::MemberEvent). Until then this instance may not act as an allocator.
     Renew {
-        /// The new life's number is over this one.
+        /// The new incarnation must be greater than this one.
         above: Incarnation,
     },
-    /// Send a message, best effort, to each of these.
+    /// Send a best-effort message to each of these peers.
     Send {
         /// The message.
         message: MemberMessage,
--- a/crates/peer/src/member_event.rs
+++ b/crates/peer/src/member_event.rs
@@ -1,4 +1,4 @@
-//! What the membership hears.
+//! The inputs of the membership state machine.
 
 use {
     crate::{
@@ -10,48 +10,48 @@
     std::{net::SocketAddr, time::Instant},
 };
 
-/// An instance that the settings or the platform's list name.
+/// An instance named by the settings or by the platform's list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedMember {
-    /// Where it answers its peers.
+    /// The address of its peer endpoint.
     pub address: SocketAddr,
     /// Its name.
     pub instance: InstanceId,
-    /// Whether the list says that it is leaving.
+    /// Whether the list shows it as leaving.
     pub leaving: bool,
 }
 
-/// One event.
+/// One input of the state machine.
 #[derive(Clone, Debug)]
 pub enum MemberEvent {
-    /// This instance runs an allocator: its newest summary.
+    /// The newest summary of a cell whose allocator runs on this instance.
     Cell(CellSummary),
-    /// This instance closes: the others are told that its life is over.
+    /// This instance shuts down: its neighbours are told that its incarnation has ended.
     Close,
-    /// The instances of the settings or of the platform's list. One that is missing from it is not gone for that.
+    /// The instances of the settings or of the platform's list. A member missing from the list is not dead for that.
     Listed(Vec<ListedMember>),
-    /// This instance sees that an upstream takes no new work, or none: that it does again.
+    /// This instance observed that an upstream takes no new work, or that it does again.
     Mark {
-        /// Why.
+        /// The reason; `None` withdraws this instance's mark.
         cause: Option<LeavingCause>,
         /// The upstream.
         upstream: UpstreamId,
     },
-    /// A peer's message.
+    /// A message from a peer.
     Message {
         /// The peer.
         from: PeerIdentity,
         /// The message.
         message: MemberMessage,
     },
-    /// The platform answered this instance a call that was sent then.
+    /// The platform answered a call that this instance sent at this time.
     PlatformContact(Instant),
-    /// This instance took a new life, as [`MemberAction::Renew`](crate::MemberAction) asked.
+    /// This instance started a new incarnation, as requested by [`MemberAction::Renew`](crate::MemberAction).
     Renewed(Incarnation),
-    /// This instance's own state.
+    /// The state of this instance changed.
     State(MemberState),
-    /// The table that this instance has in force.
+    /// The table in force at this instance.
     Table(TableRevision),
-    /// Time passed.
+    /// The time of [`MemberTable::next_wake`](crate::MemberTable::next_wake) has come.
     Tick,
 }
--- a/crates/peer/src/member_merge.rs
+++ b/crates/peer/src/member_merge.rs
@@ -1,4 +1,4 @@
-//! What peers bring: heartbeats and the news in them.
+//! Merges the messages of peers: heartbeats and the updates in them.
 
 use {
     crate::{
@@ -51,7 +51,7 @@
         actions.push(MemberAction::Send { message, to });
     }
 
-    /// Whether the heartbeat was believed.
+    /// Returns whether the heartbeat was accepted.
     fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -59,8 +59,8 @@
         beat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) -> bool {
-        let names_itself = beat.member.instance == from.instance;
-        if !names_itself || beat.member.incarnation != from.incarnation || !beat.is_bounded() {
+        let is_own_record = beat.member.instance == from.instance;
+        if !is_own_record || beat.member.incarnation != from.incarnation || !beat.is_bounded() {
             actions.push(MemberAction::Refuse(RefusedCause::Garbled));
             return false;
         }
@@ -84,20 +84,20 @@
         true
     }
 
-    /// A sender whose life is over is told so and not believed.
+    /// Tells a sender whose incarnation is dead or superseded so; its heartbeat is ignored.
     fn notify_if_dead(&self, from: &PeerIdentity, actions: &mut Vec<MemberAction>) -> bool {
         let Some(known) = self.records.get(&from.instance) else {
             return false;
         };
         let same_incarnation = known.incarnation == from.incarnation;
-        let is_over = known.incarnation > from.incarnation || (same_incarnation && known.is_dead());
-        if is_over {
-            actions.push(tell(from, known));
+        let is_dead = known.incarnation > from.incarnation || (same_incarnation && known.is_dead());
+        if is_dead {
+            actions.push(record_reply(from, known));
         }
-        is_over
+        is_dead
     }
 
-    /// A sender that is heard and suspected is told, so that it refutes; the judgement waits for that.
+    /// Tells a suspected sender of the suspicion, so that it can refute it, and restarts the time until its death.
     fn notify_if_suspect(
         &mut self,
         now: Instant,
@@ -110,7 +110,7 @@
         if !known.is_suspect() {
             return;
         }
-        actions.push(tell(from, known));
+        actions.push(record_reply(from, known));
         let watch = self.watch(now, &from.instance, from.incarnation);
         watch.suspected = Some(now);
     }
@@ -144,8 +144,8 @@
         for mark in &beat.marks {
             self.merge_mark(now, mark.clone(), true, actions);
         }
-        for brief in &beat.zones {
-            self.merge_zone_summary(now, brief, actions);
+        for summary in &beat.zones {
+            self.merge_zone_summary(now, summary, actions);
         }
         for summary in &beat.cells {
             let key = (summary.cell.clone(), summary.by.clone());
@@ -159,17 +159,17 @@
     fn merge_zone_summary(
         &mut self,
         now: Instant,
-        brief: &ZoneSummary,
+        summary: &ZoneSummary,
         actions: &mut Vec<MemberAction>,
     ) {
-        if brief.zone == self.zone {
+        if summary.zone == self.zone {
             return;
         }
         let limit = self.settings.zone_timeout;
-        if !self.zones.put(now, brief.clone(), limit) {
+        if !self.zones.put(now, summary.clone(), limit) {
             return;
         }
-        let zone = brief.zone.clone();
+        let zone = summary.zone.clone();
         actions.push(MemberAction::Notify(MemberUpdate::ZoneReachable { zone }));
     }
 
@@ -191,7 +191,7 @@
         actions.push(MemberAction::Notify(MemberUpdate::Marked(mark)));
     }
 
-    /// Keeps a record when it supersedes the known one. `is_gossiped`: pass it on.
+    /// Stores a record when it supersedes the known one, and passes it on when `is_gossiped`.
     pub(crate) fn merge_record(
         &mut self,
         now: Instant,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// What the others say of this instance: a suspicion is refuted; a life that is over is left.
+    /// Handles what others report about this instance: refutes a suspicion, and abandons an incarnation that is dead.
     fn merge_own_record(
         &mut self,
         now: Instant,
@@ -269,15 +269,15 @@
         actions.push(MemberAction::Renew { above });
     }
 
-    /// A later life has this name: either another process, or an earlier process of this one before its clock went
-    /// back. The first is heard by the others, the second is not.
+    /// Handles a later incarnation of this name. It belongs either to another process, which the others still hear, or
+    /// to an earlier process of this instance before its clock went back, which falls silent.
     fn yield_to_superseder(
         &mut self,
         now: Instant,
         by: &MemberRecord,
         actions: &mut Vec<MemberAction>,
     ) {
-        // One below, so that the end of the later life still asks for a new one.
+        // One below, so that the death of the later incarnation still requests a new one.
         let stale = Some(by.incarnation - 1);
         if self.stale != stale {
             self.stale = stale;
@@ -285,7 +285,7 @@
             let by = by.incarnation;
             actions.push(MemberAction::Notify(MemberUpdate::Superseded { by }));
         }
-        if !by.is_suspect() && self.hears_zone() {
+        if !by.is_suspect() && self.has_zone_contact() {
             self.superseder_silent = None;
             return;
         }
@@ -295,20 +295,20 @@
         }
     }
 
-    /// Whether another member of the own zone is heard that could judge the zone's members.
-    fn hears_zone(&self) -> bool {
+    /// Whether another member of the own zone is reachable that could declare the zone's members dead.
+    fn has_zone_contact(&self) -> bool {
         self.heard()
             .any(|record| record.zone == self.zone && record.instance != self.instance)
     }
 }
 
-/// Whether the member itself answered since the old record.
+/// Whether the member itself refuted what the old record states.
 fn is_refuted(old: Option<&MemberRecord>, new: &MemberRecord) -> bool {
     let is_alive = new.standing == MemberStanding::Alive;
     is_alive && old.is_some_and(|old| old.incarnation == new.incarnation)
 }
 
-fn tell(to: &PeerIdentity, record: &MemberRecord) -> MemberAction {
+fn record_reply(to: &PeerIdentity, record: &MemberRecord) -> MemberAction {
     let reply = SyncReply {
         marks: Vec::new(),
         records: vec![record.clone()],
@@ -319,7 +319,7 @@
     }
 }
 
-/// What a change of a record means to the other parts of the process.
+/// Derives the updates for the other parts of the process from a change of a record.
 fn push_record_updates(
     old: Option<&MemberRecord>,
     new: &MemberRecord,
@@ -328,28 +328,28 @@
     let instance = new.instance.clone();
     let old_live = old.filter(|old| !old.is_dead());
     let same_incarnation = old_live.filter(|old| old.incarnation == new.incarnation);
-    let mut tell = |update| actions.push(MemberAction::Notify(update));
+    let mut notify = |update| actions.push(MemberAction::Notify(update));
     if new.is_dead() {
         let before = new.incarnation + 1;
         if old_live.is_some() {
-            tell(MemberUpdate::MemberDead { before, instance });
+            notify(MemberUpdate::MemberDead { before, instance });
         }
         return;
     }
     if old_live.is_some() && same_incarnation.is_none() {
         let before = new.incarnation;
         let instance = instance.clone();
-        tell(MemberUpdate::MemberDead { before, instance });
+        notify(MemberUpdate::MemberDead { before, instance });
     }
     if same_incarnation.is_none() {
-        tell(MemberUpdate::MemberUp(new.clone()));
+        notify(MemberUpdate::MemberUp(new.clone()));
     }
     if same_incarnation.is_some_and(|old| old.state == new.state) {
         return;
     }
     match new.state {
-        MemberState::Leaving => tell(MemberUpdate::MemberLeaving { instance }),
+        MemberState::Leaving => notify(MemberUpdate::MemberLeaving { instance }),
         MemberState::NotReady => {}
-        MemberState::Serving => tell(MemberUpdate::MemberReady { instance }),
+        MemberState::Serving => notify(MemberUpdate::MemberReady { instance }),
     }
 }
--- a/crates/peer/src/member_metrics.rs
+++ b/crates/peer/src/member_metrics.rs
@@ -1,32 +1,32 @@
-//! Counters of the membership.
+//! Metrics of the membership.
 
 use prometheus::{IntCounter, IntGauge, Registry};
 
-/// The counters. Clones share them.
+/// The membership's counters and gauges, shared by clones.
 #[derive(Clone, Debug)]
 pub struct MemberMetrics {
-    /// Table versions that came with two contents.
+    /// Heartbeats that reported this instance's table version with a different digest.
     pub digest_differs: IntCounter,
-    /// Members that are heard.
+    /// Members that are alive and reachable.
     pub heard: IntGauge,
-    /// Members that were declared gone.
+    /// Members that were declared dead.
     pub dead_members: IntCounter,
     /// Instances that this one exchanges heartbeats with.
     pub neighbours: IntGauge,
-    /// Pulls of the table that failed.
+    /// Failed table pulls.
     pub pulls_failed: IntCounter,
-    /// Pulls of the table.
+    /// Attempted table pulls.
     pub pulls: IntCounter,
-    /// New lives that this instance took because the others held it for gone.
+    /// New incarnations of this instance after its peers declared it dead.
     pub renewals: IntCounter,
     /// The table version in force.
     pub table_version: IntGauge,
-    /// Availability zones from which nothing is heard.
+    /// Availability zones that are unreachable.
     pub unreachable_zones: IntGauge,
 }
 
 impl MemberMetrics {
-    /// New counters at zero.
+    /// Creates all metrics at zero.
     pub fn new() -> Self {
         Self {
             digest_differs: counter(
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Registers the counters; one that is registered already stays as it is.
+    /// Registers the metrics; one that is already registered stays as it is.
     pub fn register(&self, registry: &Registry) {
         let _ = registry.register(Box::new(self.digest_differs.clone()));
         let _ = registry.register(Box::new(self.heard.clone()));
--- a/crates/peer/src/member_record.rs
+++ b/crates/peer/src/member_record.rs
@@ -1,4 +1,4 @@
-//! What all instances come to agree on about one instance.
+//! The gossiped record of one instance, on which all instances converge.
 
 use {
     crate::member_state::MemberState,
@@ -7,31 +7,31 @@
     std::net::SocketAddr,
 };
 
-/// Whether the others hear from an instance.
+/// The liveness of an instance as seen by the others.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberStanding {
-    /// It is heard.
+    /// Its heartbeats arrive.
     Alive,
-    /// It was declared gone, or closed: final for its incarnation.
+    /// It was declared dead or shut down; final for its incarnation.
     #[serde(rename = "gone")]
     Dead,
-    /// Its heartbeats are missing; it may refute that with a greater revision.
+    /// Its heartbeats are missing; it may refute the suspicion with a higher revision.
     Suspect,
 }
 
-/// One life of one instance. Of two records the one that supersedes the other is kept, in whatever order they come.
+/// One incarnation of one instance. Of two records the superseding one is kept, whatever order they arrive in.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MemberRecord {
-    /// Where it answers its peers.
+    /// The address of its peer endpoint.
     pub address: SocketAddr,
-    /// Its life.
+    /// Rises with each start of the instance and each time its peers declared it dead.
     pub incarnation: Incarnation,
     /// Its name.
     pub instance: InstanceId,
-    /// Counts what the instance itself changed in this life, and its refutations.
+    /// Rises with each change by the instance itself and each refutation within an incarnation.
     pub revision: u32,
-    /// Whether the others hear from it.
+    /// Its liveness.
     pub standing: MemberStanding,
     /// Whether it takes requests.
     pub state: MemberState,
@@ -40,13 +40,13 @@
 }
 
 impl MemberRecord {
-    /// A number that differs when anything but a suspicion differs.
+    /// A digest that changes with everything but a suspicion.
     pub fn digest(&self) -> u64 {
         let seed = self.incarnation ^ (u64::from(self.revision) << 48);
         seeded_rng::mix(seed, self.instance.as_bytes())
     }
 
-    /// Whether it is gone.
+    /// Whether this incarnation is dead.
     pub fn is_dead(&self) -> bool {
         self.standing == MemberStanding::Dead
     }
@@ -56,8 +56,8 @@
         self.standing == MemberStanding::Suspect
     }
 
-    /// Whether this record is to be kept in place of the other: a later life, then gone, then a greater revision, then
-    /// a suspicion.
+    /// Whether this record replaces the other: a later incarnation wins, then death, then a higher revision, then a
+    /// suspicion.
     pub fn supersedes(&self, other: &Self) -> bool {
         self.order() > other.order()
     }
--- a/crates/peer/src/member_settings.rs
+++ b/crates/peer/src/member_settings.rs
@@ -1,4 +1,4 @@
-//! How often instances speak, and when one counts as gone.
+//! Heartbeat intervals, failure timeouts and bounds of the membership.
 
 use {
     crate::neighbour_ring::RingLimits,
@@ -13,18 +13,18 @@
 #[derive(Builder, Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemberSettings {
-    /// How many summaries of cells a heartbeat carries.
+    /// The maximum number of cell summaries in a heartbeat.
     #[builder(default = 4)]
     pub cells_per_beat: usize,
-    /// News is sent on at once, but no sooner than this after the last heartbeat. Milliseconds in settings.
+    /// Updates bring the next heartbeat forward, but no closer than this to the last one. Milliseconds in settings.
     #[builder(default = Duration::from_millis(100))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub flush_gap: Duration,
-    /// A record of a life that is gone is kept so long, so that late news can't bring it back. Milliseconds in settings.
+    /// How long the record of a dead member is kept, so that late gossip can't revive it. Milliseconds in settings.
     #[builder(default = Duration::from_secs(3_600))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub forget_after: Duration,
-    /// A suspect that does not refute for so long is gone. Milliseconds in settings.
+    /// How long a suspect may take to refute before it is declared dead. Milliseconds in settings.
     #[builder(default = Duration::from_millis(1_500))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub gone_timeout: Duration,
@@ -32,23 +32,23 @@
     #[builder(default = Duration::from_millis(500))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub heartbeat_interval: Duration,
-    /// How long a mark holds unless it is raised anew. Milliseconds in settings.
+    /// How long a mark applies unless it is renewed. Milliseconds in settings.
     #[builder(default = Duration::from_secs(60))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub mark_lifetime: Duration,
-    /// How many marks are kept.
+    /// The maximum number of stored marks; also limits cell summaries.
     #[builder(default = 4_096)]
     pub mark_limit: usize,
-    /// How many marks a heartbeat carries.
+    /// The maximum number of marks in a heartbeat.
     #[builder(default = 16)]
     pub marks_per_beat: usize,
-    /// How many members are kept.
+    /// The maximum number of stored members.
     #[builder(default = 8_192)]
     pub member_limit: usize,
-    /// How many neighbours an instance exchanges heartbeats with; while all members fit, everyone hears everyone.
+    /// The number of neighbours of an instance in its zone; while all members fit, all exchange heartbeats.
     #[builder(default = 8)]
     pub neighbour_limit: usize,
-    /// How often an instance that is listed and not heard is tried. Milliseconds in settings.
+    /// The interval between probes of listed instances that are not reachable. Milliseconds in settings.
     #[builder(default = Duration::from_secs(5))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub probe_interval: Duration,
@@ -56,34 +56,34 @@
     #[builder(default = Duration::from_secs(1))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub pull_timeout: Duration,
-    /// How many records of members a heartbeat carries.
+    /// The maximum number of member records in a heartbeat.
     #[builder(default = 16)]
     pub records_per_beat: usize,
-    /// In how many heartbeats a piece of news goes.
+    /// In how many heartbeats an update is repeated.
     #[builder(default = 3)]
     pub rumour_rounds: u8,
-    /// How long a cell's summary counts. Milliseconds in settings.
+    /// How long a cell summary is used. Milliseconds in settings.
     #[builder(default = Duration::from_secs(10))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub summary_lifetime: Duration,
-    /// A neighbour that is silent for so long is a suspect. Milliseconds in settings.
+    /// How long a neighbour may be silent before it is suspected. Milliseconds in settings.
     #[builder(default = Duration::from_millis(1_600))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub suspicion_timeout: Duration,
-    /// After so many heartbeats with another digest the whole lists are compared.
+    /// After how many consecutive heartbeats with a different digest the full lists are requested.
     #[builder(default = 3)]
     pub sync_rounds: u8,
-    /// How many instances at each end carry the links between two availability zones.
+    /// How many instances in each of two availability zones link them to each other.
     #[builder(default = 2)]
     pub zone_links: usize,
-    /// An availability zone that is silent for so long is cut off. Milliseconds in settings.
+    /// How long an availability zone may be silent before it is unreachable. Milliseconds in settings.
     #[builder(default = Duration::from_secs(8))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub zone_timeout: Duration,
 }
 
 impl MemberSettings {
-    /// The bounds of the ring.
+    /// The bounds for the choice of neighbours.
     pub fn ring_limits(&self) -> RingLimits {
         RingLimits {
             neighbours: self.neighbour_limit,
--- a/crates/peer/src/member_state.rs
+++ b/crates/peer/src/member_state.rs
@@ -1,4 +1,4 @@
-//! What an instance says of itself.
+//! The state that an instance announces for itself.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It takes no new requests and finishes those that it has.
+    /// Draining: it takes no new requests and finishes those in flight.
     Leaving,
     /// It has no table yet.
     NotReady,
--- a/crates/peer/src/member_sync.rs
+++ b/crates/peer/src/member_sync.rs
@@ -1,4 +1,4 @@
-//! What an instance is missing: a newer table, and whole lists where digests differ.
+//! Anti-entropy: pulls newer tables, and exchanges full lists where digests differ.
 
 use {
     crate::{
@@ -12,9 +12,9 @@
     std::time::{Duration, Instant},
 };
 
-/// Whole lists with more changes than this are not passed on as news: the neighbours compare digests themselves.
+/// Replies with more entries than this are not gossiped on: the neighbours compare digests themselves.
 const MAX_GOSSIPED_ENTRIES: usize = 16;
-/// By how much a peer's word from the platform has to be newer than the own one.
+/// By how much a peer's last platform contact must be newer than the own one to replace it.
 const MIN_PLATFORM_GAIN: Duration = Duration::from_secs(1);
 
 impl MemberTable {
@@ -46,9 +46,9 @@
             version: theirs.version,
         });
     }
-    /// Takes the age of the sender's last word from the platform. Each hop adds the time on its way, so that a word
-    /// that comes back looks newer than it is: a gain within the margin is not taken, and neither is what lay in the
-    /// inbox while this process stood still.
+    /// Merges the sender's last platform contact. Its age does not include the time on the way, so a contact that comes
+    /// back over other instances looks newer than it is: a gain within the margin is ignored, and so are heartbeats that
+    /// waited in the inbox while this process was paused.
     pub(crate) fn merge_platform_contact(&mut self, now: Instant, beat: &Heartbeat) {
         let Some(heard) = beat.platform_age.and_then(|age| now.checked_sub(age)) else {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Tells of a peer that has this instance's version with another content, and of the end of that.
+    /// Reports a peer that has this instance's table version with different content, and the end of that condition.
     fn compare_contents(
         &mut self,
         now: Instant,
@@ -103,14 +103,14 @@
             && beat.marks_digest == self.marks.digest();
         let rounds = self.settings.sync_rounds;
         let is_first = beat.sequence == 1;
-        let is_new = self.records.len() <= 2;
+        let is_joining = self.records.len() <= 2;
         let watch = self.watch(now, &from.instance, from.incarnation);
         watch.differs = if equal {
             0
         } else {
             watch.differs.saturating_add(1)
         };
-        let due = watch.differs >= rounds || (!equal && (is_first || is_new));
+        let due = watch.differs >= rounds || (!equal && (is_first || is_joining));
         if !due || now < self.next_sync {
             return;
         }
--- a/crates/peer/src/member_table.rs
+++ b/crates/peer/src/member_table.rs
@@ -1,11 +1,12 @@
-//! The membership of one instance: a pure core that hears events and decides what to send and to tell.
+//! The membership of one instance: a state machine without I/O that maps events to actions.
 //!
-//! Every instance holds a record of every other. A record changes seldom; its changes go with the heartbeats to the
-//! neighbours, who pass them on, and digests find what was lost. The members of a zone judge only members of their own
-//! zone, and only while they hear at least half of it: so a zone that is cut off, or a rack, can't declare the rest of
-//! the system gone. Two sides of a partition hold different members for its duration; after it the greater records win.
+//! Every instance holds a record of every other. Records change rarely; changes are gossiped with the heartbeats to the
+//! neighbours, and anti-entropy by digests repairs what was lost. Members declare only members of their own zone dead,
+//! and only while at least half of the zone is alive to them: an isolated zone or rack therefore can't declare the rest
+//! of the system dead. The two sides of a partition hold different members while it lasts; afterwards the superseding
+//! records win.
 //!
-//! The files `member_timer.rs`, `member_merge.rs` and `member_sync.rs` have the parts: what time brings, and what peers bring.
+//! `member_timer.rs` has the periodic part, `member_merge.rs` and `member_sync.rs` handle the messages of peers.
 
 use {
     crate::{
@@ -35,14 +36,14 @@
     },
 };
 
-/// A pull of the table that is under way.
+/// A table pull in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingPull {
     pub(crate) until: Instant,
     pub(crate) version: TableVersion,
 }
 
-/// The core. `on_event` is all that changes it.
+/// The state machine. Only `on_event` changes it.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     pub(crate) cell_gossip: GossipQueue<CellKey>,
@@ -75,7 +76,7 @@
 }
 
 impl MemberTable {
-    /// A table that knows its own instance only, which is not ready.
+    /// Creates a table that knows only its own instance, which is not ready.
     pub fn new(
         now: Instant,
         identity: MemberRecord,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The record that a new instance starts with.
+    /// The initial record of an instance.
     pub fn identity(
         instance: InstanceId,
         incarnation: Incarnation,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Takes one event and appends what it decides to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting actions to `actions`. `now` never decreases.
     pub fn on_event(&mut self, now: Instant, event: MemberEvent, actions: &mut Vec<MemberAction>) {
         match event {
             MemberEvent::Cell(summary) => self.on_cell(now, summary),
@@ -150,54 +151,54 @@
             }
             MemberEvent::Renewed(incarnation) => self.on_renewed(now, incarnation, actions),
             MemberEvent::State(state) => self.on_state(now, state),
-            MemberEvent::Table(mark) => self.on_table(now, mark, actions),
+            MemberEvent::Table(revision) => self.on_table(now, revision, actions),
             MemberEvent::Tick => self.on_tick(now, actions),
         }
     }
 
-    /// The summaries of cells that count now.
+    /// The cell summaries that have not expired.
     pub fn cells(&self) -> impl Iterator<Item = &CellSummary> {
         self.cells.all()
     }
 
-    /// The members that are heard, here or by others, and not gone, suspected or cut off; this instance among them.
+    /// The members that are alive and reachable from here, including this instance.
     pub fn heard(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.live().filter(|record| {
             record.standing == MemberStanding::Alive && !self.is_unreachable(&record.instance)
         })
     }
 
-    /// This instance's life.
+    /// This instance's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.own().incarnation
     }
 
-    /// This instance.
+    /// This instance's name.
     pub fn instance(&self) -> &InstanceId {
         &self.instance
     }
 
-    /// Whether this instance's life is over in the others' eyes: it may not act as an allocator.
+    /// Whether the others consider this incarnation dead or superseded: it may not act as an allocator.
     pub fn is_stale(&self) -> bool {
         self.stale.is_some()
     }
 
-    /// The marks that hold, as of `now`.
+    /// The marks that have not expired, with their age at `now`.
     pub fn marks(&self, now: Instant) -> Vec<UpstreamMark> {
         self.marks.all(now)
     }
 
-    /// Whether a member can't be heard from here although it was not declared gone.
+    /// Whether a member is unreachable from here although it was not declared dead.
     pub fn is_unreachable(&self, instance: &str) -> bool {
         self.watches.get(instance).is_some_and(|watch| watch.cut)
     }
 
-    /// The members' records, this instance's own among them.
+    /// The records of all members, including this instance.
     pub fn members(&self) -> &RecordTable {
         &self.records
     }
 
-    /// Whom this instance exchanges heartbeats with.
+    /// The instances that this one exchanges heartbeats with.
     pub fn neighbours(&self) -> &BTreeSet<InstanceId> {
         &self.neighbours
     }
@@ -207,22 +208,22 @@
         self.next_heartbeat
     }
 
-    /// When the platform answered this instance, or one that told of it, by this instance's clock.
+    /// When the platform last answered this instance or a peer that reported it, by this instance's clock.
     pub fn platform_contact(&self) -> Option<Instant> {
         self.platform_contact
     }
 
-    /// The table that this instance has in force.
+    /// The table in force at this instance.
     pub fn table(&self) -> TableRevision {
         self.table
     }
 
-    /// The lowest table version among the serving members of this instance's own zone, as far as heard.
+    /// The lowest table version among the serving members of the own zone, as far as known here.
     pub fn zone_floor(&self) -> TableVersion {
         self.floors[FLOOR_STEPS]
     }
 
-    /// The other zones as heard.
+    /// The other zones as last reported.
     pub fn zones(&self) -> &ZoneTable {
         &self.zones
     }
@@ -233,7 +234,7 @@
             .expect("the own record is put at the start and never removed")
     }
 
-    /// Changes the own record with a new revision, and lets it go out soon.
+    /// Changes the own record with a new revision and schedules it for the next heartbeat.
     pub(crate) fn change_own(&mut self, now: Instant, change: impl FnOnce(&mut MemberRecord)) {
         let mut record = self.own().clone();
         record.revision += 1;
@@ -243,18 +244,18 @@
         self.schedule_flush(now);
     }
 
-    /// Brings the next heartbeat forward, so that news does not wait for it.
+    /// Brings the next heartbeat forward, so that updates do not wait for the interval.
     pub(crate) fn schedule_flush(&mut self, now: Instant) {
         let soon = (self.last_heartbeat + self.settings.flush_gap).max(now);
         self.next_heartbeat = self.next_heartbeat.min(soon);
     }
 
-    /// How long a member is silent before it is declared gone.
+    /// How long a member may be silent before it is declared dead.
     pub(crate) fn death_timeout(&self) -> Duration {
         self.settings.suspicion_timeout + self.settings.gone_timeout
     }
 
-    /// The version that this instance holds the zone's floor at.
+    /// The version that this instance contributes to the zone's floor.
     pub(crate) fn own_floor(&self) -> TableVersion {
         match self.own().state {
             MemberState::Serving => self.table.version,
@@ -312,9 +313,9 @@
         incarnation: Incarnation,
         actions: &mut Vec<MemberAction>,
     ) {
-        let over = self.stale.unwrap_or_default().max(self.incarnation());
-        if incarnation <= over {
-            actions.push(MemberAction::Renew { above: over });
+        let dead = self.stale.unwrap_or_default().max(self.incarnation());
+        if incarnation <= dead {
+            actions.push(MemberAction::Renew { above: dead });
             return;
         }
         self.stale = None;
@@ -337,17 +338,17 @@
         self.change_own(now, |own| own.state = state);
     }
 
-    fn on_table(&mut self, now: Instant, mark: TableRevision, actions: &mut Vec<MemberAction>) {
-        if mark.version < self.table.version {
+    fn on_table(&mut self, now: Instant, revision: TableRevision, actions: &mut Vec<MemberAction>) {
+        if revision.version < self.table.version {
             actions.push(MemberAction::Notify(MemberUpdate::VersionRegressed {
                 ours: self.table.version,
-                version: mark.version,
+                version: revision.version,
             }));
             return;
         }
-        let rose = mark.version > self.table.version;
-        self.table = mark;
-        if rose {
+        let is_newer = revision.version > self.table.version;
+        self.table = revision;
+        if is_newer {
             self.pull = None;
             self.schedule_flush(now);
         }
--- a/crates/peer/src/member_timer.rs
+++ b/crates/peer/src/member_timer.rs
@@ -1,4 +1,4 @@
-//! What time brings: heartbeats, suspicions, judgements, probes.
+//! The periodic part of the membership: heartbeats, suspicion, death, probes.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
     std::time::{Duration, Instant},
 };
 
-/// How many other zones a heartbeat speaks of.
+/// How many other availability zones a heartbeat reports.
 const ZONES_PER_HEARTBEAT: usize = 4;
 
 impl MemberTable {
@@ -50,8 +50,8 @@
         self.next_heartbeat = now + self.settings.heartbeat_interval;
     }
 
-    /// After a pause of this process the silence was its own: nobody is judged by it. After a pause as long as the
-    /// others take to declare a member gone, this life is over, told or not.
+    /// After a pause of this process the missing heartbeats are its own fault, so all silence timers restart. After a
+    /// pause as long as the others take to declare a member dead, this incarnation has ended even if no peer said so.
     fn detect_own_pause(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let pause = now.saturating_duration_since(self.next_heartbeat);
         if pause < self.settings.suspicion_timeout {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Works the neighbours out anew after a change of members. A new neighbour gets time to be heard.
+    /// Recomputes the neighbours after a change of members. The silence of a new neighbour counts from now.
     fn refresh_ring(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         if !self.ring_stale {
             return;
@@ -98,7 +98,7 @@
         self.ring_stale = false;
         let mut ring = NeighbourRing::default();
         for record in self.records.live() {
-            // So that those behind it are watched in its place.
+            // Without the unreachable member, the next members on the ring become neighbours and are monitored instead.
             if record.zone == self.zone && self.is_unreachable(&record.instance) {
                 continue;
             }
@@ -123,11 +123,12 @@
         }
     }
 
-    /// A member of another zone that is no neighbour any more is what its own zone says it is.
+    /// A member of another zone that is no longer a neighbour takes the standing that its own zone reports.
     fn mark_foreign_reachable(&mut self, instance: &InstanceId, actions: &mut Vec<MemberAction>) {
         let record = self.records.get(instance);
-        let is_well = record.is_some_and(|record| record.zone != self.zone && !record.is_suspect());
-        if is_well {
+        let is_alive =
+            record.is_some_and(|record| record.zone != self.zone && !record.is_suspect());
+        if is_alive {
             self.mark_reachable(instance, actions);
         }
     }
@@ -162,16 +163,16 @@
         }
     }
 
-    /// Suspects of the own zone that did not refute are declared gone, while at least half of the zone is heard;
-    /// else they are cut off from here and no more.
+    /// Declares suspects of the own zone dead when they did not refute in time, as long as at least half of the zone is
+    /// alive. Otherwise they are only marked as unreachable from here.
     fn expire_suspects(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let mut heard = 0;
         let mut total = 0;
         let mut due = Vec::new();
         for record in self.records.live() {
-            let is_near = record.zone == self.zone;
-            total += usize::from(is_near);
-            heard += usize::from(is_near && !record.is_suspect());
+            let is_own_zone = record.zone == self.zone;
+            total += usize::from(is_own_zone);
+            heard += usize::from(is_own_zone && !record.is_suspect());
             if record.is_suspect() && self.is_due(now, &record.instance) {
                 due.push(record.clone());
             }
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Passes a suspicion on once more, so that a suspect that lives hears of it and refutes.
+    /// Gossips a suspicion again, so that a suspect that is alive receives and refutes it.
     fn repeat_suspicion(&mut self, now: Instant, instance: InstanceId) {
         if let Some(watch) = self.watches.get_mut(&instance) {
             watch.suspected = Some(now);
@@ -248,11 +249,11 @@
 
     pub(crate) fn send_heartbeat(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let to: Vec<InstanceId> = self.neighbours.iter().cloned().collect();
-        let beat = self.build_heartbeat(now);
+        let heartbeat = self.build_heartbeat(now);
         if to.is_empty() {
             return;
         }
-        let message = MemberMessage::Heartbeat(Box::new(beat));
+        let message = MemberMessage::Heartbeat(Box::new(heartbeat));
         actions.push(MemberAction::Send { message, to });
     }
 
@@ -295,8 +296,8 @@
         }
     }
 
-    /// Tries one instance that is known by name and not heard: that is how a new one finds the others, and how two
-    /// sides of a partition find each other again.
+    /// Probes one known instance that is not reachable. This is how a new instance joins and how the two sides of a
+    /// partition find each other again.
     fn probe(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
         let alone = self.neighbours.is_empty() || self.stale.is_some();
         if (now < self.next_probe && !alone) || self.own().is_dead() {
@@ -306,7 +307,7 @@
         let targets: Vec<&InstanceId> = self
             .contacts
             .iter()
-            .filter(|instance| self.is_unheard(instance))
+            .filter(|instance| self.needs_probe(instance))
             .collect();
         if targets.is_empty() {
             return;
@@ -318,7 +319,7 @@
         actions.push(MemberAction::Send { message, to });
     }
 
-    fn is_unheard(&self, instance: &str) -> bool {
+    fn needs_probe(&self, instance: &str) -> bool {
         if self.stale.is_some() {
             return true;
         }
@@ -328,7 +329,7 @@
         record.is_dead() || self.is_unreachable(instance)
     }
 
-    /// What this instance heard from a member; made when it is new.
+    /// The local observations of a member, created when missing.
     pub(crate) fn watch(
         &mut self,
         now: Instant,
--- a/crates/peer/src/member_update.rs
+++ b/crates/peer/src/member_update.rs
@@ -1,14 +1,14 @@
-//! What the other parts of the process learn from the membership.
+//! Membership updates for the other parts of the process.
 
 use {
     crate::{member_record::MemberRecord, upstream_mark::UpstreamMark},
     kernel::{Incarnation, InstanceId, TableDigest, TableVersion, ZoneId},
 };
 
-/// One piece of news.
+/// One membership update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberUpdate {
-    /// A peer has the same table version with another content.
+    /// A peer has the same table version with different content.
     DigestDiffers {
         /// The digest of its content.
         digest: TableDigest,
@@ -17,7 +17,7 @@
         /// The version.
         version: TableVersion,
     },
-    /// A peer that had the same table version with another content has another version now, or the same content.
+    /// A peer that reported different content for the same table version now has another version or the same content.
     DigestConverged {
         /// The digest of its content.
         digest: TableDigest,
@@ -26,16 +26,16 @@
         /// Its version.
         version: TableVersion,
     },
-    /// An upstream is marked, or a mark is taken back.
+    /// An upstream was marked, or a mark was withdrawn.
     Marked(UpstreamMark),
-    /// A member can't be heard from here, and is not declared gone: it may still act. Choose another for new work.
+    /// A member is unreachable from here but not declared dead, so it may still act. New work goes to another member.
     MemberUnreachable {
         /// The member.
         instance: InstanceId,
     },
-    /// All lives of a member before this one are gone.
+    /// All earlier incarnations of a member are dead.
     MemberDead {
-        /// The first life that is not gone.
+        /// The first incarnation that is not dead.
         before: Incarnation,
         /// The member.
         instance: InstanceId,
@@ -50,31 +50,31 @@
         /// The member.
         instance: InstanceId,
     },
-    /// A life of a member is heard for the first time, or again after it was cut off.
+    /// An incarnation of a member is alive for the first time, or reachable again.
     MemberUp(MemberRecord),
-    /// This instance has a new life; its allocators start anew.
+    /// This instance started a new incarnation; its allocators start over.
     Renewed {
-        /// The new life.
+        /// The new incarnation.
         incarnation: Incarnation,
     },
-    /// Another process with this instance's name has a later life: this one must stop acting.
+    /// Another process with this instance's name has a later incarnation: this process must stop acting.
     Superseded {
-        /// The later life.
+        /// The later incarnation.
         by: Incarnation,
     },
-    /// This instance was told to put an older table in force than it has; it keeps what it has.
+    /// This instance was given an older table than the one in force; it keeps its own.
     VersionRegressed {
-        /// The version that it has.
+        /// The version in force.
         ours: TableVersion,
-        /// The version that it was given.
+        /// The version that was given.
         version: TableVersion,
     },
-    /// An availability zone is heard again.
+    /// An availability zone is reachable again.
     ZoneReachable {
         /// The zone.
         zone: ZoneId,
     },
-    /// Nothing is heard from an availability zone.
+    /// An availability zone is unreachable.
     ZoneUnreachable {
         /// The zone.
         zone: ZoneId,
--- a/crates/peer/src/member_view.rs
+++ b/crates/peer/src/member_view.rs
@@ -1,4 +1,4 @@
-//! A moment's picture of the membership, for all who don't own the core.
+//! An immutable snapshot of the membership, for readers outside the driver task.
 
 use {
     crate::{
@@ -10,51 +10,51 @@
     std::time::Instant,
 };
 
-/// One other zone, as of the picture.
+/// One other zone, as of the snapshot.
 #[derive(Clone, Debug, Serialize)]
 pub struct ZoneInfo {
-    /// Whether nothing was heard of it for too long.
+    /// Whether it is unreachable.
     pub cut: bool,
-    /// The lowest table version in force there, when it was heard.
+    /// The lowest table version in force there, as last reported.
     pub floor: TableVersion,
-    /// How many milliseconds ago it was heard.
+    /// How old its last report is, in milliseconds.
     pub silent_ms: u64,
     /// The zone.
     pub zone: ZoneId,
 }
 
-/// What the request path and the state dump see. It never changes; a newer one takes its place.
+/// The snapshot used by the request path and the state dump. A newer one replaces it as a whole.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberView {
-    /// The summaries of cells that count.
+    /// The cell summaries that have not expired.
     pub cells: Vec<CellSummary>,
-    /// The members that are heard, this instance among them, by name.
+    /// The members that are alive and reachable, including this instance, ordered by name.
     pub heard: Vec<MemberRecord>,
-    /// This instance's life.
+    /// This instance's incarnation.
     pub incarnation: Incarnation,
-    /// This instance.
+    /// This instance's name.
     pub instance: InstanceId,
-    /// Whether this instance's life is over: it may not act as an allocator.
+    /// Whether this incarnation is dead or superseded: it may not act as an allocator.
     pub is_stale: bool,
-    /// The marks that hold.
+    /// The marks that have not expired.
     pub marks: Vec<UpstreamMark>,
-    /// Whom this instance exchanges heartbeats with.
+    /// The instances that this one exchanges heartbeats with.
     pub neighbours: Vec<InstanceId>,
-    /// When the platform answered this instance, or one that told of it.
+    /// When the platform last answered this instance or a peer that reported it; `None` when it never did.
     #[serde(skip)]
     pub platform_contact: Option<Instant>,
-    /// The table in force here.
+    /// The table in force at this instance.
     pub table: TableRevision,
-    /// The members that are suspected or cut off.
+    /// The members that are suspected or unreachable.
     pub unheard: Vec<MemberRecord>,
-    /// The lowest table version in force in the own zone.
+    /// The lowest table version among the serving members of the own zone.
     pub zone_floor: TableVersion,
     /// The other zones.
     pub zones: Vec<ZoneInfo>,
 }
 
 impl MemberView {
-    /// The picture of a table.
+    /// Takes a snapshot of a table.
     pub fn new(now: Instant, table: &MemberTable) -> Self {
         let own = table.incarnation();
         Self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The members of a zone that are heard and take requests, by name: the candidates for its allocators.
+    /// The reachable members of a zone that take requests, by name: the candidates for its allocators.
     pub fn serving_in(&self, zone: &str) -> impl Iterator<Item = &MemberRecord> {
         self.heard
             .iter()
--- a/crates/peer/src/member_watch.rs
+++ b/crates/peer/src/member_watch.rs
@@ -1,32 +1,32 @@
-//! What this instance itself heard from a member; it is not passed on.
+//! This instance's own observations of a member; they are not gossiped.
 
 use {crate::version_floors::VersionFloors, kernel::Incarnation, std::time::Instant};
 
-/// One member as heard here.
+/// The failure detector's state of one member.
 #[derive(Clone, Debug)]
 pub struct MemberWatch {
-    /// Whether it is unreachable from here without having been declared gone.
+    /// Whether it is unreachable from here without having been declared dead.
     pub cut: bool,
-    /// Heartbeats in a row whose digests differ from this instance's.
+    /// Consecutive heartbeats whose digests differ from this instance's.
     pub differs: u8,
-    /// The table versions around it, from its last heartbeat.
+    /// The version floors of its last heartbeat.
     pub floors: Option<VersionFloors>,
-    /// When it was declared gone.
+    /// When it was declared dead.
     pub dead_since: Option<Instant>,
-    /// When it was last heard, or became a neighbour.
+    /// When its last heartbeat arrived, or when it became a neighbour.
     pub heard: Instant,
-    /// The life whose heartbeats `sequence` counts.
+    /// The incarnation that `sequence` belongs to.
     pub incarnation: Incarnation,
-    /// The last heartbeat's number; none before the first.
+    /// The sequence number of the last heartbeat; `None` before the first.
     pub sequence: Option<u64>,
-    /// Since when it is a suspect.
+    /// When the suspicion started or was last repeated; `None` when it is not suspected.
     pub suspected: Option<Instant>,
-    /// Whether its last heartbeat told of this instance's table version with another content.
+    /// Whether its last heartbeat reported this instance's table version with different content.
     pub table_differs: bool,
 }
 
 impl MemberWatch {
-    /// A member that was just heard of.
+    /// Creates the state of a member that was just learned of.
     pub fn new(now: Instant, incarnation: Incarnation) -> Self {
         Self {
             cut: false,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether a heartbeat is the first of its number in this life; notes it.
+    /// Accepts a heartbeat's sequence number if it rises within the incarnation; returns `false` for a replay.
     pub fn advance_sequence(&mut self, incarnation: Incarnation, sequence: u64) -> bool {
         let last = self.sequence.filter(|_| self.incarnation == incarnation);
         if last.is_some_and(|last| sequence <= last) {
--- a/crates/peer/src/neighbour_ring.rs
+++ b/crates/peer/src/neighbour_ring.rs
@@ -1,8 +1,8 @@
-//! Which instances exchange heartbeats.
+//! Chooses which instances exchange heartbeats.
 //!
-//! While all fit into the limit, everyone hears everyone. A larger zone is a ring by hash with chords: each instance
-//! links to those at a few distances both ways, so a link is seen alike from its two ends, and news crosses the zone in
-//! a few steps. Each two zones have a few links of their own.
+//! While all members fit into the limit, they form a full mesh. A larger zone is a hash ring with chords: each instance
+//! links to those at a few distances in both directions, so links are symmetric and updates cross the zone in a few
+//! hops. Each pair of zones is linked by a few relays.
 
 use {
     kernel::{InstanceId, ZoneId, seeded_rng},
@@ -11,16 +11,16 @@
 
 const RING_SEED: u64 = 0x7472_6573;
 
-/// How many links there may be.
+/// The bounds for the number of links.
 #[derive(Clone, Copy, Debug)]
 pub struct RingLimits {
-    /// How many neighbours in its own zone an instance has.
+    /// The number of neighbours of an instance in its own zone.
     pub neighbours: usize,
-    /// How many instances at each end carry the links between two zones.
+    /// How many instances in each of two zones link them to each other.
     pub zone_links: usize,
 }
 
-/// The live instances of all zones, and what an instance's place among them is.
+/// The live instances of all zones, and those of them that may link zones.
 #[derive(Clone, Debug, Default)]
 pub struct NeighbourRing {
     relays: BTreeMap<ZoneId, Vec<InstanceId>>,
@@ -28,7 +28,7 @@
 }
 
 impl NeighbourRing {
-    /// Adds an instance. One that is suspected may not carry the links between zones.
+    /// Adds an instance. A suspected instance may not link zones.
     pub fn add(&mut self, zone: ZoneId, instance: InstanceId, can_relay: bool) {
         if can_relay {
             let relays = self.relays.entry(zone.clone()).or_default();
@@ -46,7 +46,7 @@
     ) -> BTreeSet<InstanceId> {
         let total: usize = self.zones.values().map(Vec::len).sum();
         if total <= limits.neighbours + 1 {
-            return self.everyone(instance);
+            return self.full_mesh(instance);
         }
         let mut neighbours = self.zone_neighbours(zone, instance, limits.neighbours);
         for (other, members) in &self.relays {
@@ -64,10 +64,10 @@
         neighbours
     }
 
-    fn everyone(&self, instance: &InstanceId) -> BTreeSet<InstanceId> {
-        let mut everyone: BTreeSet<InstanceId> = self.zones.values().flatten().cloned().collect();
-        everyone.remove(instance);
-        everyone
+    fn full_mesh(&self, instance: &InstanceId) -> BTreeSet<InstanceId> {
+        let mut others: BTreeSet<InstanceId> = self.zones.values().flatten().cloned().collect();
+        others.remove(instance);
+        others
     }
 
     fn zone_neighbours(
@@ -84,20 +84,20 @@
             )
         });
         let count = ring.len();
-        let Some(place) = ring.iter().position(|member| member == instance) else {
+        let Some(position) = ring.iter().position(|member| member == instance) else {
             return BTreeSet::new();
         };
         let mut neighbours = BTreeSet::new();
         for distance in distances(count, limit) {
-            neighbours.insert(ring[(place + distance) % count].clone());
-            neighbours.insert(ring[(place + count - distance) % count].clone());
+            neighbours.insert(ring[(position + distance) % count].clone());
+            neighbours.insert(ring[(position + count - distance) % count].clone());
         }
         neighbours.remove(instance);
         neighbours
     }
 }
 
-/// The distances at which an instance of a ring links forwards and backwards.
+/// The ring distances at which an instance links in both directions; they grow geometrically in larger rings.
 pub fn distances(count: usize, limit: usize) -> Vec<usize> {
     if count <= limit + 1 {
         return (1..count).collect();
--- a/crates/peer/src/peer_driver.rs
+++ b/crates/peer/src/peer_driver.rs
@@ -34,15 +34,15 @@
 
 /// The tag of the membership's messages.
 pub const MEMBER_TAG: ProtocolTag = 1;
-/// The tag of pulls of the table.
+/// The tag of table pulls.
 pub const TABLE_TAG: ProtocolTag = 2;
-/// Tags from here on belong to other parts of the system.
+/// The first tag for other parts of the system.
 pub const FIRST_FREE_TAG: ProtocolTag = 16;
 
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 const UPDATE_BUFFER: usize = 1_024;
 
-/// The handle of the running membership. Clones share it. Put an `Arc` of it into the state map for dump and metrics.
+/// A handle to the running membership, shared by clones. An `Arc` of it in the state map adds the dump and the metrics.
 #[derive(Clone, Debug)]
 pub struct PeerDriver {
     commands: mpsc::UnboundedSender<MemberEvent>,
@@ -55,12 +55,12 @@
 
 #[bon]
 impl PeerDriver {
-    /// Starts the membership. `advertise` is where the peers reach this instance; `contacts` are the instances that the
-    /// settings name.
+    /// Starts the membership. `advertise` is the address at which peers reach this instance; `None` is the endpoint's own.
+    /// `contacts` are the instances named by the settings.
     ///
     /// # Errors
     ///
-    /// When the endpoint's socket is gone.
+    /// When the endpoint's local address can't be read.
     #[builder(finish_fn = start)]
     pub fn new<S: TableSource>(
         advertise: Option<SocketAddr>,
@@ -96,32 +96,32 @@
 }
 
 impl PeerDriver {
-    /// Tells the neighbours that this life is over and ends the tasks. The endpoint stays open.
+    /// Announces the shutdown to the neighbours and ends the tasks. The endpoint stays open.
     pub async fn close(self) {
         self.pool.close(CLOSE_TIMEOUT).await;
     }
 
-    /// The endpoint.
+    /// The endpoint that the membership uses.
     pub fn endpoint(&self) -> &PeerEndpoint {
         &self.endpoint
     }
 
-    /// Marks an upstream as taking no new work, or takes this instance's mark back.
+    /// Marks an upstream as taking no new work; `None` withdraws this instance's mark.
     pub fn mark(&self, upstream: UpstreamId, cause: Option<LeavingCause>) {
         self.command(MemberEvent::Mark { cause, upstream });
     }
 
-    /// The counters of the membership.
+    /// The metrics of the membership.
     pub fn metrics(&self) -> &MemberMetrics {
         &self.metrics
     }
 
-    /// What happens from now on. One who reads too slowly loses the oldest and should look at the view anew.
+    /// Subscribes to updates. A subscriber that lags behind loses the oldest ones and should read the view again.
     pub fn updates(&self) -> broadcast::Receiver<MemberUpdate> {
         self.updates.subscribe()
     }
 
-    /// Asks a peer for the table's changes after a version, 0 for all; none when it has none or does not answer.
+    /// Requests the table's changes after a version from a peer, 0 for all; `None` when it has none or does not answer.
     pub async fn pull_table(&self, from: &InstanceId, since: TableVersion) -> Option<Bytes> {
         self.metrics.pulls.inc();
         let content = driver_task::request_table(&self.endpoint, from, since).await;
@@ -131,12 +131,12 @@
         content
     }
 
-    /// States the summary of a cell that this instance allocates.
+    /// Announces the summary of a cell whose allocator runs on this instance.
     pub fn set_cell(&self, summary: CellSummary) {
         self.command(MemberEvent::Cell(summary));
     }
 
-    /// Takes the instances that the settings or the platform's list name.
+    /// Adds the instances named by the settings or the platform's list.
     pub fn set_listed(&self, members: Vec<ListedMember>) {
         for member in &members {
             self.endpoint
@@ -146,28 +146,28 @@
         self.command(MemberEvent::Listed(members));
     }
 
-    /// States that the platform answered this instance a call that was sent at `at`.
+    /// Reports that the platform answered a call that this instance sent at `at`.
     pub fn set_platform_contact(&self, at: Instant) {
         self.command(MemberEvent::PlatformContact(at));
     }
 
-    /// States whether this instance takes requests.
+    /// Announces whether this instance takes requests.
     pub fn set_state(&self, state: MemberState) {
         self.command(MemberEvent::State(state));
     }
 
-    /// States which table is in force here.
-    pub fn set_table(&self, mark: TableRevision) {
-        self.command(MemberEvent::Table(mark));
+    /// Announces the table in force at this instance.
+    pub fn set_table(&self, revision: TableRevision) {
+        self.command(MemberEvent::Table(revision));
     }
 
-    /// The newest picture of the membership.
+    /// The newest snapshot of the membership.
     pub fn view(&self) -> Arc<MemberView> {
         self.view.load_full()
     }
 
     fn command(&self, event: MemberEvent) {
-        // After the close nobody listens, and nothing is to be done.
+        // Sending fails only after the shutdown, when events no longer matter.
         let _ = self.commands.send(event);
     }
 
--- a/crates/peer/src/peer_endpoint.rs
+++ b/crates/peer/src/peer_endpoint.rs
@@ -1,4 +1,4 @@
-//! The end of all links of one instance.
+//! The QUIC endpoint of one instance.
 
 use {
     crate::{
@@ -38,7 +38,7 @@
 
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends to peers and takes what they send, each end authenticated by its certificate. Clones share one endpoint.
+/// Sends to peers and receives from them, with mutual TLS. Clones share one endpoint.
 #[derive(Clone, Debug)]
 pub struct PeerEndpoint {
     pub(crate) accepted: Arc<Mutex<Vec<Connection>>>,
@@ -56,7 +56,7 @@
 
 #[bon]
 impl PeerEndpoint {
-    /// Binds the UDP address (port 0 lets the system choose) and starts to take connections.
+    /// Binds the UDP address (port 0 lets the system choose) and starts to accept connections.
     ///
     /// # Errors
     ///
@@ -97,7 +97,7 @@
         &self.addresses
     }
 
-    /// Asks a peer and waits for its answer.
+    /// Sends a request to a peer and waits for its answer.
     ///
     /// # Errors
     ///
@@ -124,12 +124,12 @@
         let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
     }
 
-    /// Forgets the connection to a peer, such as to a life of it that is over. Sessions over it go on.
+    /// Drops the connection to a peer, for example to a dead incarnation of it. Sessions over it continue.
     pub fn forget(&self, instance: &str) {
         self.links.remove(instance);
     }
 
-    /// The life that this endpoint states in its messages.
+    /// The incarnation that this endpoint sends in its messages.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation.load(Ordering::Acquire)
     }
@@ -139,7 +139,7 @@
         &self.instance
     }
 
-    /// How many peers this instance has a connection of its own to, or tried lately.
+    /// The number of peers that this instance connected to, or tried to, and that are not idle.
     pub fn link_count(&self) -> usize {
         self.links.len()
     }
@@ -148,18 +148,18 @@
     ///
     /// # Errors
     ///
-    /// When the socket is gone.
+    /// When the socket's address can't be read.
     pub fn local_address(&self) -> Result<SocketAddr, PeerError> {
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
         self.endpoint.local_addr().context(BindSnafu { address })
     }
 
-    /// The counters of the links.
+    /// The metrics of the links.
     pub fn metrics(&self) -> &PeerMetrics {
         &self.metrics
     }
 
-    /// Opens a long-lived ordered stream of frames both ways.
+    /// Opens a long-lived, ordered, bidirectional stream of frames.
     ///
     /// # Errors
     ///
@@ -178,31 +178,30 @@
         Ok((sender, receiver))
     }
 
-    /// Takes messages, calls and sessions with a tag, in place of an earlier taker. What is over the inbox limit is
-    /// refused and counted.
+    /// Registers an inbox for messages, calls and sessions with a tag, replacing an earlier one. Messages beyond the inbox
+    /// limit are refused and counted.
     pub fn register(&self, tag: ProtocolTag) -> mpsc::Receiver<PeerIncoming> {
         self.router.register(tag, self.settings.inbox_limit)
     }
 
-    /// Changes keys and authorities without a restart. Accepted connections whose certificate the new authorities
-    /// don't accept are closed; this instance's own connections are made anew with the new key; sessions over the old
-    /// ones go on until they end.
+    /// Replaces keys and authorities without a restart. Accepted connections whose certificate the new authorities reject
+    /// are closed. Outgoing connections are reopened with the new key; sessions over the old ones continue.
     ///
     /// # Errors
     ///
-    /// When the keys can't be used; the old ones then stay.
+    /// When the keys are invalid; the old ones then stay in use.
     pub fn reload(&self, keys: &PeerKeys) -> Result<(), PeerError> {
         self.trust(keys)?;
         self.links.clear();
         Ok(())
     }
 
-    /// Changes the authorities alone: this instance's own connections stay. Accepted connections whose certificate the new
-    /// authorities don't accept are closed.
+    /// Replaces keys and authorities like [`PeerEndpoint::reload`], but keeps outgoing connections. Accepted connections
+    /// whose certificate the new authorities reject are closed.
     ///
     /// # Errors
     ///
-    /// When the keys can't be used; the old authorities then stay.
+    /// When the keys are invalid; the old authorities then stay in use.
     pub fn trust(&self, keys: &PeerKeys) -> Result<(), PeerError> {
         let tls = TlsConfig::new(keys, &self.settings)?;
         self.endpoint.set_server_config(Some(tls.server.clone()));
@@ -211,7 +210,7 @@
         Ok(())
     }
 
-    /// Sends one message, best effort: it may be lost, and comes in no order. Never waits.
+    /// Sends one best-effort message: it may be lost or reordered. Never waits.
     ///
     /// # Errors
     ///
@@ -250,17 +249,17 @@
         Ok(())
     }
 
-    /// States a new life in all messages from now on.
+    /// Sets the incarnation for all later messages.
     pub fn set_incarnation(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation, Ordering::Release);
     }
 
-    /// Runs work that ends with this endpoint.
+    /// Spawns a task that ends with this endpoint.
     pub(crate) fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         self.pool.spawn(work);
     }
 
-    /// The UDP datagrams and bytes of the live connections, sent and received: for measurements.
+    /// UDP datagrams and bytes sent and received over the open accepted connections, for measurements.
     pub fn traffic(&self) -> LinkTraffic {
         let accepted = self
             .accepted
@@ -306,7 +305,7 @@
         Ok(message)
     }
 
-    /// As a datagram when it fits into one packet, else over a stream of its own.
+    /// Sends a message as a datagram when it fits into one packet, otherwise over its own stream.
     fn send_over(&self, connection: &Connection, message: Bytes) {
         self.metrics.sent.inc();
         match connection.send_datagram(message.clone()) {
--- a/crates/peer/src/peer_error.rs
+++ b/crates/peer/src/peer_error.rs
@@ -1,4 +1,4 @@
-//! Why a message between instances failed.
+//! The errors of messages between instances.
 
 use {kernel::InstanceId, snafu::Snafu, std::net::SocketAddr};
 
@@ -11,16 +11,16 @@
     Bind {
         /// The address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The endpoint is closing.
     #[snafu(display("the peer endpoint is closing"))]
     Closing,
     /// No connection could be made.
-    #[snafu(display("peer `{instance}` can't be connected: {detail}"))]
+    #[snafu(display("cannot connect to peer `{instance}`: {detail}"))]
     Connect {
-        /// What the connection said.
+        /// The transport's error.
         detail: String,
         /// The peer.
         instance: InstanceId,
@@ -28,30 +28,30 @@
     /// A message can't be read.
     #[snafu(display("a peer's message can't be read: {detail}"))]
     Garbled {
-        /// What was wrong with it.
+        /// Why decoding failed.
         detail: String,
     },
     /// The keys or certificates can't be used.
     #[snafu(display("the peer keys can't be used: {detail}"))]
     Keys {
-        /// What was wrong with them.
+        /// Why they were rejected.
         detail: String,
     },
-    /// The connection was lost; what was sent may have arrived.
+    /// The connection was lost; sent data may have arrived.
     #[snafu(display("the connection to peer `{instance}` was lost: {detail}"))]
     Lost {
-        /// What the connection said.
+        /// The transport's error.
         detail: String,
         /// The peer.
         instance: InstanceId,
     },
     /// The sender's name is not the one in its certificate.
-    #[snafu(display("a peer calls itself `{claimed}`, which its certificate does not name"))]
+    #[snafu(display("a peer claims the name `{claimed}`, which its certificate does not contain"))]
     NameMismatch {
         /// The name in the message.
         claimed: InstanceId,
     },
-    /// The peer refused the call: nothing there takes the tag, or too many calls wait.
+    /// The peer refused the call: it has no handler for the tag, or its inbox is full.
     #[snafu(display("peer `{instance}` refused the call with tag {tag}"))]
     Refused {
         /// The peer.
@@ -60,7 +60,7 @@
         tag: u16,
     },
     /// No answer came in time; the call may have been handled.
-    #[snafu(display("peer `{instance}` gave no answer in time"))]
+    #[snafu(display("peer `{instance}` did not answer in time"))]
     Timeout {
         /// The peer.
         instance: InstanceId,
@@ -73,14 +73,14 @@
         /// The size, bytes.
         size: usize,
     },
-    /// The book has no address for the peer.
+    /// The address table has no entry for the peer.
     #[snafu(display("peer `{instance}` has no address"))]
     UnknownPeer {
         /// The peer.
         instance: InstanceId,
     },
-    /// A message has a wire version that this release does not speak.
-    #[snafu(display("a peer speaks wire version {version}; this instance speaks {ours}"))]
+    /// A message has a wire version that this release does not support.
+    #[snafu(display("a peer uses wire version {version}; this instance uses {ours}"))]
     WireVersion {
         /// The version of this release.
         ours: u16,
--- a/crates/peer/src/peer_identity.rs
+++ b/crates/peer/src/peer_identity.rs
@@ -1,14 +1,14 @@
-//! Who sent a message.
+//! The identity of a message's sender.
 
 use {
     kernel::{Incarnation, InstanceId},
     serde::{Deserialize, Serialize},
 };
 
-/// One life of one instance, as the sender states it; the name was checked against its certificate.
+/// The sender's name and incarnation. The name was checked against its certificate; the incarnation is the sender's claim.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PeerIdentity {
-    /// The sender's life.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
     /// The sender's name.
     pub instance: InstanceId,
--- a/crates/peer/src/peer_incoming.rs
+++ b/crates/peer/src/peer_incoming.rs
@@ -1,4 +1,4 @@
-//! What comes in from peers.
+//! Incoming messages, calls and sessions.
 
 use {
     crate::{
@@ -9,35 +9,35 @@
     tokio::sync::oneshot,
 };
 
-/// Answers one call. Dropping it refuses the call.
+/// Sends the answer to one call. Dropping it refuses the call.
 #[derive(Debug)]
 pub struct CallReply {
     sender: oneshot::Sender<Bytes>,
 }
 
 impl CallReply {
-    /// The two ends of an answer.
+    /// Creates a reply and the receiver of its answer.
     pub fn pair() -> (Self, oneshot::Receiver<Bytes>) {
         let (sender, receiver) = oneshot::channel();
         (Self { sender }, receiver)
     }
 
-    /// Sends the answer; a caller that is gone gets nothing.
+    /// Sends the answer; it is discarded if the caller has given up.
     pub fn send(self, body: Bytes) {
         let _ = self.sender.send(body);
     }
 }
 
-/// One thing that a peer sent to a tag that this instance takes.
+/// An incoming message, call or session with a registered tag.
 #[derive(Debug)]
 pub enum PeerIncoming {
-    /// A call that waits for an answer.
+    /// A call that expects an answer.
     Call {
         /// The request.
         body: Bytes,
         /// The caller.
         from: PeerIdentity,
-        /// Where the answer goes.
+        /// Sends the answer.
         reply: CallReply,
     },
     /// A best-effort message.
@@ -51,9 +51,9 @@
     Session {
         /// The peer.
         from: PeerIdentity,
-        /// Frames from the peer.
+        /// Receives frames from the peer.
         receiver: SessionReceiver,
-        /// Frames to the peer.
+        /// Sends frames to the peer.
         sender: SessionSender,
     },
 }
--- a/crates/peer/src/peer_metrics.rs
+++ b/crates/peer/src/peer_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the links between instances.
+//! Metrics of the links between instances.
 
 use {
     prometheus::{IntCounter, IntCounterVec, Opts, Registry},
@@ -8,26 +8,26 @@
 /// Why a message or a connection was refused.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum RefusedCause {
-    /// It can't be read.
+    /// It can't be decoded.
     Garbled,
     /// The connection had no valid key.
     Key,
     /// The sender's name is not the one in its certificate.
     Name,
-    /// Too many messages of its tag wait.
+    /// The inbox of its tag is full.
     Overload,
     /// It is over the size limit.
     Oversized,
-    /// It was seen before, or is older than one that was.
+    /// Its sequence number was already received or is too low.
     Replayed,
-    /// Nothing takes its tag.
+    /// No handler is registered for its tag.
     Tag,
     /// It has another wire version.
     Version,
 }
 
 impl RefusedCause {
-    /// Every cause, in the order of their labels.
+    /// All causes, in the order of their labels.
     pub const ALL: [Self; 8] = [
         Self::Garbled,
         Self::Key,
@@ -54,23 +54,23 @@
     }
 }
 
-/// The counters. Clones share them.
+/// The link counters, shared by clones.
 #[derive(Clone, Debug)]
 pub struct PeerMetrics {
-    /// Best-effort messages that were dropped here: no connection, or its buffer was full.
+    /// Best-effort messages dropped at the sender: there was no connection, or its buffer was full.
     pub dropped: IntCounter,
-    /// Connections made to peers.
+    /// Connections opened to peers.
     pub links: IntCounter,
-    /// Messages, calls and sessions that came in and were taken.
+    /// Messages, calls and sessions that were received and dispatched.
     pub received: IntCounter,
-    /// Connections and messages that were refused, by cause.
+    /// Refused connections and messages, by cause.
     pub refused: IntCounterVec,
-    /// Messages, calls and sessions that were sent.
+    /// Sent messages, calls and sessions.
     pub sent: IntCounter,
 }
 
 impl PeerMetrics {
-    /// New counters at zero.
+    /// Creates all counters at zero.
     pub fn new() -> Self {
         Self {
             dropped: counter("peer_dropped_total", "Best-effort messages dropped."),
@@ -86,12 +86,12 @@
         self.refused.with_label_values(&[cause.label()]).inc();
     }
 
-    /// How many were refused for a cause.
+    /// The number of refusals for a cause.
     pub fn refused_for(&self, cause: RefusedCause) -> u64 {
         self.refused.with_label_values(&[cause.label()]).get()
     }
 
-    /// Registers the counters; one that is registered already stays as it is.
+    /// Registers the counters; one that is already registered stays as it is.
     pub fn register(&self, registry: &Registry) {
         let _ = registry.register(Box::new(self.dropped.clone()));
         let _ = registry.register(Box::new(self.links.clone()));
--- a/crates/peer/src/peer_router.rs
+++ b/crates/peer/src/peer_router.rs
@@ -1,4 +1,4 @@
-//! Who takes which tag.
+//! Routes incoming messages by tag.
 
 use {
     crate::{ProtocolTag, peer_incoming::PeerIncoming},
@@ -9,27 +9,27 @@
     tokio::sync::mpsc,
 };
 
-/// Why an incoming message found no taker.
+/// Why an incoming message could not be dispatched.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteFailure {
-    /// Too many messages of the tag wait.
+    /// The inbox of the tag is full.
     Full,
-    /// Nothing takes the tag.
+    /// No handler is registered for the tag.
     Missing,
 }
 
-/// Hands incoming messages to the part of the system that registered their tag. Clones share it.
+/// Dispatches incoming messages to the inbox registered for their tag. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct PeerRouter {
     inboxes: Arc<RwLock<BTreeMap<ProtocolTag, mpsc::Sender<PeerIncoming>>>>,
 }
 
 impl PeerRouter {
-    /// Hands over one message.
+    /// Dispatches one message without waiting.
     ///
     /// # Errors
     ///
-    /// When nothing takes the tag, or too many wait.
+    /// When no handler is registered for the tag, or its inbox is full.
     pub fn dispatch(&self, tag: ProtocolTag, incoming: PeerIncoming) -> Result<(), RouteFailure> {
         let Some(inbox) = self.inbox(tag) else {
             return Err(RouteFailure::Missing);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Registers the taker of a tag, in place of an earlier one; at most `limit` messages wait.
+    /// Registers the inbox of a tag, replacing an earlier one; it holds at most `limit` messages.
     pub fn register(&self, tag: ProtocolTag, limit: usize) -> mpsc::Receiver<PeerIncoming> {
         let (sender, receiver) = mpsc::channel(limit);
         let mut inboxes = self
--- a/crates/peer/src/peer_settings.rs
+++ b/crates/peer/src/peer_settings.rs
@@ -7,44 +7,44 @@
     std::time::Duration,
 };
 
-/// How large messages may be and how long the links wait.
+/// Size limits and timeouts of the links.
 #[serde_as]
 #[derive(Builder, Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSettings {
-    /// The longest wait for a call's answer, milliseconds in settings.
+    /// How long a call waits for its answer. Milliseconds in settings.
     #[builder(default = Duration::from_millis(1_500))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub call_timeout: Duration,
-    /// The longest wait for a connection, milliseconds in settings.
+    /// How long a connection attempt may take. Milliseconds in settings.
     #[builder(default = Duration::from_millis(1_500))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub connect_timeout: Duration,
-    /// The largest frame of a session, bytes.
+    /// The maximum size of a session frame, in bytes.
     #[builder(default = 1 << 20)]
     pub frame_limit: usize,
-    /// A connection that is silent for so long is lost, milliseconds in settings.
+    /// After how long without traffic a connection is lost. Milliseconds in settings.
     #[builder(default = Duration::from_millis(4_000))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub idle_timeout: Duration,
-    /// How many messages of one tag may wait to be handled.
+    /// The maximum number of queued messages per tag.
     #[builder(default = 1_024)]
     pub inbox_limit: usize,
-    /// A connection without traffic sends a keep-alive this often, milliseconds in settings.
+    /// The keep-alive interval of a connection without traffic. Milliseconds in settings.
     #[builder(default = Duration::from_millis(1_300))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub keep_alive: Duration,
-    /// A connection that this instance made and has not used for so long is given up, milliseconds in settings.
+    /// After how long without use an outgoing connection is dropped. Milliseconds in settings.
     #[builder(default = Duration::from_millis(12_000))]
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub link_idle: Duration,
-    /// The largest message or request, bytes.
+    /// The maximum size of a message or request, in bytes.
     #[builder(default = 1 << 18)]
     pub message_limit: usize,
-    /// The largest answer to a call, bytes.
+    /// The maximum size of an answer to a call, in bytes.
     #[builder(default = 1 << 23)]
     pub reply_limit: usize,
-    /// How many calls and sessions one peer may have open at this instance.
+    /// The maximum number of concurrent calls and sessions per connection.
     #[builder(default = 4_096)]
     pub stream_limit: u32,
 }
--- a/crates/peer/src/record_table.rs
+++ b/crates/peer/src/record_table.rs
@@ -6,7 +6,7 @@
     std::collections::BTreeMap,
 };
 
-/// Holds the newest record of each member. The digests cover the members that are not gone.
+/// Holds the newest record of each member. The digests cover the members that are not dead.
 #[derive(Clone, Debug, Default)]
 pub struct RecordTable {
     digests: BTreeMap<ZoneId, u64>,
@@ -14,7 +14,7 @@
 }
 
 impl RecordTable {
-    /// All records, by name.
+    /// All records, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
@@ -33,7 +33,7 @@
         self.records.get(instance)
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -43,12 +43,12 @@
         self.records.is_empty()
     }
 
-    /// The records of the members that are not gone.
+    /// The records of the members that are not dead.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values().filter(|record| !record.is_dead())
     }
 
-    /// Takes a record in place of the earlier one, and gives that.
+    /// Stores a record and returns the one that it replaces.
     pub fn put(&mut self, record: MemberRecord) -> Option<MemberRecord> {
         self.add_digest(&record);
         let old = self.records.insert(record.instance.clone(), record);
@@ -58,7 +58,7 @@
         old
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub fn remove(&mut self, instance: &str) {
         let Some(old) = self.records.remove(instance) else {
             return;
@@ -79,7 +79,7 @@
             .collect()
     }
 
-    /// Adding twice takes out.
+    /// Combines a record into its zone's digest by XOR; adding the same record twice removes it.
     fn add_digest(&mut self, record: &MemberRecord) {
         if record.is_dead() {
             return;
--- a/crates/peer/src/session_receiver.rs
+++ b/crates/peer/src/session_receiver.rs
@@ -14,7 +14,7 @@
 /// Receives the frames of a session in order. Dropping it tells the peer to stop sending.
 #[derive(Debug)]
 pub struct SessionReceiver {
-    // Keeps the connection open for as long as the session.
+    // Keeps the connection open while the session lives.
     _connection: Connection,
     instance: InstanceId,
     limit: usize,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Ends the session's other direction: the peer is told to stop sending.
+    /// Closes the receiving direction: the peer is told to stop sending.
     pub fn close(mut self) {
         let _ = self.stream.stop(0_u32.into());
     }
@@ -46,8 +46,8 @@
         &self.instance
     }
 
-    /// The next frame; none when the peer closed its end. Not cancel-safe: a call that is dropped half way loses the
-    /// frame's place, so a task of its own should read.
+    /// Receives the next frame; `None` when the peer closed its end. Not cancel-safe: dropping the future halfway loses the
+    /// position in the stream, so a dedicated task should receive.
     ///
     /// # Errors
     ///
@@ -73,7 +73,7 @@
 fn decode_frame(mut content: Bytes) -> Result<SessionFrame, PeerError> {
     if content.len() < FRAME_HEADER_LENGTH {
         return GarbledSnafu {
-            detail: "the frame is cut off",
+            detail: "the frame is truncated",
         }
         .fail();
     }
--- a/crates/peer/src/session_sender.rs
+++ b/crates/peer/src/session_sender.rs
@@ -16,21 +16,21 @@
 pub struct SessionFrame {
     /// The content.
     pub body: Bytes,
-    /// What kind of frame it is, by the session's own protocol.
+    /// The kind of frame, defined by the session's protocol.
     pub tag: ProtocolTag,
 }
 
-/// The bytes of a session frame's length field.
+/// The size of a session frame's length field, and of its wire version and tag together, in bytes.
 pub(crate) const FRAME_HEADER_LENGTH: usize = 4;
 
-/// The stream error code of a session that was dropped before its end.
+/// QUIC stream error code of a session that was dropped before it was closed.
 const SESSION_ABORTED: u32 = 2;
 
-/// Sends the frames of a session in order. Dropping it without [`SessionSender::close`] breaks the session off.
+/// Sends the frames of a session in order. Dropping it without [`SessionSender::close`] aborts the session.
 #[derive(Debug)]
 pub struct SessionSender {
     closed: bool,
-    // Keeps the connection open for as long as the session.
+    // Keeps the connection open while the session lives.
     _connection: Connection,
     instance: InstanceId,
     limit: usize,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Ends this direction: the peer reads all frames sent, then the end.
+    /// Closes this direction: the peer receives all sent frames, then the end of the stream.
     pub async fn close(mut self) {
         self.closed = true;
         let _ = self.stream.finish();
@@ -65,7 +65,7 @@
         &self.instance
     }
 
-    /// Sends one frame; waits while the peer reads too slowly.
+    /// Sends one frame; waits while the peer applies backpressure.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
     }
 }
 
-// The library would end a dropped stream as if it were whole.
+// quinn finishes a dropped stream, which the peer could not tell from a complete session.
 impl Drop for SessionSender {
     fn drop(&mut self) {
         if self.closed {
--- a/crates/peer/src/table_revision.rs
+++ b/crates/peer/src/table_revision.rs
@@ -1,4 +1,4 @@
-//! Which table an instance has in force.
+//! Identifies the table that an instance has in force.
 
 use {
     kernel::{TableDigest, TableVersion},
@@ -10,6 +10,6 @@
 pub struct TableRevision {
     /// The hash of the whole content.
     pub digest: TableDigest,
-    /// The version; 0 before there is a table.
+    /// The version; 0 when there is no table yet.
     pub version: TableVersion,
 }
--- a/crates/peer/src/table_source.rs
+++ b/crates/peer/src/table_source.rs
@@ -1,4 +1,4 @@
-//! Where the table comes from and goes to.
+//! The interface to the holder of the operators' table.
 
 use {
     crate::{peer_error::PeerError, table_revision::TableRevision},
@@ -7,24 +7,24 @@
     std::future::Future,
 };
 
-/// The holder of the table in force, as the membership needs it. The content is opaque here.
+/// Provides the table in force to peers and applies what they send. The content is opaque to this crate.
 pub trait TableSource: Send + Sync + 'static {
-    /// What a peer that has `since` is missing; none when this instance has nothing newer.
+    /// The changes after `since`; `None` when this instance has nothing newer.
     fn changes(&self, since: TableVersion) -> Option<Bytes>;
 
     /// The table in force.
     fn revision(&self) -> TableRevision;
 
-    /// The version after which to ask a peer for changes; 0 asks for all.
+    /// The version after which to request changes from a peer; 0 requests the full table.
     fn pull_since(&self) -> TableVersion {
         self.revision().version
     }
 
-    /// Puts in force what a peer gave, and tells what is in force then.
+    /// Applies the changes from a peer and returns the resulting table revision.
     ///
     /// # Errors
     ///
-    /// When the content can't be read or is refused.
+    /// When the content can't be decoded or is refused.
     fn apply(
         &self,
         from: &InstanceId,
--- a/crates/peer/src/tls_config.rs
+++ b/crates/peer/src/tls_config.rs
@@ -1,4 +1,4 @@
-//! The TLS side of the links: both ends show a certificate.
+//! The mutual TLS configuration of the links.
 
 use {
     crate::{
@@ -19,27 +19,27 @@
     std::{any::Any, sync::Arc, time::Duration},
 };
 
-/// What a round trip is taken for before it was measured: the way between zones of a region, and the work of both ends on
-/// small machines. A first packet that is lost, or comes before its receiver listens, is sent again after three of these.
-const FIRST_RTT: Duration = Duration::from_millis(25);
+/// The assumed round-trip time of a new connection: the path between zones of a region plus processing on both ends on
+/// small hosts. A first packet that is lost, or arrives before its receiver listens, is resent after three times this.
+const INITIAL_RTT: Duration = Duration::from_millis(25);
 const APPLICATION_PROTOCOL: &[u8] = b"trestlewalk-peer/1";
 
-/// The configurations made from one set of keys.
+/// The QUIC configurations derived from one set of keys.
 #[derive(Clone, Debug)]
 pub struct TlsConfig {
-    /// For the connections that this instance makes.
+    /// For outgoing connections.
     pub client: ClientConfig,
-    /// For those that it accepts.
+    /// For accepted connections.
     pub server: ServerConfig,
     verifier: Arc<dyn ClientCertVerifier>,
 }
 
 impl TlsConfig {
-    /// Reads the keys and makes the configurations.
+    /// Parses the keys and builds the configurations.
     ///
     /// # Errors
     ///
-    /// When the PEM text can't be read, or key and certificate don't belong together.
+    /// When the PEM text can't be parsed, or key and certificate don't match.
     pub fn new(keys: &PeerKeys, settings: &PeerSettings) -> Result<Self, PeerError> {
         let provider = Arc::new(ring::default_provider());
         let roots = Arc::new(read_roots(keys)?);
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Whether a peer's certificate chain is one that these keys accept now.
+    /// Whether the current authorities accept a peer's certificate chain.
     pub fn accepts(&self, identity: Option<Box<dyn Any>>) -> bool {
         let Some(chain) = certificate_chain(identity) else {
             return false;
@@ -68,7 +68,7 @@
     }
 }
 
-/// The certificates that a connection's peer showed.
+/// The certificate chain that a connection's peer presented.
 pub fn certificate_chain(identity: Option<Box<dyn Any>>) -> Option<Vec<CertificateDer<'static>>> {
     let chain = identity?.downcast::<Vec<CertificateDer<'static>>>().ok()?;
     Some(*chain)
@@ -147,7 +147,7 @@
     let idle = IdleTimeout::try_from(settings.idle_timeout).map_err(|error| keys_error(&error))?;
     let mut config = TransportConfig::default();
     config
-        .initial_rtt(FIRST_RTT)
+        .initial_rtt(INITIAL_RTT)
         .keep_alive_interval(Some(settings.keep_alive))
         .max_concurrent_bidi_streams(settings.stream_limit.into())
         .max_concurrent_uni_streams(settings.stream_limit.into())
--- a/crates/peer/src/upstream_mark.rs
+++ b/crates/peer/src/upstream_mark.rs
@@ -1,4 +1,4 @@
-//! A mark on an upstream: it takes no new work.
+//! A mark on an upstream that takes no new work.
 
 use {
     kernel::{Incarnation, InstanceId, UpstreamId},
@@ -8,34 +8,34 @@
     std::time::Duration,
 };
 
-/// One instance's word on one upstream.
+/// One instance's observation that an upstream takes no new work.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UpstreamMark {
-    /// How long ago the instance saw it, as it travels; whole milliseconds on the wire.
+    /// How long ago the instance observed it, at the time of sending; whole milliseconds on the wire.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub age: Duration,
-    /// The instance that saw it.
+    /// The instance that observed it.
     pub by: InstanceId,
-    /// Why; none takes the instance's earlier mark back.
+    /// The reason; `None` withdraws the instance's earlier mark.
     pub cause: Option<LeavingCause>,
-    /// The life of that instance.
+    /// The incarnation of that instance.
     pub incarnation: Incarnation,
-    /// Counts the marks of that life; a later mark on the same upstream replaces an earlier one.
+    /// Rises with each mark of that incarnation; a later mark on the same upstream replaces an earlier one.
     pub serial: u32,
     /// The upstream.
     pub upstream: UpstreamId,
 }
 
 impl UpstreamMark {
-    /// A number that names this mark.
+    /// A hash that identifies this mark.
     pub fn digest(&self) -> u64 {
         let seed = self.incarnation ^ (u64::from(self.serial) << 40);
         let seed = kernel::seeded_rng::mix(seed, self.by.as_bytes());
         kernel::seeded_rng::mix(seed, self.upstream.as_bytes())
     }
 
-    /// Whether it replaces another mark of the same instance on the same upstream.
+    /// Whether this mark is newer than another one of the same instance on the same upstream.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.incarnation, self.serial) > (other.incarnation, other.serial)
     }
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,7 +1,7 @@
-//! How messages look on the wire.
+//! The wire format of messages.
 //!
-//! A message is its wire version, the length of its head, the head, and the body. On a stream a frame goes before
-//! with the message's whole length. All lengths are little-endian.
+//! A message consists of the wire version, the length of its header, the header and the body. On a stream, a message is
+//! preceded by its total length. All integers are little-endian.
 
 use {
     crate::{
@@ -14,50 +14,50 @@
     serde::{Deserialize, Serialize, de::DeserializeOwned},
 };
 
-/// The version of the wire format that this release speaks. Any change of a message's fields raises it, added fields
-/// too: the codec names no fields. 2 added `platform_age` to heartbeats.
+/// The version of the wire format. Any change of a message's fields raises it, including added fields, because the codec
+/// does not write field names. Version 2 added `platform_age` to heartbeats.
 pub const WIRE_VERSION: u16 = 9;
 
 const HEADER_LENGTH_OFFSET: usize = 2;
 const HEADER_OFFSET: usize = 4;
 
-/// What a message asks for.
+/// How a message is to be handled.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MessageKind {
-    /// An answer.
+    /// A request that expects an answer.
     Call,
-    /// Nothing: it is best effort.
+    /// A best-effort message without an answer.
     Message,
-    /// A long-lived stream of frames both ways.
+    /// The start of a long-lived, bidirectional stream of frames.
     Session,
 }
 
-/// What goes before each message's body.
+/// The header of a message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MessageHeader {
-    /// Who sends it.
+    /// The sender.
     pub from: PeerIdentity,
-    /// What it asks for.
+    /// How the message is to be handled.
     pub kind: MessageKind,
-    /// Which part of the system it is for.
+    /// The protocol that the message belongs to.
     pub tag: ProtocolTag,
 }
 
-/// Writes a value as a body.
+/// Encodes a value as a message body.
 ///
 /// # Errors
 ///
-/// When the value can't be written, such as a sequence of unknown length.
+/// When the value can't be encoded, such as a sequence of unknown length.
 pub fn encode<T: Serialize>(value: &T) -> Result<Bytes, PeerError> {
     let body = postcard::to_stdvec(value).map_err(|error| garbled(&error))?;
     Ok(body.into())
 }
 
-/// Reads a value from a body.
+/// Decodes a value from a message body.
 ///
 /// # Errors
 ///
-/// When the body is no such value, or goes on after it.
+/// When the body is not such a value, or has bytes after it.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, PeerError> {
     let (value, rest) = postcard::take_from_bytes(body).map_err(|error| garbled(&error))?;
     if !rest.is_empty() {
@@ -69,11 +69,11 @@
     Ok(value)
 }
 
-/// Writes a message: version, head, body.
+/// Encodes a message: version, header, body.
 ///
 /// # Errors
 ///
-/// When the head can't be written.
+/// When the header can't be encoded.
 pub fn encode_message(head: &MessageHeader, body: &[u8]) -> Result<Bytes, PeerError> {
     let head = encode(head)?;
     let length = u16::try_from(head.len()).map_err(|error| garbled(&error))?;
@@ -85,11 +85,11 @@
     Ok(message.freeze())
 }
 
-/// Reads a message: its head, and its body.
+/// Decodes a message into its header and its body.
 ///
 /// # Errors
 ///
-/// When it has another wire version or can't be read.
+/// When it has another wire version or can't be decoded.
 pub fn decode_message(message: &Bytes) -> Result<(MessageHeader, Bytes), PeerError> {
     let version = read_u16(message, 0)?;
     if version != WIRE_VERSION {
@@ -103,7 +103,7 @@
     let body_at = HEADER_OFFSET + length;
     if body_at > message.len() {
         return GarbledSnafu {
-            detail: "the head is cut off",
+            detail: "the header is truncated",
         }
         .fail();
     }
@@ -111,7 +111,7 @@
     Ok((head, message.slice(body_at..)))
 }
 
-/// A message with its length before it, as it goes on a stream.
+/// Prefixes a message with its length, for sending it on a stream.
 pub fn frame_message(message: &[u8]) -> Result<Bytes, PeerError> {
     let length = u32::try_from(message.len()).map_err(|error| garbled(&error))?;
     let mut frame = BytesMut::with_capacity(4 + message.len());
@@ -120,11 +120,11 @@
     Ok(frame.freeze())
 }
 
-/// Reads one length and so many bytes from a stream; none at its end.
+/// Reads one length-prefixed message from a stream; `None` at the end of the stream.
 ///
 /// # Errors
 ///
-/// When the length is over the limit or the stream breaks off.
+/// When the length is over the limit or the stream ends early.
 pub async fn read_frame(stream: &mut RecvStream, limit: usize) -> Result<Option<Bytes>, PeerError> {
     let mut prefix = [0; 4];
     let Some(count) = stream
@@ -160,7 +160,7 @@
 fn read_u16(message: &[u8], at: usize) -> Result<u16, PeerError> {
     let Some(bytes) = message.get(at..at + 2) else {
         return GarbledSnafu {
-            detail: "the message is cut off",
+            detail: "the message is truncated",
         }
         .fail();
     };
--- a/crates/peer/src/zone_summary.rs
+++ b/crates/peer/src/zone_summary.rs
@@ -1,4 +1,4 @@
-//! What is known of a whole availability zone.
+//! A summary of a whole availability zone.
 
 use {
     kernel::{TableVersion, ZoneId},
@@ -7,11 +7,11 @@
     std::time::Duration,
 };
 
-/// How lately an availability zone was heard and which table version all its serving instances have.
+/// When an availability zone last reported, and the table version that all its serving instances have reached.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ZoneSummary {
-    /// How long ago the zone said so; whole milliseconds on the wire.
+    /// How long ago the zone reported this; whole milliseconds on the wire.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     pub age: Duration,
     /// The lowest table version in force among the zone's serving instances.
--- a/crates/peer/src/zone_table.rs
+++ b/crates/peer/src/zone_table.rs
@@ -1,4 +1,4 @@
-//! The other availability zones as this instance hears of them.
+//! The other availability zones, as last reported to this instance.
 
 use {
     crate::zone_summary::ZoneSummary,
@@ -12,15 +12,15 @@
 /// One other zone.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneView {
-    /// Whether nothing was heard of it for too long.
+    /// Whether it is unreachable: its last report is too old.
     pub cut: bool,
-    /// The lowest table version in force there, when it was heard.
+    /// The lowest table version in force there, as last reported.
     pub floor: TableVersion,
-    /// When it spoke.
+    /// When it last reported, by this instance's clock.
     pub heard: Instant,
 }
 
-/// Keeps the freshest brief of each other zone.
+/// Keeps the newest summary of each other zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneTable {
     cursor: usize,
@@ -28,12 +28,12 @@
 }
 
 impl ZoneTable {
-    /// The other zones.
+    /// All other zones, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = (&ZoneId, &ZoneView)> {
         self.zones.iter()
     }
 
-    /// Marks the zones that were silent for longer than the limit and gives those that were not marked before.
+    /// Marks zones that were silent for longer than the limit as unreachable and returns the newly marked ones.
     pub fn cut(&mut self, now: Instant, limit: Duration) -> Vec<ZoneId> {
         let mut cut = Vec::new();
         for (zone, view) in &mut self.zones {
@@ -46,40 +46,40 @@
         cut
     }
 
-    /// The next few zones to pass on; all come in turn.
+    /// The next `count` zones to gossip, in rotation.
     pub fn next(&mut self, now: Instant, count: usize) -> Vec<ZoneSummary> {
         let total = self.zones.len();
-        let mut briefs = Vec::new();
+        let mut summaries = Vec::new();
         for step in 0..count.min(total) {
             let Some((zone, view)) = self.zones.iter().nth((self.cursor + step) % total) else {
                 continue;
             };
-            briefs.push(ZoneSummary {
+            summaries.push(ZoneSummary {
                 age: now.saturating_duration_since(view.heard),
                 floor: view.floor,
                 zone: zone.clone(),
             });
         }
         self.cursor = self.cursor.wrapping_add(count) % total.max(1);
-        briefs
+        summaries
     }
 
-    /// Takes a brief when it is fresher than what is known; `true` when the zone was cut off and is back.
-    pub fn put(&mut self, now: Instant, brief: ZoneSummary, limit: Duration) -> bool {
-        let heard = now.checked_sub(brief.age).unwrap_or(now);
-        let known = self.zones.get(&brief.zone);
+    /// Stores a summary when it is newer than the known one; returns `true` when an unreachable zone is reachable again.
+    pub fn put(&mut self, now: Instant, summary: ZoneSummary, limit: Duration) -> bool {
+        let heard = now.checked_sub(summary.age).unwrap_or(now);
+        let known = self.zones.get(&summary.zone);
         if known.is_some_and(|known| known.heard >= heard) {
             return false;
         }
         let was_cut = known.is_some_and(|known| known.cut);
-        let cut = was_cut && brief.age > limit;
-        let floor = brief.floor;
+        let cut = was_cut && summary.age > limit;
+        let floor = summary.floor;
         self.zones
-            .insert(brief.zone, ZoneView { cut, floor, heard });
+            .insert(summary.zone, ZoneView { cut, floor, heard });
         was_cut && !cut
     }
 
-    /// Moves all times on, after this instance itself stood still.
+    /// Resets all silence timers to `now`, after a pause of this instance itself.
     pub fn shift(&mut self, now: Instant) {
         for view in self.zones.values_mut() {
             view.heard = now;
--- a/crates/peer/tests/driver.rs
+++ b/crates/peer/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The membership over real links on loopback.
+//! The membership driver over real QUIC connections on loopback.
 
 mod support;
 
@@ -14,11 +14,11 @@
         sync::{Arc, Mutex},
         time::Duration,
     },
-    support::{PATIENCE, make_endpoint, until},
+    support::{TEST_TIMEOUT, make_endpoint, until},
     tokio::sync::broadcast,
 };
 
-/// A table that is its version alone.
+/// A table source whose content is only the version.
 #[derive(Default)]
 struct VersionSource {
     version: Mutex<TableVersion>,
@@ -28,7 +28,7 @@
     fn set(&self, version: TableVersion) -> TableRevision {
         let mut known = self.version.lock().unwrap();
         *known = version.max(*known);
-        mark(*known)
+        revision(*known)
     }
 }
 
@@ -42,7 +42,7 @@
     }
 
     fn revision(&self) -> TableRevision {
-        mark(*self.version.lock().unwrap())
+        revision(*self.version.lock().unwrap())
     }
 
     async fn apply(&self, _from: &InstanceId, content: Bytes) -> Result<TableRevision, PeerError> {
@@ -50,14 +50,14 @@
     }
 }
 
-fn mark(version: TableVersion) -> TableRevision {
+fn revision(version: TableVersion) -> TableRevision {
     TableRevision {
         digest: version * 31,
         version,
     }
 }
 
-fn quick() -> MemberSettings {
+fn fast_settings() -> MemberSettings {
     MemberSettings::builder()
         .flush_gap(Duration::from_millis(5))
         .heartbeat_interval(Duration::from_millis(20))
@@ -66,7 +66,7 @@
         .build()
 }
 
-/// Instances that know the first one only.
+/// Starts instances that know only the first one.
 fn start_fleet(count: usize) -> (Vec<PeerDriver>, Vec<Arc<VersionSource>>) {
     let names: Vec<String> = (0..count).map(|index| format!("node-{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -87,7 +87,7 @@
         let driver = PeerDriver::builder()
             .contacts(contacts)
             .endpoint(endpoint)
-            .settings(quick())
+            .settings(fast_settings())
             .source(source.clone())
             .zone("riga-a".into())
             .start()
@@ -99,20 +99,23 @@
 }
 
 async fn wait_for(
-    news: &mut broadcast::Receiver<MemberUpdate>,
-    wanted: impl Fn(&MemberUpdate) -> bool,
+    updates: &mut broadcast::Receiver<MemberUpdate>,
+    matches: impl Fn(&MemberUpdate) -> bool,
 ) -> MemberUpdate {
     let wait = async {
         loop {
-            let item = news.recv().await.expect("the news are read in time");
-            if wanted(&item) {
-                return item;
+            let update = updates
+                .recv()
+                .await
+                .expect("the receiver does not lag behind");
+            if matches(&update) {
+                return update;
             }
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TEST_TIMEOUT, wait)
         .await
-        .expect("the news comes")
+        .expect("the update arrives in time")
 }
 
 #[tokio::test]
@@ -127,21 +130,21 @@
     let version = sources[2].set(7);
     drivers[2].set_table(version);
     for (driver, source) in drivers.iter().zip(&sources) {
-        until(|| driver.view().table == mark(7)).await;
-        assert_eq!(source.revision(), mark(7));
+        until(|| driver.view().table == revision(7)).await;
+        assert_eq!(source.revision(), revision(7));
     }
     until(|| drivers[0].view().zone_floor == 7).await;
-    let mut news = drivers[0].updates();
+    let mut updates = drivers[0].updates();
     let last = drivers.pop().unwrap();
-    let life = last.view().incarnation;
+    let incarnation = last.view().incarnation;
     last.close().await;
-    let gone = wait_for(&mut news, |item| {
-        matches!(item, MemberUpdate::MemberDead { .. })
+    let update = wait_for(&mut updates, |update| {
+        matches!(update, MemberUpdate::MemberDead { .. })
     })
     .await;
     let instance = "node-3".into();
-    let before = life + 1;
-    assert_eq!(gone, MemberUpdate::MemberDead { before, instance });
+    let before = incarnation + 1;
+    assert_eq!(update, MemberUpdate::MemberDead { before, instance });
 }
 
 #[tokio::test]
--- a/crates/peer/tests/fuzz.rs
+++ b/crates/peer/tests/fuzz.rs
@@ -1,12 +1,12 @@
-//! Stateful fuzz: several membership cores under partitions, loss, repeats, reordering, crashes, pauses and skewed
-//! clocks, against a simple oracle. While it runs no life and no version goes down; after healing and a quiet time all
-//! live instances hear exactly each other and agree on table and marks.
+//! Stateful fuzzing: several membership state machines under partitions, loss, duplication, reordering, crashes, pauses
+//! and clock skew, against a simple oracle. No incarnation and no version ever decreases; after the faults end and a
+//! quiet period, all live instances have exactly each other as members and agree on table and marks.
 
 #[path = "support/fleet.rs"]
 mod fleet;
 
 use {
-    fleet::{Fleet, mark, mark_names},
+    fleet::{Fleet, mark_names, revision},
     peer::{MemberEvent, MemberSettings},
     proptest::{
         prelude::*,
@@ -21,7 +21,7 @@
 const QUIET: Duration = Duration::from_secs(60);
 const HOUR_MICROS: u64 = 3_600_000_000;
 
-/// One thing that happens to the fleet.
+/// One operation or fault applied to the fleet.
 #[derive(Clone, Debug)]
 enum FleetStep {
     Advance(u64),
@@ -45,21 +45,22 @@
     Thaw(usize),
 }
 
-/// What the oracle knows: which processes run, and which upstreams they marked in that life of the process.
+/// The oracle's state: which processes run, and which upstreams each marked since its start.
 #[derive(Clone, Debug)]
 struct FleetModel {
     frozen: [bool; NODES],
-    is_wide: bool,
+    is_sparse: bool,
     marks: BTreeSet<(u8, usize)>,
     seed: u64,
     up: [bool; NODES],
 }
 
 impl FleetModel {
-    /// Whether a zone keeps a process when this one ends.
-    fn may_end(&self, node: usize) -> bool {
-        let mates = (0..NODES).filter(|other| other % ZONES == node % ZONES && *other != node);
-        self.up[node] && mates.into_iter().any(|other| self.up[other])
+    /// Whether this process runs and another one of its zone does, so that it may stop.
+    fn can_stop(&self, node: usize) -> bool {
+        let zone_members =
+            (0..NODES).filter(|other| other % ZONES == node % ZONES && *other != node);
+        self.up[node] && zone_members.into_iter().any(|other| self.up[other])
     }
 }
 
@@ -69,9 +70,9 @@
 
     fn init_state() -> BoxedStrategy<Self> {
         (any::<bool>(), any::<u64>())
-            .prop_map(|(is_wide, seed)| Self {
+            .prop_map(|(is_sparse, seed)| Self {
                 frozen: [false; NODES],
-                is_wide,
+                is_sparse,
                 marks: BTreeSet::new(),
                 seed,
                 up: [true; NODES],
@@ -123,7 +124,7 @@
     fn preconditions(model: &Self, step: &FleetStep) -> bool {
         match step {
             FleetStep::Close(node) | FleetStep::Crash(node) => {
-                model.may_end(*node) && !model.frozen[*node]
+                model.can_stop(*node) && !model.frozen[*node]
             }
             FleetStep::Edit(node) | FleetStep::Mark(node, _) | FleetStep::OldTable(node) => {
                 model.up[*node] && !model.frozen[*node]
@@ -143,7 +144,7 @@
     type Reference = FleetModel;
 
     fn init_test(model: &FleetModel) -> Fleet {
-        let neighbours = if model.is_wide { 2 } else { NODES };
+        let neighbours = if model.is_sparse { 2 } else { NODES };
         let settings = MemberSettings::builder()
             .mark_lifetime(Duration::from_secs(3_600))
             .neighbour_limit(neighbours)
@@ -170,14 +171,14 @@
                 fleet.repeats = repeats;
             }
             FleetStep::Mark(node, upstream) => fleet.mark(node, &format!("engine-{upstream}")),
-            FleetStep::OldTable(node) => fleet.feed(node, MemberEvent::Table(mark(1))),
+            FleetStep::OldTable(node) => fleet.feed(node, MemberEvent::Table(revision(1))),
             FleetStep::Partition(mask) => fleet.partition(mask),
             FleetStep::Restart { back, node } => {
                 fleet.start(node, if back { HOUR_MICROS } else { 0 });
             }
             FleetStep::Thaw(node) => fleet.thaw(node),
         }
-        fleet.check_rising();
+        fleet.check_monotonic();
         fleet
     }
 
@@ -186,7 +187,7 @@
         let first = fleet.live()[0].0;
         fleet.edit(first);
         fleet.run(QUIET);
-        fleet.check_rising();
+        fleet.check_monotonic();
         fleet.check_agreement();
         let (_, table) = fleet.live()[0];
         let names = mark_names(table, std::time::Instant::now());
@@ -194,13 +195,13 @@
             let upstream = format!("engine-{upstream}").into();
             assert!(
                 names.contains(&(upstream, fleet.name(by))),
-                "a mark was lost"
+                "a mark is missing"
             );
         }
     }
 }
 
-/// A fixed seed and a number of cases for every run; the usual variables of the library ask for others.
+/// Uses a fixed seed and number of cases unless proptest's environment variables set others.
 fn config() -> Config {
     let mut config = Config {
         failure_persistence: None,
--- a/crates/peer/tests/keys.rs
+++ b/crates/peer/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Who is let in: keys, names, rotation, garbage, sizes, versions.
+//! Authentication and validation of peers: keys, names, rotation, malformed data, sizes, versions.
 
 mod support;
 
@@ -17,7 +17,7 @@
 
 const TAG: u16 = 7;
 
-/// A connection with valid keys that says what the test wants.
+/// Opens a raw connection with valid keys, over which a test sends arbitrary bytes.
 async fn connect_raw(keys: &PeerKeys, to: &PeerEndpoint) -> (Endpoint, Connection) {
     let tls = TlsConfig::new(keys, &PeerSettings::default()).unwrap();
     let endpoint = Endpoint::client(loopback()).unwrap();
@@ -27,7 +27,7 @@
     (endpoint, connection)
 }
 
-fn head(instance: &str) -> MessageHeader {
+fn header(instance: &str) -> MessageHeader {
     let from = PeerIdentity {
         incarnation: 1,
         instance: instance.into(),
@@ -46,7 +46,7 @@
     let addresses = AddressTable::new();
     let second = make_endpoint("b", &addresses, &keys[0], PeerSettings::default());
     echo(&second, TAG);
-    // The stranger believes the authority of `b`, but can't show a key that it signed.
+    // The stranger trusts the authority of `b`, but its own certificate is not signed by it.
     let stranger_keys = PeerKeys {
         authorities: format!("{}{}", foreign.pem(), keys[0].authorities).into(),
         ..foreign_keys[0].clone()
@@ -64,8 +64,8 @@
     let addresses = AddressTable::new();
     let second = make_endpoint("b", &addresses, &keys[1], PeerSettings::default());
     echo(&second, TAG);
-    let liar = make_endpoint("c", &addresses, &keys[0], PeerSettings::default());
-    let answer = liar.call(&name("b"), TAG, b"").await;
+    let impostor = make_endpoint("c", &addresses, &keys[0], PeerSettings::default());
+    let answer = impostor.call(&name("b"), TAG, b"").await;
     assert!(
         matches!(answer, Err(PeerError::Refused { .. })),
         "{answer:?}"
@@ -79,10 +79,10 @@
     let second = make_endpoint("b", &AddressTable::new(), &keys[1], PeerSettings::default());
     let _inbox = second.register(TAG);
     let (_endpoint, connection) = connect_raw(&keys[0], &second).await;
-    let honest = wire::encode_message(&head("a"), b"").unwrap();
+    let honest = wire::encode_message(&header("a"), b"").unwrap();
     connection.send_datagram(honest).unwrap();
     until(|| second.metrics().received.get() == 1).await;
-    let other = wire::encode_message(&head("b"), b"").unwrap();
+    let other = wire::encode_message(&header("b"), b"").unwrap();
     connection.send_datagram(other).unwrap();
     until(|| second.metrics().refused_for(RefusedCause::Name) == 1).await;
 }
@@ -92,9 +92,9 @@
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
     let second = make_endpoint("b", &AddressTable::new(), &keys[1], PeerSettings::default());
     let (_endpoint, connection) = connect_raw(&keys[0], &second).await;
-    let cut_head = [&wire::WIRE_VERSION.to_le_bytes()[..], b"\xff\xff"].concat();
-    let cut_name = [&wire::WIRE_VERSION.to_le_bytes()[..], b"\x02\x00zz"].concat();
-    for garbage in [&b""[..], b"\x01", &cut_head, &cut_name] {
+    let truncated_header = [&wire::WIRE_VERSION.to_le_bytes()[..], b"\xff\xff"].concat();
+    let invalid_header = [&wire::WIRE_VERSION.to_le_bytes()[..], b"\x02\x00zz"].concat();
+    for garbage in [&b""[..], b"\x01", &truncated_header, &invalid_header] {
         let garbage = Bytes::copy_from_slice(garbage);
         connection.send_datagram(garbage).unwrap();
     }
@@ -106,7 +106,7 @@
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
     let second = make_endpoint("b", &AddressTable::new(), &keys[1], PeerSettings::default());
     let (_endpoint, connection) = connect_raw(&keys[0], &second).await;
-    let mut message = wire::encode_message(&head("a"), b"").unwrap().to_vec();
+    let mut message = wire::encode_message(&header("a"), b"").unwrap().to_vec();
     message[0] = 200;
     connection.send_datagram(message.into()).unwrap();
     until(|| second.metrics().refused_for(RefusedCause::Version) == 1).await;
@@ -152,7 +152,7 @@
     first.call(&name("b"), TAG, b"both").await.unwrap();
     second.reload(&new.issue("b").unwrap()).unwrap();
     first.call(&name("b"), TAG, b"new").await.unwrap();
-    // The old key is worth nothing now.
+    // The old key is no longer accepted.
     first
         .reload(&PeerKeys {
             authorities: both,
@@ -175,7 +175,7 @@
         PeerSettings::default(),
     );
     let (_endpoint, connection) = connect_raw(&old.issue("a").unwrap(), &second).await;
-    let message = wire::encode_message(&head("a"), b"").unwrap();
+    let message = wire::encode_message(&header("a"), b"").unwrap();
     let _inbox = second.register(TAG);
     connection.send_datagram(message).unwrap();
     until(|| second.metrics().received.get() == 1).await;
@@ -218,12 +218,12 @@
         &*first.call(&name("b"), TAG, b"known").await.unwrap(),
         b"known"
     );
-    // The same authority again: the connection stays.
+    // Reloading the same authority keeps the connection.
     let links = first.metrics().links.get();
     first.trust(&copy.certify("a", &keys_a).unwrap()).unwrap();
     first.call(&name("b"), TAG, b"again").await.unwrap();
     assert_eq!(first.metrics().links.get(), links);
-    // Another authority's certificate is not let in.
+    // A certificate of another authority is refused.
     let other = KeyAuthority::new().unwrap();
     let stranger = other.certify("c", &keys_a).unwrap();
     let third = make_endpoint("c", &addresses, &stranger, PeerSettings::default());
--- a/crates/peer/tests/links.rs
+++ b/crates/peer/tests/links.rs
@@ -1,4 +1,4 @@
-//! Messages, calls and sessions between two instances over loopback.
+//! Messages, calls and sessions between two instances on loopback.
 
 mod support;
 
@@ -74,8 +74,8 @@
     let mut inbox = second.register(TAG);
     let (mut sender, mut receiver) = first.open_session(&name("b"), TAG).await.unwrap();
     let PeerIncoming::Session {
-        receiver: mut far_receiver,
-        sender: mut far_sender,
+        receiver: mut peer_receiver,
+        sender: mut peer_sender,
         ..
     } = next(&mut inbox).await
     else {
@@ -86,17 +86,17 @@
             .send(count, &vec![1; usize::from(count) * 50])
             .await
             .unwrap();
-        let frame = far_receiver.receive().await.unwrap().unwrap();
+        let frame = peer_receiver.receive().await.unwrap().unwrap();
         assert_eq!(
             (frame.tag, frame.body.len()),
             (count, usize::from(count) * 50)
         );
-        far_sender.send(count + 1, b"back").await.unwrap();
+        peer_sender.send(count + 1, b"back").await.unwrap();
         let frame = receiver.receive().await.unwrap().unwrap();
         assert_eq!(frame.tag, count + 1);
     }
     let end = tokio::spawn(sender.close());
-    assert_eq!(far_receiver.receive().await.unwrap(), None);
+    assert_eq!(peer_receiver.receive().await.unwrap(), None);
     end.await.unwrap();
 }
 
--- a/crates/peer/tests/members.rs
+++ b/crates/peer/tests/members.rs
@@ -1,10 +1,10 @@
-//! The membership core in virtual time: one behaviour a test.
+//! The membership state machine in virtual time: one behaviour per test.
 
 #[path = "support/fleet.rs"]
 mod fleet;
 
 use {
-    fleet::{Fleet, mark},
+    fleet::{Fleet, revision},
     kernel::{InstanceId, ZoneId},
     peer::{
         MemberAction, MemberEvent, MemberMessage, MemberSettings, MemberState, MemberTable,
@@ -24,88 +24,95 @@
     Duration::from_secs(count)
 }
 
-fn settled(count: usize, zones: usize) -> Fleet {
+fn settled_fleet(count: usize, zones: usize) -> Fleet {
     let mut fleet = Fleet::new(count, zones, MemberSettings::default(), 7);
     fleet.edit(0);
     fleet.run(SETTLE);
     fleet.check_agreement();
-    fleet.news.clear();
+    fleet.updates.clear();
     fleet
 }
 
-fn gone(fleet: &Fleet) -> BTreeSet<InstanceId> {
-    let mut gone = BTreeSet::new();
-    for (_, _, news) in &fleet.news {
-        let MemberUpdate::MemberDead { instance, .. } = news else {
+fn dead_members(fleet: &Fleet) -> BTreeSet<InstanceId> {
+    let mut dead = BTreeSet::new();
+    for (_, _, update) in &fleet.updates {
+        let MemberUpdate::MemberDead { instance, .. } = update else {
             continue;
         };
-        gone.insert(instance.clone());
+        dead.insert(instance.clone());
     }
-    gone
+    dead
 }
 
 #[test]
 fn a_crashed_member_is_gone_everywhere_within_the_bound() {
-    let mut fleet = settled(9, 3);
+    let mut fleet = settled_fleet(9, 3);
     fleet.crash(4);
     fleet.run(second(5));
-    let hearers: BTreeSet<usize> = fleet.news.iter().map(|(hearer, ..)| *hearer).collect();
-    assert_eq!(gone(&fleet), BTreeSet::from([fleet.name(4)]));
-    assert_eq!(hearers.len(), 8);
+    let observers: BTreeSet<usize> = fleet
+        .updates
+        .iter()
+        .map(|(observer, ..)| *observer)
+        .collect();
+    assert_eq!(dead_members(&fleet), BTreeSet::from([fleet.name(4)]));
+    assert_eq!(observers.len(), 8);
     fleet.check_agreement();
 }
 
 #[test]
 fn a_member_that_was_paused_takes_a_new_life() {
-    let mut fleet = settled(9, 3);
-    let life = fleet.nodes[4].table.as_ref().unwrap().incarnation();
+    let mut fleet = settled_fleet(9, 3);
+    let incarnation = fleet.nodes[4].table.as_ref().unwrap().incarnation();
     fleet.nodes[4].frozen = true;
     fleet.run(second(20));
     fleet.thaw(4);
     fleet.run(second(20));
-    assert!(fleet.nodes[4].table.as_ref().unwrap().incarnation() > life);
+    assert!(fleet.nodes[4].table.as_ref().unwrap().incarnation() > incarnation);
     fleet.check_agreement();
 }
 
 #[test]
 fn a_restart_with_a_clock_that_went_back_takes_a_later_life() {
-    let mut fleet = settled(9, 3);
-    let life = fleet.nodes[4].table.as_ref().unwrap().incarnation();
+    let mut fleet = settled_fleet(9, 3);
+    let incarnation = fleet.nodes[4].table.as_ref().unwrap().incarnation();
     fleet.crash(4);
     fleet.start(4, 400_000_000);
-    assert!(fleet.nodes[4].table.as_ref().unwrap().incarnation() < life);
+    assert!(fleet.nodes[4].table.as_ref().unwrap().incarnation() < incarnation);
     fleet.run(second(40));
-    assert!(fleet.nodes[4].table.as_ref().unwrap().incarnation() > life);
+    assert!(fleet.nodes[4].table.as_ref().unwrap().incarnation() > incarnation);
     fleet.check_agreement();
 }
 
 #[test]
 fn a_lossy_network_makes_nobody_gone() {
-    let mut fleet = settled(30, 3);
+    let mut fleet = settled_fleet(30, 3);
     fleet.loss = 0.2;
     fleet.jitter = Duration::from_millis(80);
     fleet.run(second(120));
-    assert_eq!(gone(&fleet), BTreeSet::new());
+    assert_eq!(dead_members(&fleet), BTreeSet::new());
 }
 
 #[test]
 fn a_rack_that_is_cut_off_declares_nobody_gone() {
-    let mut fleet = settled(24, 2);
-    // Three members of one zone: they hear each other, and three of twelve are no half.
+    let mut fleet = settled_fleet(24, 2);
+    // Three members of one zone are isolated together: three of twelve are less than half of the zone.
     fleet.partition(0b1_0101);
     fleet.run(second(30));
     let rack = [fleet.name(0), fleet.name(2), fleet.name(4)];
-    let mut judged = BTreeMap::<InstanceId, BTreeSet<InstanceId>>::new();
-    for (hearer, _, news) in &fleet.news {
-        if let MemberUpdate::MemberDead { instance, .. } = news {
-            let hearer = fleet.name(*hearer);
-            judged.entry(hearer).or_default().insert(instance.clone());
+    let mut declared_dead = BTreeMap::<InstanceId, BTreeSet<InstanceId>>::new();
+    for (observer, _, update) in &fleet.updates {
+        if let MemberUpdate::MemberDead { instance, .. } = update {
+            let observer = fleet.name(*observer);
+            declared_dead
+                .entry(observer)
+                .or_default()
+                .insert(instance.clone());
         }
     }
-    for (hearer, members) in judged {
+    for (observer, members) in declared_dead {
         assert!(
-            !rack.contains(&hearer),
-            "{hearer} declared {members:?} gone"
+            !rack.contains(&observer),
+            "{observer} declared {members:?} dead"
         );
         assert_eq!(members, rack.iter().cloned().collect());
     }
@@ -116,50 +123,50 @@
 
 #[test]
 fn a_zone_that_is_cut_off_keeps_its_members_and_is_heard_again() {
-    let mut fleet = settled(45, 3);
+    let mut fleet = settled_fleet(45, 3);
     let mut mask = 0;
     for index in (0..45).step_by(3) {
         mask |= 1 << index;
     }
     fleet.partition(mask);
     fleet.run(second(30));
-    assert_eq!(gone(&fleet), BTreeSet::new());
-    let cut = |news: &MemberUpdate| matches!(news, MemberUpdate::ZoneUnreachable { zone } if &**zone == "zone-00");
-    let hearers: BTreeSet<usize> = fleet
-        .news
+    assert_eq!(dead_members(&fleet), BTreeSet::new());
+    let is_cut = |update: &MemberUpdate| matches!(update, MemberUpdate::ZoneUnreachable { zone } if &**zone == "zone-00");
+    let observers: BTreeSet<usize> = fleet
+        .updates
         .iter()
-        .filter(|(.., news)| cut(news))
-        .map(|(hearer, ..)| *hearer)
+        .filter(|(.., update)| is_cut(update))
+        .map(|(observer, ..)| *observer)
         .collect();
-    assert_eq!(hearers.len(), 30);
+    assert_eq!(observers.len(), 30);
     fleet.heal();
     fleet.run(second(20));
-    let back = fleet
-        .news
+    let reachable = fleet
+        .updates
         .iter()
-        .filter(|(.., news)| matches!(news, MemberUpdate::ZoneReachable { .. }));
-    assert!(back.count() >= 30);
+        .filter(|(.., update)| matches!(update, MemberUpdate::ZoneReachable { .. }));
+    assert!(reachable.count() >= 30);
     fleet.check_agreement();
 }
 
 #[test]
 fn a_mark_and_a_version_spread_over_zones_within_two_seconds() {
-    let mut fleet = settled(120, 4);
+    let mut fleet = settled_fleet(120, 4);
     fleet.loss = 0.05;
     fleet.mark(17, "engine-1");
     fleet.edit(33);
     fleet.run(second(2));
     let marked = fleet
-        .news
+        .updates
         .iter()
-        .filter(|(.., news)| matches!(news, MemberUpdate::Marked(_)));
+        .filter(|(.., update)| matches!(update, MemberUpdate::Marked(_)));
     assert_eq!(marked.count(), 120);
     fleet.check_agreement();
 }
 
 #[test]
 fn a_zone_floor_follows_its_slowest_member() {
-    let mut fleet = settled(40, 1);
+    let mut fleet = settled_fleet(40, 1);
     fleet.pulls_lost = Some(11);
     fleet.edit(0);
     fleet.run(second(10));
@@ -188,29 +195,32 @@
 
 #[test]
 fn an_older_table_is_refused_and_told() {
-    let mut fleet = settled(3, 1);
-    fleet.feed(0, MemberEvent::Table(mark(1)));
+    let mut fleet = settled_fleet(3, 1);
+    fleet.feed(0, MemberEvent::Table(revision(1)));
     let ours = fleet.head;
-    let told = MemberUpdate::VersionRegressed { ours, version: 1 };
-    assert_eq!(fleet.news.last().unwrap().2, told);
-    assert_eq!(fleet.nodes[0].table.as_ref().unwrap().table(), mark(ours));
+    let expected = MemberUpdate::VersionRegressed { ours, version: 1 };
+    assert_eq!(fleet.updates.last().unwrap().2, expected);
+    assert_eq!(
+        fleet.nodes[0].table.as_ref().unwrap().table(),
+        revision(ours)
+    );
 }
 
 #[test]
 fn one_version_with_two_contents_is_told() {
-    let mut fleet = settled(3, 1);
-    let mut other = mark(fleet.head);
+    let mut fleet = settled_fleet(3, 1);
+    let mut other = revision(fleet.head);
     other.digest += 1;
     fleet.feed(0, MemberEvent::Table(other));
     fleet.run(second(2));
-    let told = fleet
-        .news
+    let reports = fleet
+        .updates
         .iter()
-        .filter(|(.., news)| matches!(news, MemberUpdate::DigestDiffers { .. }));
-    assert!(told.count() > 0);
+        .filter(|(.., update)| matches!(update, MemberUpdate::DigestDiffers { .. }));
+    assert!(reports.count() > 0);
 }
 
-/// A table with one peer, and the peer's first heartbeat.
+/// A membership table and the first heartbeat of a peer.
 fn heartbeat() -> (MemberTable, PeerIdentity, MemberMessage, Instant) {
     let now = Instant::now();
     let address = ([127, 0, 0, 1], 1).into();
--- a/crates/peer/tests/support/fleet.rs
+++ b/crates/peer/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Several membership cores in virtual time, with a network that loses, repeats, delays and cuts.
+//! Simulates several membership state machines in virtual time, over a network with loss, duplication, delay and
+//! partitions.
 
 #![allow(dead_code, reason = "each test file takes the part that it needs")]
 
@@ -26,7 +27,7 @@
     Table(TableRevision),
 }
 
-/// One process, or the place of one that died.
+/// One process; `table` is `None` while it is stopped.
 pub(crate) struct Node {
     pub(crate) frozen: bool,
     inbox: Vec<Delivery>,
@@ -36,10 +37,10 @@
     pub(crate) table: Option<MemberTable>,
 }
 
-/// What a process knew at the last check: none of it may go down.
+/// The incarnations and the version that a process had at the last check; none may decrease.
 #[derive(Default)]
 struct Watermark {
-    lives: BTreeMap<InstanceId, u64>,
+    incarnations: BTreeMap<InstanceId, u64>,
     version: TableVersion,
 }
 
@@ -48,7 +49,7 @@
     pub(crate) head: TableVersion,
     pub(crate) jitter: Duration,
     pub(crate) loss: f64,
-    pub(crate) news: Vec<(usize, Duration, MemberUpdate)>,
+    pub(crate) updates: Vec<(usize, Duration, MemberUpdate)>,
     pub(crate) nodes: Vec<Node>,
     pub(crate) now: Duration,
     queue: BTreeMap<(Duration, u64), (usize, Delivery)>,
@@ -57,7 +58,7 @@
     rng: Pcg64Mcg,
     serial: u64,
     settings: MemberSettings,
-    told: Vec<BTreeSet<InstanceId>>,
+    reported_up: Vec<BTreeSet<InstanceId>>,
     watermarks: Vec<Watermark>,
     pub(crate) zones: usize,
 }
@@ -69,7 +70,7 @@
             head: 1,
             jitter: Duration::from_millis(2),
             loss: 0.0,
-            news: Vec::new(),
+            updates: Vec::new(),
             nodes: Vec::new(),
             now: Duration::from_secs(1_000),
             queue: BTreeMap::new(),
@@ -78,7 +79,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             serial: 0,
             settings,
-            told: vec![BTreeSet::new(); count],
+            reported_up: vec![BTreeSet::new(); count],
             watermarks: Vec::new(),
             zones,
         };
@@ -108,7 +109,7 @@
         format!("node-{index:04}").into()
     }
 
-    /// The true time of a process's clock, as micros of an epoch; skewed by its offset.
+    /// A process's wall clock in microseconds, skewed by its offset.
     fn wall(&self, index: usize) -> u64 {
         (self.now + self.nodes[index].offset).as_micros() as u64
     }
@@ -125,11 +126,11 @@
         }
         let wake = node.table.as_ref()?.next_wake();
         let local = wake.saturating_duration_since(self.base + node.offset);
-        // A little later, so that rounding leaves no wake-up before its time.
+        // Rounds up, so that no wake-up comes early.
         Some(local.div_f64(node.rate) + Duration::from_micros(1))
     }
 
-    /// Starts a process; its clock is behind by `back`.
+    /// Starts a process whose wall clock is behind by `back` microseconds.
     pub(crate) fn start(&mut self, index: usize, back: u64) {
         let incarnation = self.wall(index).saturating_sub(back);
         let zone = format!("zone-{:02}", index % self.zones);
@@ -141,7 +142,7 @@
         self.nodes[index].table = Some(MemberTable::new(now, identity, BTreeSet::new(), settings));
         self.nodes[index].frozen = false;
         self.nodes[index].inbox.clear();
-        self.told[index].clear();
+        self.reported_up[index].clear();
         self.watermarks[index] = Watermark::default();
         let mut members = Vec::new();
         for other in 0..self.nodes.len() {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Puts each node whose bit is set on the other side.
+    /// Partitions the network: nodes whose bit is set are on the other side.
     pub(crate) fn partition(&mut self, mask: u64) {
         for (index, node) in self.nodes.iter_mut().enumerate() {
             node.side = u8::from(mask >> (index % 64) & 1 == 1);
@@ -182,8 +183,8 @@
 
     pub(crate) fn edit(&mut self, index: usize) {
         self.head += 1;
-        let mark = mark(self.head);
-        self.feed(index, MemberEvent::Table(mark));
+        let revision = revision(self.head);
+        self.feed(index, MemberEvent::Table(revision));
     }
 
     pub(crate) fn mark(&mut self, index: usize, upstream: &str) {
@@ -210,7 +211,7 @@
 
     fn execute(&mut self, index: usize, from: &PeerIdentity, action: MemberAction) {
         match action {
-            MemberAction::Notify(news) => self.hear(index, news),
+            MemberAction::Notify(update) => self.record_update(index, update),
             MemberAction::Pull { from, .. } => self.pull(index, &from),
             MemberAction::Refuse(_) => {}
             MemberAction::Renew { above } => {
@@ -221,22 +222,22 @@
         }
     }
 
-    /// Follows the news as a reader of them would.
-    fn hear(&mut self, index: usize, news: MemberUpdate) {
-        let told = &mut self.told[index];
-        match &news {
+    /// Tracks the members that a subscriber to the updates considers up.
+    fn record_update(&mut self, index: usize, update: MemberUpdate) {
+        let reported_up = &mut self.reported_up[index];
+        match &update {
             MemberUpdate::MemberUnreachable { instance } => {
-                told.remove(instance);
+                reported_up.remove(instance);
             }
             MemberUpdate::MemberDead { instance, .. } => {
-                told.remove(instance);
+                reported_up.remove(instance);
             }
             MemberUpdate::MemberUp(record) => {
-                told.insert(record.instance.clone());
+                reported_up.insert(record.instance.clone());
             }
             _ => {}
         }
-        self.news.push((index, self.now, news));
+        self.updates.push((index, self.now, update));
     }
 
     fn pull(&mut self, index: usize, from: &str) {
@@ -250,8 +251,8 @@
         let Some(table) = &self.nodes[from].table else {
             return;
         };
-        let mark = table.table();
-        self.post(index, Delivery::Table(mark));
+        let revision = table.table();
+        self.post(index, Delivery::Table(revision));
     }
 
     fn send(
@@ -303,12 +304,12 @@
                 from,
                 message: wire::decode(&body).unwrap(),
             },
-            Delivery::Table(mark) => MemberEvent::Table(mark),
+            Delivery::Table(revision) => MemberEvent::Table(revision),
         };
         self.feed(target, event);
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
@@ -330,7 +331,7 @@
         self.now = end;
     }
 
-    /// Ends all faults but the deaths.
+    /// Ends all faults except stopped processes.
     pub(crate) fn heal(&mut self) {
         self.partition(0);
         self.loss = 0.0;
@@ -347,8 +348,8 @@
             .collect()
     }
 
-    /// Lives and versions never go down while a process runs.
-    pub(crate) fn check_rising(&mut self) {
+    /// Checks that incarnations and versions never decrease while a process runs.
+    pub(crate) fn check_monotonic(&mut self) {
         for (index, node) in self.nodes.iter().enumerate() {
             let Some(table) = &node.table else {
                 continue;
@@ -356,21 +357,25 @@
             let watermark = &mut self.watermarks[index];
             assert!(
                 table.table().version >= watermark.version,
-                "version fell at {index}"
+                "version decreased at {index}"
             );
             watermark.version = table.table().version;
             for record in table.members().all() {
-                let known = watermark.lives.entry(record.instance.clone()).or_default();
+                let known = watermark
+                    .incarnations
+                    .entry(record.instance.clone())
+                    .or_default();
                 assert!(
                     record.incarnation >= *known,
-                    "life fell at {index}: {record:?}"
+                    "incarnation decreased at {index}: {record:?}"
                 );
                 *known = record.incarnation;
             }
         }
     }
 
-    /// All live processes hear exactly each other, in their present lives, and agree on table and marks.
+    /// Checks that all live processes have exactly each other as members, in their current incarnations, and agree on
+    /// table and marks.
     pub(crate) fn check_agreement(&self) {
         let live = self.live();
         let mut expected = BTreeSet::new();
@@ -386,11 +391,11 @@
                 .map(|record| (record.instance.clone(), record.incarnation))
                 .collect();
             assert_eq!(heard, expected, "members at {index}");
-            let mut told = self.told[*index].clone();
-            told.insert(table.instance().clone());
+            let mut reported_up = self.reported_up[*index].clone();
+            reported_up.insert(table.instance().clone());
             let names = expected.iter().map(|(instance, _)| instance.clone());
-            assert_eq!(told, names.collect(), "news at {index}");
-            assert_eq!(table.table(), mark(self.head), "table at {index}");
+            assert_eq!(reported_up, names.collect(), "updates at {index}");
+            assert_eq!(table.table(), revision(self.head), "table at {index}");
             assert_eq!(
                 mark_names(table, self.local(*index)),
                 marks,
@@ -400,8 +405,8 @@
     }
 }
 
-/// The table of a version.
-pub(crate) fn mark(version: TableVersion) -> TableRevision {
+/// The table revision of a version.
+pub(crate) fn revision(version: TableVersion) -> TableRevision {
     TableRevision {
         digest: version * 31,
         version,
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the links share.
+//! Helpers shared by the tests that use real connections.
 
 #![allow(dead_code, reason = "each test file takes the part that it needs")]
 
@@ -9,8 +9,8 @@
     tokio::sync::mpsc,
 };
 
-/// A wait that only a fault reaches.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// A timeout that only a failing test reaches.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -35,7 +35,7 @@
     endpoint
 }
 
-/// Two instances that know each other.
+/// Two instances that know each other's addresses.
 pub(crate) fn make_pair() -> (PeerEndpoint, PeerEndpoint, AddressTable) {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
     let addresses = AddressTable::new();
@@ -49,22 +49,22 @@
 }
 
 pub(crate) async fn next(inbox: &mut mpsc::Receiver<PeerIncoming>) -> PeerIncoming {
-    tokio::time::timeout(PATIENCE, inbox.recv())
+    tokio::time::timeout(TEST_TIMEOUT, inbox.recv())
         .await
-        .expect("something comes in")
-        .expect("the endpoint lives")
+        .expect("a message arrives in time")
+        .expect("the endpoint is open")
 }
 
-/// Gives way to the other tasks until the condition holds.
+/// Yields to the other tasks until the condition holds.
 pub(crate) async fn until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TEST_TIMEOUT, wait)
         .await
-        .expect("the condition comes to hold");
+        .expect("the condition holds in time");
 }
 
 /// Answers every call on a tag with its own body.
--- a/crates/table/examples/spread_cost.rs
+++ b/crates/table/examples/spread_cost.rs
@@ -1,4 +1,4 @@
-//! What the spread of versions costs: `cargo run --release -p table --example spread_cost`.
+//! Measures the cost of propagating table versions: `cargo run --release -p table --example spread_cost`.
 
 use {
     std::{
@@ -12,9 +12,9 @@
     },
 };
 
-/// How often each step is done for one figure.
+/// The number of rounds per measurement.
 const ROUNDS: u32 = 50;
-/// The sizes of table.
+/// The numbers of rows.
 const SIZES: [usize; 4] = [10, 100, 1_000, 12_000];
 
 fn main() {
@@ -27,7 +27,7 @@
 }
 
 fn measure(size: usize) {
-    let table = make_table(size);
+    let table = build_table(size);
     let mut edited = table.clone();
     edited.edit(1_001, &[change(size / 2, 7.0)]);
     let patch = edited.patch_since(1_000);
@@ -66,7 +66,7 @@
 }
 
 fn change(index: usize, weight: f64) -> RowChange {
-    let row = make_row(index, weight);
+    let row = build_row(index, weight);
     RowChange {
         work: row.work.clone(),
         after: Some(row),
@@ -74,7 +74,7 @@
     }
 }
 
-fn make_row(index: usize, weight: f64) -> WorkRow {
+fn build_row(index: usize, weight: f64) -> WorkRow {
     WorkRow {
         between_tokens: Some(Duration::from_millis(25)),
         first_token: Some(Duration::from_millis(480)),
@@ -92,10 +92,10 @@
     }
 }
 
-fn make_table(size: usize) -> StampedTable {
+fn build_table(size: usize) -> StampedTable {
     let mut rows = BTreeMap::new();
     for index in 0..size {
-        let row = make_row(index, 1.0);
+        let row = build_row(index, 1.0);
         let stamped = StampedRow {
             row: Some(row.clone()),
             stamp: 1_000,
@@ -114,7 +114,7 @@
     keeper.on_event(now, event, &mut Vec::new());
 }
 
-/// The mean of all rounds in microseconds.
+/// The mean time of a round, in microseconds.
 fn time(mut round: impl FnMut(u32) -> Duration) -> f64 {
     let total: Duration = (0..ROUNDS).map(&mut round).sum();
     total.as_secs_f64() * 1e6 / f64::from(ROUNDS)
--- a/crates/table/src/cell_parse.rs
+++ b/crates/table/src/cell_parse.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a cell to a value.
+//! Parses the text of a cell.
 
 use {
     crate::fault_code::FaultCode,
@@ -6,24 +6,24 @@
     std::{collections::BTreeSet, ops::RangeInclusive, str::FromStr, sync::Arc, time::Duration},
 };
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LENGTH: usize = 128;
-/// The longest duration that a cell may have: a week.
+/// The maximum duration in a cell: one week.
 pub const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3600);
-/// The characters of a faulty cell that a message repeats.
+/// How many characters of a faulty cell a message quotes.
 const MAX_QUOTE_LENGTH: usize = 40;
 
-/// What is wrong with one cell.
+/// A fault of one cell.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CellFault {
     /// The kind of fault.
     pub code: FaultCode,
-    /// What the cell has, and what it should have.
+    /// The cell's content, and where it helps, the allowed range.
     pub detail: String,
 }
 
 impl CellFault {
-    /// A fault that quotes the start of the cell.
+    /// Creates a fault that quotes the start of the cell.
     pub fn quoting(code: FaultCode, text: &str) -> Self {
         Self {
             code,
@@ -32,11 +32,11 @@
     }
 }
 
-/// Reads a duration with a unit, such as `480ms` or `2min`; over 0 and at most [`MAX_DURATION`].
+/// Parses a duration with a unit, such as `480ms` or `2min`; greater than 0 and at most [`MAX_DURATION`].
 ///
 /// # Errors
 ///
-/// When the text is no duration, has no unit, or is out of range.
+/// When the text is not a duration, has no unit, or is out of range.
 pub fn parse_duration(text: &str) -> Result<Duration, CellFault> {
     let Ok(duration) = humantime::parse_duration(text) else {
         return Err(CellFault::quoting(FaultCode::DurationInvalid, text));
@@ -51,28 +51,28 @@
     Ok(duration)
 }
 
-/// Reads a name: letters, digits and `.`, `_`, `-`, and the characters of `more`; it starts with a letter or a digit.
+/// Parses a name: letters, digits, `.`, `_`, `-` and the characters of `more`, starting with a letter or a digit.
 ///
 /// # Errors
 ///
 /// When the text has other characters or is longer than [`MAX_NAME_LENGTH`].
 pub fn parse_name(text: &str, more: &str) -> Result<Arc<str>, CellFault> {
-    let fits = |letter: char| letter.is_ascii_alphanumeric() || "._-".contains(letter);
-    let starts_well = text.starts_with(|letter: char| letter.is_ascii_alphanumeric());
-    let reads_well = text
+    let is_common = |letter: char| letter.is_ascii_alphanumeric() || "._-".contains(letter);
+    let has_valid_start = text.starts_with(|letter: char| letter.is_ascii_alphanumeric());
+    let has_valid_characters = text
         .chars()
-        .all(|letter| fits(letter) || more.contains(letter));
-    if !starts_well || !reads_well || text.len() > MAX_NAME_LENGTH {
+        .all(|letter| is_common(letter) || more.contains(letter));
+    if !has_valid_start || !has_valid_characters || text.len() > MAX_NAME_LENGTH {
         return Err(CellFault::quoting(FaultCode::NameInvalid, text));
     }
     Ok(text.into())
 }
 
-/// Reads a number with decimals within a range; `decimal_comma` takes `0,5` for `0.5`.
+/// Parses a decimal number within a range; with `decimal_comma`, `0,5` is read as `0.5`.
 ///
 /// # Errors
 ///
-/// When the text is no finite number, or out of the range.
+/// When the text is not a finite number, or is out of range.
 pub fn parse_decimal(
     text: &str,
     range: RangeInclusive<f64>,
@@ -89,11 +89,11 @@
     if !range.contains(&number) {
         return Err(out_of_range(text, &range));
     }
-    // Adding zero turns a negative zero into a plain one.
+    // Adding zero turns a negative zero into a positive one.
     Ok(number + 0.0)
 }
 
-/// Reads yes or no, in the spellings that spreadsheets write.
+/// Parses yes or no, or true or false as spreadsheets write it, in any letter case.
 ///
 /// # Errors
 ///
@@ -106,11 +106,11 @@
     }
 }
 
-/// Reads a whole number within a range.
+/// Parses a whole number within a range.
 ///
 /// # Errors
 ///
-/// When the text is no whole number, or out of the range.
+/// When the text is not a whole number, or is out of range.
 pub fn parse_whole(text: &str, range: RangeInclusive<u32>) -> Result<u32, CellFault> {
     let Ok(number) = i128::from_str(text) else {
         return Err(CellFault::quoting(FaultCode::NumberInvalid, text));
@@ -121,11 +121,11 @@
     }
 }
 
-/// Reads availability zones with spaces, `;` or `,` between them.
+/// Parses availability zones separated by white space, `;` or `,`.
 ///
 /// # Errors
 ///
-/// When a zone's name is invalid, or a zone is there twice.
+/// When a zone's name is invalid, or a zone is listed twice.
 pub fn parse_zones(text: &str) -> Result<Vec<ZoneId>, CellFault> {
     let mut seen = BTreeSet::new();
     let mut zones = Vec::new();
@@ -142,7 +142,7 @@
     Ok(zones)
 }
 
-/// The start of a text between back quotes, without control characters.
+/// Quotes the start of a text in backticks and escapes control characters.
 pub fn quote(text: &str) -> String {
     let start: String = text.chars().take(MAX_QUOTE_LENGTH).collect();
     let rest = if start.len() < text.len() { "…" } else { "" };
--- a/crates/table/src/cell_text.rs
+++ b/crates/table/src/cell_text.rs
@@ -1,11 +1,11 @@
-//! The text of a cell: how a value is written in the file.
+//! Formats the value of a cell for the file.
 
 use {
     crate::{work_column::WorkColumn, work_row::WorkRow},
     std::time::Duration,
 };
 
-/// The units of durations, greatest first, with their length in nanoseconds.
+/// The units of durations in nanoseconds, largest first.
 const UNITS: [(&str, u128); 6] = [
     ("h", 3_600_000_000_000),
     ("min", 60_000_000_000),
@@ -15,7 +15,7 @@
     ("ns", 1),
 ];
 
-/// The canonical text of one cell of a row; empty for a value that is not set.
+/// The canonical text of one cell of a row; empty for an unset value.
 pub fn cell_text(row: &WorkRow, column: WorkColumn) -> String {
     match column {
         WorkColumn::BetweenTokens => optional_duration(row.between_tokens),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A duration as a whole number of the greatest unit that divides it, such as `480ms` or `2min`.
+/// Formats a duration as a whole number of the largest unit that divides it, such as `480ms` or `2min`.
 pub fn duration_text(duration: Duration) -> String {
     let nanos = duration.as_nanos();
     for (unit, length) in UNITS {
--- a/crates/table/src/csv_read.rs
+++ b/crates/table/src/csv_read.rs
@@ -1,4 +1,4 @@
-//! Reads a table file and reports every fault.
+//! Parses a table file and reports every fault.
 
 use {
     crate::{
@@ -11,26 +11,26 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The largest file, in bytes.
+/// The maximum size of a file, in bytes.
 pub const MAX_FILE_SIZE: usize = 16 << 20;
-/// The most rows a file may have.
+/// The maximum number of rows in a file.
 pub const MAX_ROWS: usize = 100_000;
-/// The mark that starts a comment line.
+/// The character that starts a comment line.
 const COMMENT_PREFIX: char = '#';
-/// The separators that spreadsheets write; the first is the canonical one.
+/// The supported cell separators; the first is the canonical one.
 const SEPARATORS: [u8; 3] = [b',', b';', b'\t'];
-/// The first line by which some spreadsheets tell the separator.
+/// The prefix of the first line with which some spreadsheets declare the separator.
 const SEPARATOR_LINE: &str = "sep=";
 /// The byte order mark of UTF-8.
 const UTF8_BOM: &[u8] = b"\xef\xbb\xbf";
 /// The byte order marks of UTF-16.
 const UTF16_BOMS: [&[u8]; 2] = [b"\xff\xfe", b"\xfe\xff"];
 
-/// Reads a whole table file. `file` is the name that faults show.
+/// Parses a whole table file. `file` is the name shown in faults.
 ///
 /// # Errors
 ///
-/// [`TableError::Invalid`] with every fault, by line and column; then nothing of the file counts.
+/// [`TableError::Invalid`] with every fault, ordered by line and column; nothing of the file is then used.
 pub fn read_csv(file: &str, content: &[u8]) -> Result<TableFile, TableError> {
     let mut reader = CsvReader {
         columns: None,
@@ -61,7 +61,7 @@
 
 impl CsvReader {
     fn add_row(&mut self, line: u64, cells: BTreeMap<WorkColumn, &str>, decimal_comma: bool) {
-        // The key is compared even when other cells of the row have faults.
+        // Duplicate keys are reported even when other cells of the row have faults.
         let work = cells.get(&WorkColumn::Work).copied().unwrap_or_default();
         let first = self.lines.get(work).copied();
         if let Some(first) = first {
@@ -120,7 +120,7 @@
             .from_reader(content);
         let mut record = ByteRecord::new();
         let mut rows = 0;
-        // Reading from memory with flexible rows has no errors; a fault ends the loop all the same.
+        // Reading flexible rows from memory can't fail; an error would end the loop.
         while let Ok(true) = reader.read_byte_record(&mut record) {
             let line = line_of(&record, content);
             if !self.read_record(&record, line, separator) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether the record is a row.
+    /// Returns whether the record is a row.
     fn read_record(&mut self, record: &ByteRecord, line: u64, separator: u8) -> bool {
         if record.iter().all(|cell| cell.trim_ascii().is_empty()) {
             return false;
@@ -227,7 +227,7 @@
     }
 }
 
-/// The separator that the line of headings has most of.
+/// Detects the separator: the most frequent one in the line of headings.
 fn find_separator(content: &[u8]) -> u8 {
     for line in content.split(|byte| matches!(byte, b'\n' | b'\r')) {
         let start = line.trim_ascii_start();
@@ -244,7 +244,7 @@
     SEPARATORS[0]
 }
 
-/// The line where a record's text starts: the reader's own count stands before the empty lines that it passes over.
+/// The line where a record's text starts. The CSV reader's position is before the empty lines that it skips.
 fn line_of(record: &ByteRecord, content: &[u8]) -> u64 {
     let Some(position) = record.position() else {
         return 0;
--- a/crates/table/src/csv_write.rs
+++ b/crates/table/src/csv_write.rs
@@ -1,10 +1,10 @@
-//! The canonical CSV form of a table.
+//! Writes a table in its canonical CSV form.
 
 use crate::{
     cell_text::cell_text, file_base::FileBase, work_column::WorkColumn, work_row::WorkRow,
 };
 
-/// Writes rows as CSV: the version line, the headings, one line a row. Reading the text back gives the same rows.
+/// Writes rows as CSV: the version line, the headings, one line per row. Parsing the text gives the same rows.
 pub fn write_csv<'a>(
     base: Option<FileBase>,
     rows: impl IntoIterator<Item = &'a WorkRow>,
@@ -26,7 +26,7 @@
     text
 }
 
-/// Values need no quotes: names and numbers have neither separators nor quotes.
+/// Appends one line. Values need no quoting: names and numbers contain neither separators nor quotes.
 fn push_line(text: &mut String, cells: [String; WorkColumn::ALL.len()]) {
     text.push_str(&cells.join(","));
     text.push('\n');
--- a/crates/table/src/fault_code.rs
+++ b/crates/table/src/fault_code.rs
@@ -1,4 +1,4 @@
-//! The numbered faults that a table file can have. `docs/TABLE.md` has the same table.
+//! The numbered faults of table files. `docs/TABLE.md` lists the same codes.
 
 macro_rules! fault_codes {
     ($($name:ident = $number:literal, $text:literal;)*) => {
@@ -10,7 +10,7 @@
         }
 
         impl FaultCode {
-            /// Every code, in the order of its numbers.
+            /// All codes, in the order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
             /// The number that operators see.
@@ -18,7 +18,7 @@
                 self as u16
             }
 
-            /// What the code means, in one line.
+            /// The description of the code, in one line.
             pub fn text(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)*
--- a/crates/table/src/file_base.rs
+++ b/crates/table/src/file_base.rs
@@ -10,17 +10,17 @@
 /// The word before the digest.
 const DIGEST_KEYWORD: &str = "digest";
 
-/// The version that a file was taken from: `# version 1764685438 digest 9f2c51d0a7b3e846`.
+/// The table version that a file was exported from: `# version 1764685438 digest 9f2c51d0a7b3e846`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FileBase {
-    /// The hash of the rows at that version; none in a line written by hand.
+    /// The hash of the rows at that version; `None` when the line was written by hand without one.
     pub digest: Option<TableDigest>,
     /// The version.
     pub version: TableVersion,
 }
 
 impl FileBase {
-    /// Reads a comment line: `None` when it is another comment, `Some(Err)` when it is a garbled version line.
+    /// Parses a comment line: `None` when it is another comment, `Some(Err)` when it is a malformed version line.
     pub fn from_comment(comment: &str) -> Option<Result<Self, ()>> {
         let comment = comment.trim_start_matches('#').trim();
         let mut words = comment.split_whitespace();
@@ -32,13 +32,13 @@
 
     fn from_words<'a>(mut words: impl Iterator<Item = &'a str>) -> Option<Self> {
         let version = words.next()?.parse().ok()?;
-        let Some(mark) = words.next() else {
+        let Some(keyword) = words.next() else {
             return Some(Self {
                 digest: None,
                 version,
             });
         };
-        if mark != DIGEST_KEYWORD {
+        if keyword != DIGEST_KEYWORD {
             return None;
         }
         let digest = TableDigest::from_str_radix(words.next()?, 16).ok()?;
--- a/crates/table/src/keeper_action.rs
+++ b/crates/table/src/keeper_action.rs
@@ -1,4 +1,4 @@
-//! What a keeper decides.
+//! The actions that a table keeper requests.
 
 use {
     crate::{stamped_table::StampedTable, table_head::TableHead, table_source::TableSource},
@@ -6,34 +6,34 @@
     std::sync::Arc,
 };
 
-/// One decision.
+/// One action for the driver to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeeperAction {
-    /// Log and count an alarm; it stands until [`KeeperAction::AlarmCleared`].
+    /// Raise an alarm; it is active until [`KeeperAction::AlarmCleared`].
     Alarm {
         /// `DigestDiffers`, `VersionFell` or `PeerRefused`.
         code: ResultCode,
-        /// The head at fault.
+        /// The table head that caused the alarm.
         head: TableHead,
-        /// Whose it is.
+        /// The holder of that head.
         source: TableSource,
     },
-    /// The cause of an alarm is gone.
+    /// The cause of an alarm has ended.
     AlarmCleared {
-        /// The alarm.
+        /// The code of the alarm.
         code: ResultCode,
-        /// Whose it was.
+        /// The holder that the alarm was about.
         source: TableSource,
     },
-    /// This table is in force from now on.
+    /// Put this table in force.
     InForce(Arc<StampedTable>),
-    /// Ask for the rows changed after `since`; answer with `Pulled` or `PullFailed`.
+    /// Request the rows changed after `since`; answer with `Pulled` or `PullFailed`.
     Pull {
-        /// 0 asks for all rows.
+        /// 0 requests all rows.
         since: TableVersion,
-        /// Whom to ask.
+        /// The holder to pull from.
         source: TableSource,
     },
-    /// The platform lacks accepted edits that this instance holds: write them back; answer with `Restored`.
+    /// Write accepted edits that the platform has lost back to it; answer with `Restored`.
     Restore(Arc<StampedTable>),
 }
--- a/crates/table/src/keeper_event.rs
+++ b/crates/table/src/keeper_event.rs
@@ -1,4 +1,4 @@
-//! What a keeper hears.
+//! The inputs of a table keeper.
 
 use {
     crate::{table_head::TableHead, table_patch::TablePatch, table_source::TableSource},
@@ -6,42 +6,42 @@
     std::time::Instant,
 };
 
-/// One event. Times inside events are by the clock of whoever drives the keeper.
+/// One input. Times in events are by the clock of the keeper's driver.
 #[derive(Clone, Debug)]
 pub enum KeeperEvent {
-    /// A peer's heartbeat or a poll of the platform told a head.
+    /// A peer's heartbeat or a poll of the platform reported a table head.
     Head {
-        /// When the question was sent; for a heartbeat, when it came.
+        /// When the poll was sent; for a heartbeat, when it arrived.
         asked: Instant,
-        /// The head.
+        /// The reported head.
         head: TableHead,
-        /// Whose it is.
+        /// The holder that reported it.
         source: TableSource,
     },
-    /// A peer is gone.
+    /// A peer is no longer a member.
     PeerRemoved(InstanceId),
-    /// The platform answered somebody at this time: this instance, or a peer whose heartbeat says so.
+    /// The platform answered this instance, or a peer whose heartbeat reported it.
     PlatformContact {
-        /// When, by this instance's clock.
+        /// When it answered, by this instance's clock.
         at: Instant,
     },
     /// A pull failed.
     PullFailed {
-        /// From where.
+        /// The holder pulled from.
         source: TableSource,
     },
-    /// The answer to a pull, or a patch that nobody asked for.
+    /// A patch arrived, as the answer to a pull or unsolicited.
     Pulled {
-        /// What came.
+        /// The patch.
         patch: TablePatch,
-        /// From where.
+        /// The holder that sent it.
         source: TableSource,
     },
-    /// The write-back to the platform was done, and made this version; or it found nothing to do.
+    /// A write-back to the platform ended: it created this version, or nothing was missing.
     Restored {
         /// The platform's version after it.
         version: TableVersion,
     },
-    /// Time passed.
+    /// Time has passed; a pull may have timed out.
     Tick,
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' table: rows, columns, checks, merges and versions. No I/O, no clock.
+//! The operators' table: rows, columns, validation, merges and versions. It does no I/O and reads no clock.
 //!
-//! [`read_csv`] reads and checks a file. [`merge_rows`] joins an operator's file with the table as it is now.
-//! [`StampedTable`] has the version of each row, and [`TableKeeper`] decides when a table comes into force.
+//! [`read_csv`] parses and validates a file. [`merge_rows`] merges an operator's file into the current table.
+//! [`StampedTable`] holds the version of each row, and [`TableKeeper`] decides which table is in force.
 
 pub mod cell_parse;
 pub mod cell_text;
--- a/crates/table/src/row_cells.rs
+++ b/crates/table/src/row_cells.rs
@@ -1,4 +1,4 @@
-//! The cells of one line, read to a row.
+//! Parses the cells of one line into a row.
 
 use {
     crate::{
@@ -14,30 +14,30 @@
     std::{collections::BTreeMap, ops::RangeInclusive, sync::Arc, time::Duration},
 };
 
-/// What an empty `patience` cell means.
+/// The value of an empty `patience` cell.
 pub const DEFAULT_PATIENCE: Duration = Duration::from_secs(120);
-/// What an empty `rank` cell means.
+/// The value of an empty `rank` cell.
 pub const DEFAULT_RANK: u32 = 5;
-/// What an empty `retries` cell means.
+/// The value of an empty `retries` cell.
 pub const DEFAULT_RETRIES: u32 = 1;
-/// What an empty `waste` cell means.
+/// The value of an empty `waste` cell.
 pub const DEFAULT_WASTE: f64 = 0.2;
-/// What an empty `weight` cell means.
+/// The value of an empty `weight` cell.
 pub const DEFAULT_WEIGHT: f64 = 1.0;
-/// The limits that the `limit` column takes.
+/// The allowed concurrency limits.
 pub const LIMIT_RANGE: RangeInclusive<u32> = 1..=1_000_000;
-/// The ranks.
+/// The allowed ranks.
 pub const RANK_RANGE: RangeInclusive<u32> = 0..=9;
-/// The numbers of further tries.
+/// The allowed numbers of retries.
 pub const RETRIES_RANGE: RangeInclusive<u32> = 0..=9;
-/// The shares of wasted prefill.
+/// The allowed shares of wasted prefill.
 pub const WASTE_RANGE: RangeInclusive<f64> = 0.0..=1.0;
-/// The weights.
+/// The allowed weights.
 pub const WEIGHT_RANGE: RangeInclusive<f64> = 0.001..=1_000_000.0;
-/// The characters that a model's name has beyond those of other names.
+/// The characters allowed in model names in addition to those of other names.
 const MODEL_NAME_SYMBOLS: &str = "/:@+";
 
-/// Reads the cells of one line and collects their faults.
+/// Parses the cells of one line and collects their faults.
 pub struct RowCells<'a> {
     cells: BTreeMap<WorkColumn, &'a str>,
     decimal_comma: bool,
@@ -45,7 +45,7 @@
 }
 
 impl<'a> RowCells<'a> {
-    /// A reader of trimmed cells; a column without a cell is left out, its fault being known.
+    /// Creates a parser of trimmed cells. Columns without a cell are omitted; their fault is already reported.
     pub fn new(cells: BTreeMap<WorkColumn, &'a str>, decimal_comma: bool) -> Self {
         Self {
             cells,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The row, when no cell has a fault.
+    /// Parses the row.
     ///
     /// # Errors
     ///
@@ -68,9 +68,9 @@
             parse_name(text, MODEL_NAME_SYMBOLS)
         });
         let patience = self.optional(WorkColumn::Patience, parse_duration);
-        let rank = self.small(WorkColumn::Rank, RANK_RANGE, DEFAULT_RANK);
+        let rank = self.digit(WorkColumn::Rank, RANK_RANGE, DEFAULT_RANK);
         let repeat = self.optional(WorkColumn::Repeat, parse_repeat);
-        let retries = self.small(WorkColumn::Retries, RETRIES_RANGE, DEFAULT_RETRIES);
+        let retries = self.digit(WorkColumn::Retries, RETRIES_RANGE, DEFAULT_RETRIES);
         let service = self.required(WorkColumn::Service);
         let waste = self.optional(WorkColumn::Waste, |text| {
             parse_decimal(text, WASTE_RANGE, comma)
@@ -104,7 +104,7 @@
     }
 
     fn check_row(&mut self, row: &WorkRow) {
-        // A `model` cell with a fault is not a missing model.
+        // A `model` cell that is missing or has a fault does not count as empty.
         let has_model = self
             .cells
             .get(&WorkColumn::Model)
@@ -148,7 +148,7 @@
         }
     }
 
-    fn small(&mut self, column: WorkColumn, range: RangeInclusive<u32>, default: u32) -> Rank {
+    fn digit(&mut self, column: WorkColumn, range: RangeInclusive<u32>, default: u32) -> Rank {
         let number = self.optional(column, |text| parse_whole(text, range.clone()));
         u8::try_from(number.unwrap_or(default)).unwrap_or_default()
     }
