--- a/crates/table/src/row_change.rs
+++ b/crates/table/src/row_change.rs
@@ -1,4 +1,4 @@
-//! What one edit does to one row.
+//! The change of one row by one edit.
 
 use {
     crate::{cell_text::cell_text, work_column::WorkColumn, work_row::WorkRow},
@@ -7,30 +7,30 @@
     std::sync::Arc,
 };
 
-/// One row before and after; none stands for a row that is not there.
+/// One row before and after an edit; `None` means that the row does not exist.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RowChange {
-    /// The row after.
+    /// The row after the edit.
     pub after: Option<WorkRow>,
-    /// The row before.
+    /// The row before the edit.
     pub before: Option<WorkRow>,
     /// The key of the row.
     pub work: WorkId,
 }
 
-/// One cell before and after, as the file shows it.
+/// One cell before and after an edit, in the canonical text form.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CellChange {
-    /// The cell after.
+    /// The cell after the edit.
     pub after: Arc<str>,
-    /// The cell before.
+    /// The cell before the edit.
     pub before: Arc<str>,
     /// The column.
     pub column: WorkColumn,
 }
 
 impl RowChange {
-    /// The cells that differ, in the order of the columns; none when a row is added or removed whole.
+    /// The cells that differ, in column order; empty when the row is added or removed.
     pub fn cells(&self) -> Vec<CellChange> {
         match (&self.before, &self.after) {
             (Some(before), Some(after)) => changed_cells(before, after),
@@ -39,7 +39,7 @@
     }
 }
 
-/// The cells in which two rows differ, in the order of the columns.
+/// The cells in which two rows differ, in column order.
 pub fn changed_cells(before: &WorkRow, after: &WorkRow) -> Vec<CellChange> {
     let mut changes = Vec::new();
     for column in WorkColumn::ALL {
--- a/crates/table/src/stamped_row.rs
+++ b/crates/table/src/stamped_row.rs
@@ -1,4 +1,4 @@
-//! One row with the version that wrote it.
+//! One row with the version of its last change.
 
 use {
     crate::work_row::WorkRow,
@@ -6,32 +6,32 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A row, or the mark of a removed one, and the table's version at its last change.
+/// A row or the tombstone of a removed row, with the table version of its last change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StampedRow {
-    /// The row; none when it was removed.
+    /// The row; `None` is a tombstone.
     pub row: Option<WorkRow>,
-    /// The version that the edit made: it decides which edit of the row is in force.
+    /// The version that the edit created; it decides which edit of the row is in force.
     pub stamp: TableVersion,
-    /// The version with which the platform got the edit: greater than the stamp after a write-back. It decides what an
-    /// instance that is behind still lacks, and is no part of the digest.
+    /// The version with which the platform stored the edit: greater than the stamp after a write-back. It decides which
+    /// rows an instance that is behind still lacks, and is not part of the digest.
     pub written: TableVersion,
 }
 
 impl StampedRow {
-    /// The hash of row and stamp.
+    /// The hash of key, row and stamp.
     pub(crate) fn hash(&self, work: &str) -> u64 {
         let text = serde_json::to_vec(&(&self.row, self.stamp)).unwrap_or_default();
         mix(mix(0, work.as_bytes()), &text)
     }
 
-    /// Whether both come from the same edit.
+    /// Whether both rows come from the same edit.
     pub fn is_same_edit(&self, other: &Self) -> bool {
         self.stamp == other.stamp && self.row == other.row
     }
 
-    /// Whether this row is in force over `other`: the later stamp wins. Two edits with one stamp are told apart by their
-    /// content, so that every instance takes the same one.
+    /// Whether this row takes precedence over `other`: the later stamp wins. Edits with equal stamps are ordered by the
+    /// hash of their content, so that every instance chooses the same one.
     pub fn supersedes(&self, other: &Self, work: &str) -> bool {
         if self.stamp != other.stamp {
             return self.stamp > other.stamp;
--- a/crates/table/src/stamped_table.rs
+++ b/crates/table/src/stamped_table.rs
@@ -1,4 +1,4 @@
-//! The table as instances and the platform hold it: each row with its stamp.
+//! The replicated form of the table, with a stamp for each row.
 
 use {
     crate::{
@@ -9,8 +9,8 @@
     std::collections::BTreeMap,
 };
 
-/// All rows with their stamps, removed rows as well. Two tables join row by row: whichever order joins come in, the same
-/// table results, and no row goes back to an earlier stamp.
+/// All rows with their stamps, including tombstones. Tables are joined row by row: the result does not depend on the
+/// order of joins, and no row returns to an earlier stamp.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StampedTable {
     digest: TableDigest,
@@ -19,12 +19,12 @@
 }
 
 impl StampedTable {
-    /// The hash of rows, removals and stamps; the version does not count.
+    /// The hash of rows, tombstones and stamps, without the version.
     pub fn digest(&self) -> TableDigest {
         self.digest
     }
 
-    /// Applies an edit that makes `version`.
+    /// Applies an edit that creates `version`.
     pub fn edit(&mut self, version: TableVersion, changes: &[RowChange]) {
         for change in changes {
             let stamped = StampedRow {
@@ -37,7 +37,7 @@
         self.version = self.version.max(version);
     }
 
-    /// A table of rows as they were stored.
+    /// Creates a table from stored rows.
     pub fn from_rows(version: TableVersion, rows: BTreeMap<WorkId, StampedRow>) -> Self {
         let mut table = Self {
             version,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes whatever of a patch is later than what is here; whether anything changed.
+    /// Merges the rows of a patch that are newer than the own ones; returns whether the head changed.
     pub fn join(&mut self, patch: &TablePatch) -> bool {
         let before = self.head();
         for (work, stamped) in &patch.rows {
@@ -69,14 +69,14 @@
         self.head() != before
     }
 
-    /// The rows that are not removed, by key.
+    /// The rows without tombstones, by key.
     pub fn live_rows(&self) -> BTreeMap<WorkId, WorkRow> {
         let live = self.rows.iter();
         live.filter_map(|(work, stamped)| Some((work.clone(), stamped.row.clone()?)))
             .collect()
     }
 
-    /// The rows that the platform got after a version; all for version 0.
+    /// The rows that the platform stored after a version; all rows for version 0.
     pub fn patch_since(&self, since: TableVersion) -> TablePatch {
         let mut rows = BTreeMap::new();
         for (work, stamped) in &self.rows {
@@ -92,12 +92,12 @@
         }
     }
 
-    /// The rows with their stamps, removed rows as well.
+    /// The rows with their stamps, including tombstones.
     pub fn rows(&self) -> &BTreeMap<WorkId, StampedRow> {
         &self.rows
     }
 
-    /// The table that admission and routing read.
+    /// The table in the form that admission and routing use.
     pub fn to_table(&self) -> WorkTable {
         WorkTable {
             rows: self.live_rows(),
@@ -110,7 +110,7 @@
         self.version
     }
 
-    /// Marks the edits that `stored` lacks as got by the platform with `version`, which becomes the table's.
+    /// Records that the platform stored the edits missing from `stored` with `version`, which becomes the table's version.
     pub fn write_back(&mut self, stored: &Self, version: TableVersion) {
         for (work, stamped) in &mut self.rows {
             let earlier = stored.rows.get(work);
@@ -121,7 +121,7 @@
         self.version = version;
     }
 
-    // The digest is a sum over rows, so that a change of one row costs one row.
+    // The digest is a sum over rows, so that updating it after a change hashes only the changed row.
     fn put(&mut self, work: WorkId, stamped: StampedRow) {
         let added = stamped.hash(&work);
         let removed = match self.rows.insert(work.clone(), stamped) {
@@ -133,7 +133,7 @@
 
     fn accepts(&self, work: &WorkId, stamped: &StampedRow) -> bool {
         match self.rows.get(work) {
-            // The same edit, got by the platform once more, is passed on once more.
+            // An edit that the platform stored again is propagated again.
             Some(held) if held.is_same_edit(stamped) => stamped.written > held.written,
             Some(held) => stamped.supersedes(held, work),
             None => true,
--- a/crates/table/src/table_diff.rs
+++ b/crates/table/src/table_diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two sets of rows.
+//! Computes the difference between two sets of rows.
 
 use {
     crate::{row_change::RowChange, work_row::WorkRow},
@@ -6,7 +6,7 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The rows that differ, by key.
+/// The rows that differ, ordered by key.
 pub fn diff_rows(
     before: &BTreeMap<WorkId, WorkRow>,
     after: &BTreeMap<WorkId, WorkRow>,
--- a/crates/table/src/table_error.rs
+++ b/crates/table/src/table_error.rs
@@ -1,4 +1,4 @@
-//! Why a table can't be taken.
+//! The errors of reading a table.
 
 use {crate::table_fault::TableFault, kernel::ResultCode, snafu::Snafu};
 
@@ -6,16 +6,16 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum TableError {
-    /// The file has faults; nothing of it was taken.
+    /// The file has faults; nothing of it was used.
     #[snafu(display("{}", list_faults(faults)))]
     Invalid {
-        /// Every fault, by line and column.
+        /// Every fault, ordered by line and column.
         faults: Vec<TableFault>,
     },
 }
 
 impl TableError {
-    /// The faults, by line and column.
+    /// The faults, ordered by line and column.
     pub fn faults(&self) -> &[TableFault] {
         match self {
             Self::Invalid { faults } => faults,
--- a/crates/table/src/table_fault.rs
+++ b/crates/table/src/table_fault.rs
@@ -5,18 +5,18 @@
     std::{fmt, sync::Arc},
 };
 
-/// What is wrong, and where.
+/// A fault with its position in the file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TableFault {
     /// The kind of fault.
     pub code: FaultCode,
-    /// The column at fault; none when the fault is the row's or the file's.
+    /// The column of the fault; `None` when the fault concerns the whole row or file.
     pub column: Option<WorkColumn>,
-    /// What the file has there, and what it should have.
+    /// The content of the file, and where it helps, what is allowed; may be empty.
     pub detail: Arc<str>,
     /// The name of the file.
     pub file: Arc<str>,
-    /// The line in the file, counted from 1; 0 when the fault is the file's.
+    /// The line in the file, counted from 1; 0 when the fault concerns the whole file.
     pub line: u64,
 }
 
--- a/crates/table/src/table_file.rs
+++ b/crates/table/src/table_file.rs
@@ -1,4 +1,4 @@
-//! A table file as read.
+//! A parsed table file.
 
 use {
     crate::{file_base::FileBase, work_row::WorkRow},
@@ -9,7 +9,7 @@
 /// The content of a table file without faults.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableFile {
-    /// The version that the file was taken from; none when the file has no version line.
+    /// The version that the file was exported from; `None` when the file has no version line.
     pub base: Option<FileBase>,
     /// The rows by their key.
     pub rows: BTreeMap<WorkId, WorkRow>,
--- a/crates/table/src/table_keeper.rs
+++ b/crates/table/src/table_keeper.rs
@@ -1,4 +1,4 @@
-//! The spread of versions: which table is in force here, whom to pull from, what is wrong elsewhere.
+//! Propagates table versions: decides which table is in force, from where to pull, and when to raise an alarm.
 
 use {
     crate::{
@@ -13,18 +13,18 @@
     },
 };
 
-/// How long the platform may be silent before the instance counts as cut off.
+/// How long the platform may be silent before the instance is considered cut off from it.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(10);
-/// How long a pull may take before another source is asked.
+/// How long a pull may take before another source is tried.
 pub const PULL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The least time between two write-backs.
+/// The minimum interval between two write-backs.
 pub const MIN_RESTORE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Keeps the table in force on one instance. The version never goes down, and no row goes back to an earlier edit,
-/// whatever the platform or a peer offers.
+/// Holds the table in force on one instance. The version never decreases and no row returns to an earlier edit,
+/// whatever the platform or a peer sends.
 #[derive(Clone, Debug)]
 pub struct TableKeeper {
-    /// Whether the last patch added up to its sender's digest.
+    /// Whether the table matched the sender's digest after the last patch, or the patch was complete.
     is_consistent: bool,
     alarms: BTreeSet<(ResultCode, TableSource)>,
     heads: BTreeMap<TableSource, TableHead>,
@@ -32,18 +32,18 @@
     platform_contact: Instant,
     pull: Option<(TableSource, Instant)>,
     restored_at: Option<Instant>,
-    /// The heads that were pulled whole, beside the head here at that time: pulling them again brings nothing.
+    /// The heads that were pulled completely, with the own head afterwards: pulling them again changes nothing.
     reconciled: BTreeMap<TableSource, (TableHead, TableHead)>,
     table: Arc<StampedTable>,
 }
 
 impl TableKeeper {
-    /// The alarms that stand.
+    /// The active alarms.
     pub fn alarms(&self) -> &BTreeSet<(ResultCode, TableSource)> {
         &self.alarms
     }
 
-    /// Since when neither this instance nor a peer has heard from the platform, when that is long ago.
+    /// The last contact of this instance or a peer with the platform, if it is longer ago than [`CUT_OFF_AFTER`].
     pub fn cut_off_since(&self, now: Instant) -> Option<Instant> {
         let silence = now.saturating_duration_since(self.platform_contact);
         (silence > CUT_OFF_AFTER).then_some(self.platform_contact)
@@ -54,17 +54,17 @@
         self.table.head()
     }
 
-    /// Since when the table is in force here.
+    /// When the current table came into force.
     pub fn in_force_since(&self) -> Instant {
         self.in_force_since
     }
 
-    /// Whether there is a table to serve by.
+    /// Whether a table is in force.
     pub fn is_ready(&self) -> bool {
         self.table.version() > 0
     }
 
-    /// A keeper without a table.
+    /// Creates a keeper without a table.
     pub fn new(now: Instant) -> Self {
         Self {
             is_consistent: true,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes one event and appends what it decides to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting actions to `actions`. `now` never decreases.
     pub fn on_event(&mut self, now: Instant, event: KeeperEvent, actions: &mut Vec<KeeperAction>) {
         match event {
             KeeperEvent::Head {
@@ -92,7 +92,7 @@
             }
             KeeperEvent::PlatformContact { at } => self.record_platform_contact(at),
             KeeperEvent::PullFailed { source } => {
-                // Its head comes again with its next heartbeat; until then others are asked.
+                // The next heartbeat reports its head again; until then other sources are tried.
                 self.heads.remove(&source);
                 self.end_pull(&source);
             }
@@ -103,13 +103,13 @@
         self.pull_next(now, actions);
     }
 
-    /// What a peer or a new instance asks for.
+    /// The patch for a peer that has the version `since`.
     pub fn patch_since(&self, since: TableVersion) -> TablePatch {
         self.table.patch_since(since)
     }
 
-    /// The version after which to ask a holder of a greater version for rows: 0, which asks for all, as long as the last
-    /// patch did not add up to its sender's digest.
+    /// The version after which to request rows from a holder of a newer version. It is 0, for all rows, while the last
+    /// patch did not result in its sender's digest.
     pub fn pull_since(&self) -> TableVersion {
         match self.is_consistent {
             true => self.table.version(),
@@ -117,12 +117,12 @@
         }
     }
 
-    /// How long the platform has not been heard, by this instance or a peer that told of it.
+    /// The time since the platform last answered this instance or a peer that reported it.
     pub fn platform_silence(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.platform_contact)
     }
 
-    /// The table in force; empty before the first one.
+    /// The table in force; empty at the start.
     pub fn table(&self) -> &Arc<StampedTable> {
         &self.table
     }
@@ -181,7 +181,7 @@
         actions: &mut Vec<KeeperAction>,
     ) {
         let own = self.head();
-        // A poll that was under way while a newer table came says nothing about the platform now.
+        // The answer to a poll that was in flight while a newer table arrived does not show the platform's present state.
         let is_stale = asked < self.in_force_since && head.version <= own.version;
         if source == TableSource::Platform {
             self.record_platform_contact(asked);
@@ -191,17 +191,17 @@
         }
         self.heads.insert(source.clone(), head);
         let differs = head.version == own.version && head.digest != own.digest;
-        let fell = head.version < own.version && source == TableSource::Platform;
+        let is_behind = head.version < own.version && source == TableSource::Platform;
         match differs {
             true => self.alarm(ResultCode::DigestDiffers, head, &source, actions),
             false => self.clear_alarm(ResultCode::DigestDiffers, &source, actions),
         }
-        match fell {
+        match is_behind {
             true => self.alarm(ResultCode::VersionFell, head, &source, actions),
             false => self.clear_alarm(ResultCode::VersionFell, &source, actions),
         }
         let is_reconciled = self.reconciled.get(&source) == Some(&(head, own));
-        if fell || (differs && is_reconciled && source == TableSource::Platform) {
+        if is_behind || (differs && is_reconciled && source == TableSource::Platform) {
             self.restore(now, actions);
         }
     }
@@ -245,7 +245,7 @@
     }
 
     fn on_restored(&mut self, version: TableVersion) {
-        // The head is read again by the next poll; until then nothing is wrong with the platform.
+        // The next poll reads the head again; until then the old one must not raise alarms.
         if version >= self.table.version() {
             self.heads.remove(&TableSource::Platform);
         }
@@ -257,7 +257,7 @@
         }
     }
 
-    /// The best source to pull from, and from which version on: peers before the platform, whose reads are limited.
+    /// The best source to pull from and the version to start at. Peers are preferred, because the platform limits reads.
     fn best_source(&self) -> Option<(TableSource, TableVersion)> {
         let own = self.head();
         let mut best: Option<(TableVersion, &TableSource)> = None;
@@ -271,7 +271,7 @@
             }
         }
         let (version, source) = best?;
-        // With the same version, or after rows that did not add up to the digest, only the whole table helps.
+        // With an equal version, or after a patch that did not result in the sender's digest, the full table is needed.
         let since = match version > own.version {
             true => self.pull_since(),
             false => 0,
@@ -295,8 +295,8 @@
     }
 
     fn restore(&mut self, now: Instant, actions: &mut Vec<KeeperAction>) {
-        let pause_over = |at: Instant| now.saturating_duration_since(at) >= MIN_RESTORE_INTERVAL;
-        if !self.restored_at.is_none_or(pause_over) {
+        let is_due = |at: Instant| now.saturating_duration_since(at) >= MIN_RESTORE_INTERVAL;
+        if !self.restored_at.is_none_or(is_due) {
             return;
         }
         self.restored_at = Some(now);
--- a/crates/table/src/table_source.rs
+++ b/crates/table/src/table_source.rs
@@ -1,4 +1,4 @@
-//! Where a table can be had from.
+//! The holders that a table can be pulled from.
 
 use {
     kernel::InstanceId,
--- a/crates/table/src/work_column.rs
+++ b/crates/table/src/work_column.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// One column, in the order in which the file has them.
+/// One column, in the order of the file.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum WorkColumn {
     /// The key of the row.
@@ -11,30 +11,30 @@
     Service,
     /// The model, for rows that go to model engines.
     Model,
-    /// Lower goes first.
+    /// The priority: lower is admitted first.
     Rank,
-    /// The share among rows of one rank.
+    /// The weight among rows of one rank.
     Weight,
-    /// How many requests may run at once.
+    /// The maximum number of requests in flight.
     Limit,
-    /// Where the row may run.
+    /// The availability zones in which the row may run.
     Zones,
-    /// The target for the first token.
+    /// The target time to the first token.
     FirstToken,
-    /// The target from one token to the next.
+    /// The target time between tokens.
     BetweenTokens,
     /// How long a request may wait in the queue.
     Patience,
     /// Whether a request may run twice.
     Repeat,
-    /// How many further tries a request gets.
+    /// The maximum number of retries of a request.
     Retries,
-    /// How much wasted prefill the row accepts.
+    /// The accepted share of wasted prefill.
     Waste,
 }
 
 impl WorkColumn {
-    /// Every column, in the order of the file.
+    /// All columns, in the order of the file.
     pub const ALL: [Self; 13] = [
         Self::Work,
         Self::Service,
@@ -51,7 +51,7 @@
         Self::Waste,
     ];
 
-    /// The column that a heading names; letter case and outer spaces don't count.
+    /// The column with this heading, ignoring letter case and surrounding spaces.
     pub fn from_heading(heading: &str) -> Option<Self> {
         let heading = heading.trim();
         Self::ALL
--- a/crates/table/src/work_table.rs
+++ b/crates/table/src/work_table.rs
@@ -1,4 +1,4 @@
-//! A whole table at one version.
+//! The table at one version, as used by admission and routing.
 
 use {
     crate::work_row::WorkRow,
@@ -17,7 +17,7 @@
 }
 
 impl WorkTable {
-    /// The hash of the rows' content, the same for equal rows on every instance.
+    /// The hash of the rows, equal for equal rows on every instance.
     pub fn digest(&self) -> TableDigest {
         let mut digest = 0;
         for row in self.rows.values() {
--- a/crates/table/tests/csv_faults.rs
+++ b/crates/table/tests/csv_faults.rs
@@ -1,4 +1,4 @@
-//! A table file is checked as a whole: every fault with its line, column and code, and nothing is taken.
+//! Validation of table files: every fault is reported with its line, column and code.
 
 use table::{FaultCode, TableError, WorkColumn, read_csv};
 
@@ -7,8 +7,8 @@
 
 fn faults(content: impl AsRef<[u8]>) -> Vec<(u64, Option<WorkColumn>, FaultCode)> {
     let error = read_csv("work.csv", content.as_ref()).expect_err("the file has faults");
-    let places = error.faults().iter();
-    places
+    let faults = error.faults().iter();
+    faults
         .map(|fault| (fault.line, fault.column, fault.code))
         .collect()
 }
--- a/crates/table/tests/csv_forms.rs
+++ b/crates/table/tests/csv_forms.rs
@@ -1,4 +1,4 @@
-//! The forms in which spreadsheets give a table back are read alike.
+//! The CSV dialects of spreadsheets are all read as the same table.
 
 use {
     std::time::Duration,
--- a/crates/table/tests/csv_properties.rs
+++ b/crates/table/tests/csv_properties.rs
@@ -1,4 +1,4 @@
-//! Any valid table comes back from its CSV form, and no bytes make the reader panic.
+//! Properties of the CSV form: valid tables survive a round trip, and no input makes the reader panic.
 
 use {
     proptest::{collection, option, prelude::*, test_runner::RngSeed},
@@ -6,7 +6,7 @@
     table::{FileBase, WorkRow, read_csv, write_csv},
 };
 
-fn fixed() -> ProptestConfig {
+fn fixed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
         failure_persistence: None,
@@ -53,7 +53,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_config())]
 
     #[test]
     fn a_table_comes_back_from_its_csv(
--- a/crates/table/tests/keeper.rs
+++ b/crates/table/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper: versions spread, never go down, and what is wrong elsewhere is an alarm.
+//! The table keeper: versions propagate and never decrease, and inconsistent holders raise an alarm.
 
 use {
     kernel::ResultCode,
@@ -33,12 +33,12 @@
     TableSource::Peer("entry-1".into())
 }
 
-struct Bench {
+struct Harness {
     keeper: TableKeeper,
     now: Instant,
 }
 
-impl Bench {
+impl Harness {
     fn head(&mut self, source: TableSource, head: TableHead) -> Vec<KeeperAction> {
         let asked = self.now;
         self.send(KeeperEvent::Head {
@@ -68,9 +68,9 @@
     }
 
     fn with(table: &StampedTable) -> Self {
-        let mut bench = Self::new();
-        bench.pulled(peer(), table.patch_since(0));
-        bench
+        let mut harness = Self::new();
+        harness.pulled(peer(), table.patch_since(0));
+        harness
     }
 }
 
@@ -85,26 +85,26 @@
 #[test]
 fn a_new_instance_is_not_ready_and_pulls_from_whoever_has_a_table() {
     let table = edit(&StampedTable::default(), 17, "notes", 1.0);
-    let mut bench = Bench::new();
-    assert!(!bench.keeper.is_ready());
-    let actions = bench.head(peer(), table.head());
+    let mut harness = Harness::new();
+    assert!(!harness.keeper.is_ready());
+    let actions = harness.head(peer(), table.head());
     let pull = KeeperAction::Pull {
         since: 0,
         source: peer(),
     };
     assert_eq!(actions, [pull]);
-    let actions = bench.pulled(peer(), table.patch_since(0));
+    let actions = harness.pulled(peer(), table.patch_since(0));
     assert_eq!(actions, [KeeperAction::InForce(table.clone().into())]);
-    assert!(bench.keeper.is_ready());
-    assert_eq!(bench.keeper.head(), table.head());
+    assert!(harness.keeper.is_ready());
+    assert_eq!(harness.keeper.head(), table.head());
 }
 
 #[test]
 fn an_instance_that_is_behind_pulls_only_what_changed() {
     let old = edit(&StampedTable::default(), 17, "notes", 1.0);
     let new = edit(&old, 18, "draft", 2.0);
-    let mut bench = Bench::with(&old);
-    let actions = bench.head(peer(), new.head());
+    let mut harness = Harness::with(&old);
+    let actions = harness.head(peer(), new.head());
     let pull = KeeperAction::Pull {
         since: 17,
         source: peer(),
@@ -112,17 +112,17 @@
     assert_eq!(actions, [pull]);
     let patch = new.patch_since(17);
     assert_eq!(patch.rows.len(), 1);
-    bench.pulled(peer(), patch);
-    assert_eq!(bench.keeper.head(), new.head());
+    harness.pulled(peer(), patch);
+    assert_eq!(harness.keeper.head(), new.head());
 }
 
 #[test]
 fn a_pull_that_fails_or_hangs_goes_to_another_source() {
     let table = edit(&StampedTable::default(), 17, "notes", 1.0);
-    let mut bench = Bench::new();
-    bench.head(peer(), table.head());
-    assert!(bench.head(TableSource::Platform, table.head()).is_empty());
-    let asks_platform = |actions: &[KeeperAction]| {
+    let mut harness = Harness::new();
+    harness.head(peer(), table.head());
+    assert!(harness.head(TableSource::Platform, table.head()).is_empty());
+    let pulls_from_platform = |actions: &[KeeperAction]| {
         actions.iter().any(|action| {
             matches!(
                 action,
@@ -133,42 +133,42 @@
             )
         })
     };
-    let mut hangs = bench.keeper.clone();
-    let later = bench.now + table_keeper::PULL_TIMEOUT;
+    let mut hanging = harness.keeper.clone();
+    let later = harness.now + table_keeper::PULL_TIMEOUT;
     let mut actions = Vec::new();
-    hangs.on_event(later, KeeperEvent::Tick, &mut actions);
-    assert!(asks_platform(&actions));
-    let actions = bench.send(KeeperEvent::PullFailed { source: peer() });
-    assert!(asks_platform(&actions));
+    hanging.on_event(later, KeeperEvent::Tick, &mut actions);
+    assert!(pulls_from_platform(&actions));
+    let actions = harness.send(KeeperEvent::PullFailed { source: peer() });
+    assert!(pulls_from_platform(&actions));
 }
 
 #[test]
 fn an_older_platform_is_an_alarm_and_gets_its_edits_back() {
     let old = edit(&StampedTable::default(), 17, "notes", 1.0);
     let new = edit(&old, 20, "notes", 9.0);
-    let mut bench = Bench::with(&new);
-    let actions = bench.head(TableSource::Platform, old.head());
+    let mut harness = Harness::with(&new);
+    let actions = harness.head(TableSource::Platform, old.head());
     assert_eq!(codes(&actions), [ResultCode::VersionFell]);
     assert!(actions.contains(&KeeperAction::Restore(new.clone().into())));
-    assert_eq!(bench.keeper.head(), new.head());
-    // The alarm is raised once, and ends when the platform has caught up.
-    assert!(bench.head(TableSource::Platform, old.head()).is_empty());
-    let actions = bench.head(TableSource::Platform, new.head());
-    let over = KeeperAction::AlarmCleared {
+    assert_eq!(harness.keeper.head(), new.head());
+    // The alarm is raised once, and cleared when the platform has caught up.
+    assert!(harness.head(TableSource::Platform, old.head()).is_empty());
+    let actions = harness.head(TableSource::Platform, new.head());
+    let cleared = KeeperAction::AlarmCleared {
         code: ResultCode::VersionFell,
         source: TableSource::Platform,
     };
-    assert_eq!(actions, [over]);
+    assert_eq!(actions, [cleared]);
 }
 
 #[test]
 fn a_poll_under_way_while_a_newer_table_comes_is_no_alarm() {
     let old = edit(&StampedTable::default(), 17, "notes", 1.0);
     let new = edit(&old, 20, "notes", 9.0);
-    let mut bench = Bench::with(&old);
-    let asked = bench.now;
-    bench.pulled(peer(), new.patch_since(17));
-    let actions = bench.send(KeeperEvent::Head {
+    let mut harness = Harness::with(&old);
+    let asked = harness.now;
+    harness.pulled(peer(), new.patch_since(17));
+    let actions = harness.send(KeeperEvent::Head {
         asked,
         head: old.head(),
         source: TableSource::Platform,
@@ -181,8 +181,8 @@
     let base = edit(&StampedTable::default(), 17, "notes", 1.0);
     let mine = edit(&base, 20, "notes", 9.0);
     let theirs = edit(&base, 20, "draft", 2.0);
-    let mut left = Bench::with(&mine);
-    let mut right = Bench::with(&theirs);
+    let mut left = Harness::with(&mine);
+    let mut right = Harness::with(&theirs);
     let actions = left.head(peer(), theirs.head());
     assert_eq!(codes(&actions), [ResultCode::DigestDiffers]);
     left.pulled(peer(), theirs.patch_since(0));
@@ -198,20 +198,20 @@
     let base = edit(&StampedTable::default(), 17, "notes", 1.0);
     let lost = edit(&base, 20, "notes", 9.0);
     let forked = edit(&base, 30, "draft", 2.0);
-    let mut bench = Bench::with(&lost);
-    bench.head(TableSource::Platform, forked.head());
-    let actions = bench.pulled(TableSource::Platform, forked.patch_since(20));
-    // The patch does not add up to the platform's digest, so the whole table is asked for.
+    let mut harness = Harness::with(&lost);
+    harness.head(TableSource::Platform, forked.head());
+    let actions = harness.pulled(TableSource::Platform, forked.patch_since(20));
+    // The patch does not result in the platform's digest, so the full table is requested.
     let pull = KeeperAction::Pull {
         since: 0,
         source: TableSource::Platform,
     };
     assert!(actions.contains(&pull));
-    let actions = bench.pulled(TableSource::Platform, forked.patch_since(0));
+    let actions = harness.pulled(TableSource::Platform, forked.patch_since(0));
     assert_eq!(codes(&actions), [ResultCode::DigestDiffers]);
-    let restore = KeeperAction::Restore(bench.keeper.table().clone());
+    let restore = KeeperAction::Restore(harness.keeper.table().clone());
     assert!(actions.contains(&restore));
-    let rows = bench.keeper.table().live_rows();
+    let rows = harness.keeper.table().live_rows();
     assert_eq!((rows["notes"].weight, rows["draft"].weight), (9.0, 2.0));
 }
 
@@ -223,13 +223,13 @@
     let mut stored = forked.clone();
     stored.join(&lost.patch_since(0));
     stored.write_back(&forked, 31);
-    let mut bench = Bench::with(&forked);
-    assert_eq!(bench.keeper.pull_since(), 30);
+    let mut harness = Harness::with(&forked);
+    assert_eq!(harness.keeper.pull_since(), 30);
     let patch = stored.patch_since(30);
     assert_eq!(patch.rows.len(), 1);
-    bench.pulled(peer(), patch);
-    assert_eq!(bench.keeper.head(), stored.head());
-    assert_eq!(bench.keeper.table().rows()["notes"].stamp, 20);
+    harness.pulled(peer(), patch);
+    assert_eq!(harness.keeper.head(), stored.head());
+    assert_eq!(harness.keeper.table().rows()["notes"].stamp, 20);
 }
 
 #[test]
@@ -240,11 +240,11 @@
     let mut stored = forked.clone();
     stored.join(&lost.patch_since(0));
     stored.write_back(&forked, 31);
-    let mut bench = Bench::with(&lost);
-    bench.pulled(peer(), stored.patch_since(20));
-    assert_eq!(bench.keeper.head(), stored.head());
-    let mut other = Bench::with(&forked);
-    other.pulled(peer(), bench.keeper.patch_since(30));
+    let mut harness = Harness::with(&lost);
+    harness.pulled(peer(), stored.patch_since(20));
+    assert_eq!(harness.keeper.head(), stored.head());
+    let mut other = Harness::with(&forked);
+    other.pulled(peer(), harness.keeper.patch_since(30));
     assert_eq!(other.keeper.head(), stored.head());
 }
 
@@ -253,12 +253,12 @@
     let base = edit(&StampedTable::default(), 17, "notes", 1.0);
     let mine = edit(&base, 20, "draft", 9.0);
     let theirs = edit(&edit(&base, 19, "tiles", 2.0), 30, "confirm", 2.0);
-    let mut bench = Bench::with(&mine);
-    bench.pulled(peer(), theirs.patch_since(20));
-    assert_eq!(bench.keeper.pull_since(), 0);
-    bench.pulled(peer(), theirs.patch_since(0));
-    assert_eq!(bench.keeper.pull_since(), 30);
-    assert_eq!(bench.keeper.table().live_rows().len(), 4);
+    let mut harness = Harness::with(&mine);
+    harness.pulled(peer(), theirs.patch_since(20));
+    assert_eq!(harness.keeper.pull_since(), 0);
+    harness.pulled(peer(), theirs.patch_since(0));
+    assert_eq!(harness.keeper.pull_since(), 30);
+    assert_eq!(harness.keeper.table().live_rows().len(), 4);
 }
 
 #[test]
@@ -271,9 +271,9 @@
         work: "notes".into(),
     };
     new.edit(18, &[removal]);
-    let mut bench = Bench::with(&new);
-    bench.pulled(peer(), old.patch_since(0));
-    assert!(bench.keeper.table().live_rows().is_empty());
+    let mut harness = Harness::with(&new);
+    harness.pulled(peer(), old.patch_since(0));
+    assert!(harness.keeper.table().live_rows().is_empty());
 }
 
 #[test]
@@ -281,22 +281,22 @@
     let table = edit(&StampedTable::default(), 17, "notes", 1.0);
     let mut patch = table.patch_since(0);
     patch.version = 16;
-    let mut bench = Bench::new();
-    let actions = bench.pulled(peer(), patch);
+    let mut harness = Harness::new();
+    let actions = harness.pulled(peer(), patch);
     assert_eq!(codes(&actions), [ResultCode::PeerRefused]);
-    assert!(!bench.keeper.is_ready());
+    assert!(!harness.keeper.is_ready());
 }
 
 #[test]
 fn the_keeper_says_since_when_it_is_cut_off() {
-    let mut bench = Bench::new();
-    let seen = bench.now + Duration::from_secs(60);
-    bench.send(KeeperEvent::PlatformContact { at: seen });
-    let keeper = &bench.keeper;
+    let mut harness = Harness::new();
+    let contact = harness.now + Duration::from_secs(60);
+    harness.send(KeeperEvent::PlatformContact { at: contact });
+    let keeper = &harness.keeper;
     assert_eq!(
-        keeper.cut_off_since(seen + table_keeper::CUT_OFF_AFTER),
+        keeper.cut_off_since(contact + table_keeper::CUT_OFF_AFTER),
         None
     );
-    let later = seen + table_keeper::CUT_OFF_AFTER + Duration::from_millis(1);
-    assert_eq!(keeper.cut_off_since(later), Some(seen));
+    let later = contact + table_keeper::CUT_OFF_AFTER + Duration::from_millis(1);
+    assert_eq!(keeper.cut_off_since(later), Some(contact));
 }
--- a/crates/table/tests/keeper_properties.rs
+++ b/crates/table/tests/keeper_properties.rs
@@ -1,4 +1,4 @@
-//! Whatever is offered in whatever order, versions and rows only go up, and all keepers end with one table.
+//! Properties of the keeper: versions and row stamps never decrease, and the order of patches does not matter.
 
 use {
     proptest::{collection, prelude::*, test_runner::RngSeed},
@@ -11,7 +11,7 @@
 
 const KEYS: [&str; 4] = ["a", "b", "c", "d"];
 
-fn fixed() -> ProptestConfig {
+fn fixed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
         failure_persistence: None,
@@ -39,7 +39,7 @@
 }
 
 prop_compose! {
-    /// A table that came by any history, with stamps out of any order.
+    /// A table with an arbitrary history and arbitrary stamps.
     fn any_table()(
         rows in collection::btree_map(0..KEYS.len(), (0_u8..4, 1_u64..6), 0..4),
         ahead in 0_u64..3,
@@ -64,7 +64,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_config())]
 
     #[test]
     fn versions_and_rows_never_go_down(offers in collection::vec((any_table(), 0_u64..4), 1..8)) {
@@ -126,10 +126,10 @@
             };
         }
         for key in KEYS {
-            let (was, file, now) = (base.get(key), mine.get(key), theirs.get(key));
+            let (old, edited, current) = (base.get(key), mine.get(key), theirs.get(key));
             let conflict = merge.conflicts.iter().any(|conflict| &*conflict.work == key);
-            prop_assert_eq!(conflict, file != was && now != was && file != now);
-            let expected = if file == was || conflict { now } else { file };
+            prop_assert_eq!(conflict, edited != old && current != old && edited != current);
+            let expected = if edited == old || conflict { current } else { edited };
             prop_assert_eq!(merged.get(key), expected);
         }
     }
