--- a/crates/peer/src/accept_loop.rs
+++ b/crates/peer/src/accept_loop.rs
@@ -110,9 +110,9 @@
     }
 
     fn read_message(&self, message: &Bytes) -> Result<(MessageHeader, Bytes), PeerError> {
-        let (head, body) = wire::decode_message(message)?;
-        self.check_name(&head.from)?;
-        Ok((head, body))
+        let (header, body) = wire::decode_message(message)?;
+        self.check_name(&header.from)?;
+        Ok((header, body))
     }
 
     /// Checks the first message's name against the certificate; later messages must carry the same name.
@@ -132,16 +132,16 @@
     }
 
     fn handle_message(&self, message: &Bytes) {
-        let (head, body) = match self.read_message(message) {
+        let (header, body) = match self.read_message(message) {
             Ok(read) => read,
             Err(error) => return self.shared.count_error(&error),
         };
-        if head.kind != MessageKind::Message {
+        if header.kind != MessageKind::Message {
             return self.shared.metrics.refuse(RefusedCause::Garbled);
         }
-        let from = head.from;
+        let from = header.from;
         self.shared
-            .dispatch(head.tag, PeerIncoming::Message { body, from });
+            .dispatch(header.tag, PeerIncoming::Message { body, from });
     }
 
     async fn handle_uni(self, mut stream: RecvStream) {
@@ -167,26 +167,26 @@
     async fn handle_bi(self, sender: SendStream, mut receiver: RecvStream) {
         let read = self.read_first(&mut receiver).await;
         let read = read.and_then(|message| self.read_message(&message));
-        let (head, body) = match read {
+        let (header, body) = match read {
             Ok(read) => read,
             Err(error) => return self.shared.count_error(&error),
         };
-        match head.kind {
-            MessageKind::Call => self.handle_call(head, body, sender).await,
+        match header.kind {
+            MessageKind::Call => self.handle_call(header, body, sender).await,
             MessageKind::Message => self.shared.metrics.refuse(RefusedCause::Garbled),
-            MessageKind::Session => self.handle_session(head, sender, receiver),
+            MessageKind::Session => self.handle_session(header, sender, receiver),
         }
     }
 
     /// Resets the stream when the handler drops the call without an answer; the caller sees that as a refusal.
-    async fn handle_call(&self, head: MessageHeader, body: Bytes, mut sender: SendStream) {
+    async fn handle_call(&self, header: MessageHeader, body: Bytes, mut sender: SendStream) {
         let (reply, answer) = CallReply::pair();
         let incoming = PeerIncoming::Call {
             body,
-            from: head.from,
+            from: header.from,
             reply,
         };
-        self.shared.dispatch(head.tag, incoming);
+        self.shared.dispatch(header.tag, incoming);
         let answer = tokio::select! {
             answer = answer => answer,
             _ = sender.stopped() => return,
@@ -201,18 +201,18 @@
         let _ = sender.stopped().await;
     }
 
-    fn handle_session(&self, head: MessageHeader, sender: SendStream, receiver: RecvStream) {
+    fn handle_session(&self, header: MessageHeader, sender: SendStream, receiver: RecvStream) {
         let limit = self.shared.settings.frame_limit;
-        let instance = &head.from.instance;
+        let instance = &header.from.instance;
         let connection = &self.connection;
         let receiver = SessionReceiver::new(connection.clone(), instance.clone(), limit, receiver);
         let sender = SessionSender::new(connection.clone(), instance.clone(), limit, sender);
         let incoming = PeerIncoming::Session {
-            from: head.from,
+            from: header.from,
             receiver,
             sender,
         };
-        self.shared.dispatch(head.tag, incoming);
+        self.shared.dispatch(header.tag, incoming);
     }
 }
 
--- a/crates/peer/src/keys.rs
+++ b/crates/peer/src/keys.rs
@@ -134,7 +134,7 @@
 ///
 /// # Errors
 ///
-/// When a name can't stand in a certificate.
+/// When a name can't be encoded in a certificate.
 pub fn make_test_keys(instances: &[&str]) -> Result<(KeyAuthority, Vec<PeerKeys>), PeerError> {
     let authority = KeyAuthority::new()?;
     let mut keys = Vec::with_capacity(instances.len());
--- a/crates/peer/src/mark_table.rs
+++ b/crates/peer/src/mark_table.rs
@@ -31,7 +31,7 @@
 impl MarkTable {
     /// All marks, with their current age.
     pub fn all(&self, now: Instant) -> Vec<UpstreamMark> {
-        self.marks.values().map(|held| held.at(now)).collect()
+        self.marks.values().map(|stored| stored.at(now)).collect()
     }
 
     /// A digest that is equal for equal sets of marks.
@@ -42,8 +42,8 @@
     /// Drops the expired marks and returns their keys.
     pub fn expire(&mut self, now: Instant) -> Vec<MarkKey> {
         let mut expired = Vec::new();
-        for (key, held) in &self.marks {
-            if held.age(now) < self.lifetime {
+        for (key, stored) in &self.marks {
+            if stored.age(now) < self.lifetime {
                 continue;
             }
             expired.push(key.clone());
@@ -56,7 +56,7 @@
 
     /// One mark, with its current age.
     pub fn get(&self, now: Instant, key: &MarkKey) -> Option<UpstreamMark> {
-        self.marks.get(key).map(|held| held.at(now))
+        self.marks.get(key).map(|stored| stored.at(now))
     }
 
     /// Creates an empty table that holds at most `limit` marks.
@@ -90,10 +90,10 @@
     }
 
     fn remove(&mut self, key: &MarkKey) {
-        let Some(held) = self.marks.remove(key) else {
+        let Some(stored) = self.marks.remove(key) else {
             return;
         };
-        self.digest ^= held.mark.digest();
+        self.digest ^= stored.mark.digest();
     }
 }
 
--- a/crates/peer/src/member_merge.rs
+++ b/crates/peer/src/member_merge.rs
@@ -29,11 +29,11 @@
             return;
         }
         match message {
-            MemberMessage::Heartbeat(beat) => {
-                self.on_heartbeat(now, from, &beat, actions);
+            MemberMessage::Heartbeat(heartbeat) => {
+                self.on_heartbeat(now, from, &heartbeat, actions);
             }
-            MemberMessage::Probe(beat) => {
-                if self.on_heartbeat(now, from, &beat, actions) {
+            MemberMessage::Probe(heartbeat) => {
+                if self.on_heartbeat(now, from, &heartbeat, actions) {
                     self.answer_probe(now, from, actions);
                 }
             }
@@ -56,11 +56,14 @@
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) -> bool {
-        let is_own_record = beat.member.instance == from.instance;
-        if !is_own_record || beat.member.incarnation != from.incarnation || !beat.is_bounded() {
+        let is_own_record = heartbeat.member.instance == from.instance;
+        if !is_own_record
+            || heartbeat.member.incarnation != from.incarnation
+            || !heartbeat.is_bounded()
+        {
             actions.push(MemberAction::Refuse(RefusedCause::Garbled));
             return false;
         }
@@ -68,19 +71,19 @@
             return false;
         }
         let watch = self.watch(now, &from.instance, from.incarnation);
-        if !watch.advance_sequence(from.incarnation, beat.sequence) {
+        if !watch.advance_sequence(from.incarnation, heartbeat.sequence) {
             actions.push(MemberAction::Refuse(RefusedCause::Replayed));
             return false;
         }
         watch.heard = now;
-        watch.floors = Some(beat.floors);
+        watch.floors = Some(heartbeat.floors);
         self.mark_reachable(&from.instance, actions);
-        self.merge_record(now, beat.member.clone(), true, actions);
+        self.merge_record(now, heartbeat.member.clone(), true, actions);
         self.notify_if_suspect(now, from, actions);
-        self.merge_updates(now, beat, actions);
-        self.merge_platform_contact(now, beat);
-        self.compare_tables(now, from, beat, actions);
-        self.compare_digests(now, from, beat, actions);
+        self.merge_updates(now, heartbeat, actions);
+        self.merge_platform_contact(now, heartbeat);
+        self.compare_tables(now, from, heartbeat, actions);
+        self.compare_digests(now, from, heartbeat, actions);
         true
     }
 
@@ -123,7 +126,7 @@
         let Some(watch) = self.watches.get_mut(instance) else {
             return;
         };
-        if !std::mem::take(&mut watch.cut) {
+        if !std::mem::take(&mut watch.is_unreachable) {
             return;
         }
         self.ring_stale = true;
@@ -137,17 +140,22 @@
         actions.push(MemberAction::Notify(update));
     }
 
-    fn merge_updates(&mut self, now: Instant, beat: &Heartbeat, actions: &mut Vec<MemberAction>) {
-        for record in &beat.records {
+    fn merge_updates(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        actions: &mut Vec<MemberAction>,
+    ) {
+        for record in &heartbeat.records {
             self.merge_record(now, record.clone(), true, actions);
         }
-        for mark in &beat.marks {
+        for mark in &heartbeat.marks {
             self.merge_mark(now, mark.clone(), true, actions);
         }
-        for summary in &beat.zones {
+        for summary in &heartbeat.zones {
             self.merge_zone_summary(now, summary, actions);
         }
-        for summary in &beat.cells {
+        for summary in &heartbeat.cells {
             let key = (summary.cell.clone(), summary.by.clone());
             let is_near = summary.zone == self.zone;
             if self.cells.put(now, summary.clone()) && is_near {
@@ -229,7 +237,7 @@
             MemberStanding::Alive => {
                 watch.dead_since = None;
                 watch.suspected = None;
-                watch.cut = false;
+                watch.is_unreachable = false;
             }
             MemberStanding::Dead => watch.dead_since = Some(now),
             MemberStanding::Suspect => {
@@ -281,15 +289,15 @@
         let stale = Some(by.incarnation - 1);
         if self.stale != stale {
             self.stale = stale;
-            self.superseder_silent = None;
+            self.superseder_silent_since = None;
             let by = by.incarnation;
             actions.push(MemberAction::Notify(MemberUpdate::Superseded { by }));
         }
         if !by.is_suspect() && self.has_zone_contact() {
-            self.superseder_silent = None;
+            self.superseder_silent_since = None;
             return;
         }
-        let since = *self.superseder_silent.get_or_insert(now);
+        let since = *self.superseder_silent_since.get_or_insert(now);
         if now.saturating_duration_since(since) > self.death_timeout() {
             self.abandon_incarnation(by.incarnation, actions);
         }
--- a/crates/peer/src/member_sync.rs
+++ b/crates/peer/src/member_sync.rs
@@ -22,10 +22,10 @@
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) {
-        let theirs = beat.table;
+        let theirs = heartbeat.table;
         self.compare_contents(now, from, theirs, actions);
         if theirs.version <= self.table.version {
             return;
@@ -49,8 +49,8 @@
     /// Merges the sender's last platform contact. Its age does not include the time on the way, so a contact that comes
     /// back over other instances looks newer than it is: a gain within the margin is ignored, and so are heartbeats that
     /// waited in the inbox while this process was paused.
-    pub(crate) fn merge_platform_contact(&mut self, now: Instant, beat: &Heartbeat) {
-        let Some(heard) = beat.platform_age.and_then(|age| now.checked_sub(age)) else {
+    pub(crate) fn merge_platform_contact(&mut self, now: Instant, heartbeat: &Heartbeat) {
+        let Some(heard) = heartbeat.platform_age.and_then(|age| now.checked_sub(age)) else {
             return;
         };
         if now.saturating_duration_since(self.next_heartbeat) >= self.settings.suspicion_timeout {
@@ -96,26 +96,26 @@
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) {
-        let equal = beat.members_digest == self.records.digest()
-            && beat.marks_digest == self.marks.digest();
+        let equal = heartbeat.members_digest == self.records.digest()
+            && heartbeat.marks_digest == self.marks.digest();
         let rounds = self.settings.sync_rounds;
-        let is_first = beat.sequence == 1;
+        let is_first = heartbeat.sequence == 1;
         let is_joining = self.records.len() <= 2;
         let watch = self.watch(now, &from.instance, from.incarnation);
-        watch.differs = if equal {
+        watch.digest_mismatches = if equal {
             0
         } else {
-            watch.differs.saturating_add(1)
+            watch.digest_mismatches.saturating_add(1)
         };
-        let due = watch.differs >= rounds || (!equal && (is_first || is_joining));
+        let due = watch.digest_mismatches >= rounds || (!equal && (is_first || is_joining));
         if !due || now < self.next_sync {
             return;
         }
         let watch = self.watch(now, &from.instance, from.incarnation);
-        watch.differs = 0;
+        watch.digest_mismatches = 0;
         self.next_sync = now + self.settings.heartbeat_interval;
         let request = SyncRequest {
             marks_digest: self.marks.digest(),
--- a/crates/peer/src/member_table.rs
+++ b/crates/peer/src/member_table.rs
@@ -68,7 +68,7 @@
     pub(crate) sequence: u64,
     pub(crate) settings: MemberSettings,
     pub(crate) stale: Option<Incarnation>,
-    pub(crate) superseder_silent: Option<Instant>,
+    pub(crate) superseder_silent_since: Option<Instant>,
     pub(crate) table: TableRevision,
     pub(crate) watches: BTreeMap<InstanceId, MemberWatch>,
     pub(crate) zone: ZoneId,
@@ -110,7 +110,7 @@
             sequence: 0,
             settings,
             stale: None,
-            superseder_silent: None,
+            superseder_silent_since: None,
             table: TableRevision::default(),
             watches: BTreeMap::new(),
             zone,
@@ -190,7 +190,9 @@
 
     /// Whether a member is unreachable from here although it was not declared dead.
     pub fn is_unreachable(&self, instance: &str) -> bool {
-        self.watches.get(instance).is_some_and(|watch| watch.cut)
+        self.watches
+            .get(instance)
+            .is_some_and(|watch| watch.is_unreachable)
     }
 
     /// The records of all members, including this instance.
@@ -319,7 +321,7 @@
             return;
         }
         self.stale = None;
-        self.superseder_silent = None;
+        self.superseder_silent_since = None;
         self.mark_serial = 0;
         self.sequence = 0;
         self.change_own(now, |own| {
--- a/crates/peer/src/member_timer.rs
+++ b/crates/peer/src/member_timer.rs
@@ -144,8 +144,8 @@
             let silence = now.saturating_duration_since(watch.heard);
             if record.zone != self.zone {
                 let limit = self.settings.suspicion_timeout + self.settings.gone_timeout;
-                if silence > limit && !watch.cut {
-                    watch.cut = true;
+                if silence > limit && !watch.is_unreachable {
+                    watch.is_unreachable = true;
                     actions.push(MemberAction::Notify(MemberUpdate::MemberUnreachable {
                         instance,
                     }));
@@ -214,10 +214,10 @@
         let Some(watch) = self.watches.get_mut(&instance) else {
             return;
         };
-        if watch.cut {
+        if watch.is_unreachable {
             return;
         }
-        watch.cut = true;
+        watch.is_unreachable = true;
         self.ring_stale = true;
         actions.push(MemberAction::Notify(MemberUpdate::MemberUnreachable {
             instance,
@@ -225,7 +225,7 @@
     }
 
     fn report_silent_zones(&mut self, now: Instant, actions: &mut Vec<MemberAction>) {
-        for zone in self.zones.cut(now, self.settings.zone_timeout) {
+        for zone in self.zones.mark_unreachable(now, self.settings.zone_timeout) {
             actions.push(MemberAction::Notify(MemberUpdate::ZoneUnreachable { zone }));
         }
     }
--- a/crates/peer/src/member_view.rs
+++ b/crates/peer/src/member_view.rs
@@ -96,7 +96,7 @@
     for (zone, view) in table.zones().all() {
         let silent = now.saturating_duration_since(view.heard);
         zones.push(ZoneInfo {
-            cut: view.cut,
+            cut: view.is_unreachable,
             floor: view.floor,
             silent_ms: u64::try_from(silent.as_millis()).unwrap_or(u64::MAX),
             zone: zone.clone(),
--- a/crates/peer/src/member_watch.rs
+++ b/crates/peer/src/member_watch.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Debug)]
 pub struct MemberWatch {
     /// Whether it is unreachable from here without having been declared dead.
-    pub cut: bool,
+    pub is_unreachable: bool,
     /// Consecutive heartbeats whose digests differ from this instance's.
-    pub differs: u8,
+    pub digest_mismatches: u8,
     /// The version floors of its last heartbeat.
     pub floors: Option<VersionFloors>,
     /// When it was declared dead.
@@ -29,8 +29,8 @@
     /// Creates the state of a member that was just learned of.
     pub fn new(now: Instant, incarnation: Incarnation) -> Self {
         Self {
-            cut: false,
-            differs: 0,
+            is_unreachable: false,
+            digest_mismatches: 0,
             floors: None,
             dead_since: None,
             heard: now,
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -74,13 +74,13 @@
 /// # Errors
 ///
 /// When the header can't be encoded.
-pub fn encode_message(head: &MessageHeader, body: &[u8]) -> Result<Bytes, PeerError> {
-    let head = encode(head)?;
-    let length = u16::try_from(head.len()).map_err(|error| garbled(&error))?;
-    let mut message = BytesMut::with_capacity(HEADER_OFFSET + head.len() + body.len());
+pub fn encode_message(header: &MessageHeader, body: &[u8]) -> Result<Bytes, PeerError> {
+    let header = encode(header)?;
+    let length = u16::try_from(header.len()).map_err(|error| garbled(&error))?;
+    let mut message = BytesMut::with_capacity(HEADER_OFFSET + header.len() + body.len());
     message.put_u16_le(WIRE_VERSION);
     message.put_u16_le(length);
-    message.put_slice(&head);
+    message.put_slice(&header);
     message.put_slice(body);
     Ok(message.freeze())
 }
@@ -107,8 +107,8 @@
         }
         .fail();
     }
-    let head = decode(&message[HEADER_OFFSET..body_at])?;
-    Ok((head, message.slice(body_at..)))
+    let header = decode(&message[HEADER_OFFSET..body_at])?;
+    Ok((header, message.slice(body_at..)))
 }
 
 /// Prefixes a message with its length, for sending it on a stream.
--- a/crates/peer/src/zone_table.rs
+++ b/crates/peer/src/zone_table.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneView {
     /// Whether it is unreachable: its last report is too old.
-    pub cut: bool,
+    pub is_unreachable: bool,
     /// The lowest table version in force there, as last reported.
     pub floor: TableVersion,
     /// When it last reported, by this instance's clock.
@@ -34,16 +34,16 @@
     }
 
     /// Marks zones that were silent for longer than the limit as unreachable and returns the newly marked ones.
-    pub fn cut(&mut self, now: Instant, limit: Duration) -> Vec<ZoneId> {
-        let mut cut = Vec::new();
+    pub fn mark_unreachable(&mut self, now: Instant, limit: Duration) -> Vec<ZoneId> {
+        let mut unreachable = Vec::new();
         for (zone, view) in &mut self.zones {
-            if view.cut || now.saturating_duration_since(view.heard) <= limit {
+            if view.is_unreachable || now.saturating_duration_since(view.heard) <= limit {
                 continue;
             }
-            view.cut = true;
-            cut.push(zone.clone());
+            view.is_unreachable = true;
+            unreachable.push(zone.clone());
         }
-        cut
+        unreachable
     }
 
     /// The next `count` zones to gossip, in rotation.
@@ -71,12 +71,18 @@
         if known.is_some_and(|known| known.heard >= heard) {
             return false;
         }
-        let was_cut = known.is_some_and(|known| known.cut);
-        let cut = was_cut && summary.age > limit;
+        let was_unreachable = known.is_some_and(|known| known.is_unreachable);
+        let is_unreachable = was_unreachable && summary.age > limit;
         let floor = summary.floor;
-        self.zones
-            .insert(summary.zone, ZoneView { cut, floor, heard });
-        was_cut && !cut
+        self.zones.insert(
+            summary.zone,
+            ZoneView {
+                floor,
+                heard,
+                is_unreachable,
+            },
+        );
+        was_unreachable && !is_unreachable
     }
 
     /// Resets all silence timers to `now`, after a pause of this instance itself.
