--- a/crates/peer/src/accept_loop.rs
+++ b/crates/peer/src/accept_loop.rs
@@ -1,4 +1,4 @@
-//! Takes connections and what comes over them.
+//! Accepts connections and dispatches the messages, calls and sessions that arrive over them.
 
 use {
     crate::{
@@ -11,7 +11,7 @@
         session_receiver::SessionReceiver,
         session_sender::SessionSender,
         tls_config,
-        wire::{self, MessageHead, MessageKind},
+        wire::{self, MessageHeader, MessageKind},
     },
     bytes::Bytes,
     kernel::{InstanceId, WorkerPool},
@@ -20,7 +20,7 @@
     std::sync::{Arc, Mutex, OnceLock},
 };
 
-/// What the tasks that take connections share.
+/// State shared by the tasks that serve accepted connections.
 #[derive(Clone, Debug)]
 pub(crate) struct AcceptLoop {
     pub(crate) accepted: Arc<Mutex<Vec<Connection>>>,
@@ -30,7 +30,7 @@
     pub(crate) settings: Arc<PeerSettings>,
 }
 
-/// One accepted connection.
+/// One accepted connection; `name` is set once the first message was checked against the certificate.
 #[derive(Clone)]
 struct AcceptedLink {
     connection: Connection,
@@ -39,20 +39,20 @@
 }
 
 impl AcceptLoop {
-    /// Takes connections until the endpoint closes.
+    /// Accepts connections until the endpoint closes.
     pub(crate) async fn run(self, endpoint: Endpoint) {
         while let Some(incoming) = endpoint.accept().await {
             let shared = self.clone();
-            self.pool.spawn(shared.take(incoming));
+            self.pool.spawn(shared.serve(incoming));
         }
     }
 
-    async fn take(self, incoming: Incoming) {
+    async fn serve(self, incoming: Incoming) {
         let Ok(connection) = incoming.await else {
             self.metrics.refuse(RefusedCause::Key);
             return;
         };
-        self.keep(&connection);
+        self.track(&connection);
         let link = AcceptedLink {
             connection,
             name: Arc::default(),
@@ -61,7 +61,7 @@
         link.run().await;
     }
 
-    fn keep(&self, connection: &Connection) {
+    fn track(&self, connection: &Connection) {
         let mut accepted = self
             .accepted
             .lock()
@@ -80,8 +80,8 @@
         self.metrics.refuse(cause);
     }
 
-    fn hand_over(&self, tag: u16, incoming: PeerIncoming) {
-        match self.router.hand_over(tag, incoming) {
+    fn dispatch(&self, tag: u16, incoming: PeerIncoming) {
+        match self.router.dispatch(tag, incoming) {
             Ok(()) => self.metrics.received.inc(),
             Err(RouteFailure::Full) => self.metrics.refuse(RefusedCause::Overload),
             Err(RouteFailure::Missing) => self.metrics.refuse(RefusedCause::Tag),
@@ -95,27 +95,27 @@
             tokio::select! {
                 datagram = self.connection.read_datagram() => {
                     let Ok(datagram) = datagram else { return };
-                    self.take_message(&datagram);
+                    self.handle_message(&datagram);
                 }
                 stream = self.connection.accept_uni() => {
                     let Ok(stream) = stream else { return };
-                    self.shared.pool.spawn(self.clone().take_uni(stream));
+                    self.shared.pool.spawn(self.clone().handle_uni(stream));
                 }
                 stream = self.connection.accept_bi() => {
                     let Ok((sender, receiver)) = stream else { return };
-                    self.shared.pool.spawn(self.clone().take_bi(sender, receiver));
+                    self.shared.pool.spawn(self.clone().handle_bi(sender, receiver));
                 }
             }
         }
     }
 
-    fn read_message(&self, message: &Bytes) -> Result<(MessageHead, Bytes), PeerError> {
-        let (head, body) = wire::decode_message(message)?;
-        self.check_name(&head.from)?;
-        Ok((head, body))
+    fn read_message(&self, message: &Bytes) -> Result<(MessageHeader, Bytes), PeerError> {
+        let (header, body) = wire::decode_message(message)?;
+        self.check_name(&header.from)?;
+        Ok((header, body))
     }
 
-    /// The first message's name is checked against the certificate; the later ones have to repeat it.
+    /// Checks the first message's name against the certificate; later messages must carry the same name.
     fn check_name(&self, from: &PeerIdentity) -> Result<(), PeerError> {
         let claimed = from.instance.clone();
         if let Some(name) = self.name.get() {
@@ -131,22 +131,22 @@
         Ok(())
     }
 
-    fn take_message(&self, message: &Bytes) {
-        let (head, body) = match self.read_message(message) {
+    fn handle_message(&self, message: &Bytes) {
+        let (header, body) = match self.read_message(message) {
             Ok(read) => read,
             Err(error) => return self.shared.count_error(&error),
         };
-        if head.kind != MessageKind::Message {
+        if header.kind != MessageKind::Message {
             return self.shared.metrics.refuse(RefusedCause::Garbled);
         }
-        let from = head.from;
+        let from = header.from;
         self.shared
-            .hand_over(head.tag, PeerIncoming::Message { body, from });
+            .dispatch(header.tag, PeerIncoming::Message { body, from });
     }
 
-    async fn take_uni(self, mut stream: RecvStream) {
+    async fn handle_uni(self, mut stream: RecvStream) {
         match self.read_first(&mut stream).await {
-            Ok(message) => self.take_message(&message),
+            Ok(message) => self.handle_message(&message),
             Err(error) => self.shared.count_error(&error),
         }
     }
@@ -164,36 +164,36 @@
         }
     }
 
-    async fn take_bi(self, sender: SendStream, mut receiver: RecvStream) {
+    async fn handle_bi(self, sender: SendStream, mut receiver: RecvStream) {
         let read = self.read_first(&mut receiver).await;
         let read = read.and_then(|message| self.read_message(&message));
-        let (head, body) = match read {
+        let (header, body) = match read {
             Ok(read) => read,
             Err(error) => return self.shared.count_error(&error),
         };
-        match head.kind {
-            MessageKind::Call => self.take_call(head, body, sender).await,
+        match header.kind {
+            MessageKind::Call => self.handle_call(header, body, sender).await,
             MessageKind::Message => self.shared.metrics.refuse(RefusedCause::Garbled),
-            MessageKind::Session => self.take_session(head, sender, receiver),
+            MessageKind::Session => self.handle_session(header, sender, receiver),
         }
     }
 
-    /// A stream that is dropped without an answer is reset, which the caller sees as a refusal.
-    async fn take_call(&self, head: MessageHead, body: Bytes, mut sender: SendStream) {
+    /// Resets the stream when the handler drops the call without an answer; the caller sees that as a refusal.
+    async fn handle_call(&self, header: MessageHeader, body: Bytes, mut sender: SendStream) {
         let (reply, answer) = CallReply::pair();
         let incoming = PeerIncoming::Call {
             body,
-            from: head.from,
+            from: header.from,
             reply,
         };
-        self.shared.hand_over(head.tag, incoming);
+        self.shared.dispatch(header.tag, incoming);
         let answer = tokio::select! {
             answer = answer => answer,
             _ = sender.stopped() => return,
         };
         let Ok(frame) = answer.map_or(Err(PeerError::Closing), |body| wire::frame_message(&body))
         else {
-            let _ = sender.reset(REFUSED.into());
+            let _ = sender.reset(CALL_REFUSED.into());
             return;
         };
         let _ = sender.write_chunk(frame).await;
@@ -201,23 +201,23 @@
         let _ = sender.stopped().await;
     }
 
-    fn take_session(&self, head: MessageHead, sender: SendStream, receiver: RecvStream) {
+    fn handle_session(&self, header: MessageHeader, sender: SendStream, receiver: RecvStream) {
         let limit = self.shared.settings.frame_limit;
-        let instance = &head.from.instance;
+        let instance = &header.from.instance;
         let connection = &self.connection;
         let receiver = SessionReceiver::new(connection.clone(), instance.clone(), limit, receiver);
         let sender = SessionSender::new(connection.clone(), instance.clone(), limit, sender);
         let incoming = PeerIncoming::Session {
-            from: head.from,
+            from: header.from,
             receiver,
             sender,
         };
-        self.shared.hand_over(head.tag, incoming);
+        self.shared.dispatch(header.tag, incoming);
     }
 }
 
-/// The stream error code of a refused call.
-pub(crate) const REFUSED: u32 = 1;
+/// QUIC stream error code of a refused call.
+pub(crate) const CALL_REFUSED: u32 = 1;
 
 fn certificate_names(connection: &Connection, claimed: &str) -> bool {
     let Some(chain) = tls_config::certificate_chain(connection.peer_identity()) else {
--- a/crates/peer/src/heartbeat.rs
+++ b/crates/peer/src/heartbeat.rs
@@ -1,56 +1,56 @@
-//! What instances tell each other all the time.
+//! The messages of the membership protocol: heartbeats and anti-entropy.
 
 use {
     crate::{
-        cell_summary::CellSummary, floor_ladder::FloorLadder, member_record::MemberRecord,
-        table_mark::TableMark, upstream_mark::UpstreamMark, zone_brief::ZoneBrief,
+        cell_summary::CellSummary, member_record::MemberRecord, table_revision::TableRevision,
+        upstream_mark::UpstreamMark, version_floors::VersionFloors, zone_summary::ZoneSummary,
     },
     kernel::ZoneId,
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
 
-/// One heartbeat: who sends it, what it has in force, and what changed lately. Every list is bounded.
+/// One heartbeat: the sender's record, its table revision and recent changes. Every list is bounded.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Cells whose summaries are new.
+    /// New cell summaries.
     pub cells: Vec<CellSummary>,
-    /// The lowest table versions around the sender.
-    pub floors: FloorLadder,
-    /// Marks that are new.
+    /// The lowest table versions around the sender, by distance.
+    pub floors: VersionFloors,
+    /// New upstream marks.
     pub marks: Vec<UpstreamMark>,
     /// The digest of all marks that the sender knows.
     pub marks_digest: u64,
-    /// The sender itself.
+    /// The sender's own record.
     pub member: MemberRecord,
     /// The digest of all members that the sender knows.
     pub members_digest: u64,
-    /// How long ago the platform answered the sender, or one that told the sender of it; none when it never did.
+    /// How long ago the platform answered the sender or a peer whose heartbeat reported it; `None` when it never did.
     pub platform_age: Option<Duration>,
-    /// Members whose records are new.
+    /// New member records.
     pub records: Vec<MemberRecord>,
-    /// Counts the heartbeats of the sender's life; one that does not rise is a replay.
+    /// Rises with each heartbeat of the sender's incarnation; a heartbeat that does not rise is a replay.
     pub sequence: u64,
-    /// The table that the sender has in force.
-    pub table: TableMark,
-    /// The sender's own zone, then some others.
-    pub zones: Vec<ZoneBrief>,
+    /// The table in force at the sender.
+    pub table: TableRevision,
+    /// The sender's own availability zone, then some others in rotation.
+    pub zones: Vec<ZoneSummary>,
 }
 
 impl Heartbeat {
-    /// Whether every list is within the bounds.
+    /// Whether every list has at most [`MAX_LIST_LENGTH`] entries.
     pub fn is_bounded(&self) -> bool {
-        self.cells.len() <= LIST_LIMIT
-            && self.marks.len() <= LIST_LIMIT
-            && self.records.len() <= LIST_LIMIT
-            && self.zones.len() <= LIST_LIMIT
+        self.cells.len() <= MAX_LIST_LENGTH
+            && self.marks.len() <= MAX_LIST_LENGTH
+            && self.records.len() <= MAX_LIST_LENGTH
+            && self.zones.len() <= MAX_LIST_LENGTH
     }
 }
 
-/// The most entries that a list of a heartbeat may have.
-pub const LIST_LIMIT: usize = 64;
+/// The maximum number of entries in a list of a heartbeat.
+pub const MAX_LIST_LENGTH: usize = 64;
 
-/// The digests that a peer compares with its own.
+/// An anti-entropy request: the digests that the receiver compares with its own.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SyncRequest {
     /// The digest of all marks.
@@ -59,7 +59,8 @@
     pub zones: Vec<(ZoneId, u64)>,
 }
 
-/// Whole lists, for what differs. Also tells a peer that its life is over.
+/// An anti-entropy reply: the full lists whose digests differ. Also tells a peer that its incarnation is dead or
+/// suspected.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SyncReply {
     /// All marks, when the digests differ.
@@ -72,11 +73,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum MemberMessage {
     /// A heartbeat.
-    Beat(Box<Heartbeat>),
-    /// A heartbeat to one who may know nothing of the sender; it is answered with a heartbeat.
+    Heartbeat(Box<Heartbeat>),
+    /// A heartbeat to an instance that may not know the sender; it is answered with a heartbeat.
     Probe(Box<Heartbeat>),
-    /// Whole lists.
+    /// Answers an anti-entropy request.
     Reply(SyncReply),
-    /// Asks for whole lists.
+    /// Requests the lists that differ.
     Request(SyncRequest),
 }
--- a/crates/peer/src/member_metrics.rs
+++ b/crates/peer/src/member_metrics.rs
@@ -1,32 +1,32 @@
-//! Counters of the membership.
+//! Metrics of the membership.
 
 use prometheus::{IntCounter, IntGauge, Registry};
 
-/// The counters. Clones share them.
+/// The membership's counters and gauges, shared by clones.
 #[derive(Clone, Debug)]
 pub struct MemberMetrics {
-    /// Table versions that came with two contents.
+    /// Heartbeats that reported this instance's table version with a different digest.
     pub digest_differs: IntCounter,
-    /// Members that are heard.
+    /// Members that are alive and reachable.
     pub heard: IntGauge,
-    /// Members that were declared gone.
-    pub members_gone: IntCounter,
+    /// Members that were declared dead.
+    pub dead_members: IntCounter,
     /// Instances that this one exchanges heartbeats with.
     pub neighbours: IntGauge,
-    /// Pulls of the table that failed.
+    /// Failed table pulls.
     pub pulls_failed: IntCounter,
-    /// Pulls of the table.
+    /// Attempted table pulls.
     pub pulls: IntCounter,
-    /// New lives that this instance took because the others held it for gone.
+    /// New incarnations of this instance after its peers declared it dead.
     pub renewals: IntCounter,
     /// The table version in force.
     pub table_version: IntGauge,
-    /// Availability zones from which nothing is heard.
-    pub zones_cut: IntGauge,
+    /// Availability zones that are unreachable.
+    pub unreachable_zones: IntGauge,
 }
 
 impl MemberMetrics {
-    /// New counters at zero.
+    /// Creates all metrics at zero.
     pub fn new() -> Self {
         Self {
             digest_differs: counter(
@@ -34,7 +34,7 @@
                 "Table versions that came with two contents.",
             ),
             heard: gauge("member_heard", "Members that are heard."),
-            members_gone: counter("member_gone_total", "Members declared gone."),
+            dead_members: counter("member_gone_total", "Members declared gone."),
             neighbours: gauge("member_neighbours", "Instances that exchange heartbeats."),
             pulls_failed: counter(
                 "member_pulls_failed_total",
@@ -43,21 +43,21 @@
             pulls: counter("member_pulls_total", "Pulls of the table."),
             renewals: counter("member_renewals_total", "New lives of this instance."),
             table_version: gauge("member_table_version", "The table version in force."),
-            zones_cut: gauge("member_zones_cut", "Availability zones that are not heard."),
+            unreachable_zones: gauge("member_zones_cut", "Availability zones that are not heard."),
         }
     }
 
-    /// Registers the counters; one that is registered already stays as it is.
+    /// Registers the metrics; one that is already registered stays as it is.
     pub fn register(&self, registry: &Registry) {
         let _ = registry.register(Box::new(self.digest_differs.clone()));
         let _ = registry.register(Box::new(self.heard.clone()));
-        let _ = registry.register(Box::new(self.members_gone.clone()));
+        let _ = registry.register(Box::new(self.dead_members.clone()));
         let _ = registry.register(Box::new(self.neighbours.clone()));
         let _ = registry.register(Box::new(self.pulls_failed.clone()));
         let _ = registry.register(Box::new(self.pulls.clone()));
         let _ = registry.register(Box::new(self.renewals.clone()));
         let _ = registry.register(Box::new(self.table_version.clone()));
-        let _ = registry.register(Box::new(self.zones_cut.clone()));
+        let _ = registry.register(Box::new(self.unreachable_zones.clone()));
     }
 }
 
--- a/crates/peer/src/table_source.rs
+++ b/crates/peer/src/table_source.rs
@@ -1,33 +1,33 @@
-//! Where the table comes from and goes to.
+//! The interface to the holder of the operators' table.
 
 use {
-    crate::{peer_error::PeerError, table_mark::TableMark},
+    crate::{peer_error::PeerError, table_revision::TableRevision},
     bytes::Bytes,
     kernel::{InstanceId, TableVersion},
     std::future::Future,
 };
 
-/// The holder of the table in force, as the membership needs it. The content is opaque here.
+/// Provides the table in force to peers and applies what they send. The content is opaque to this crate.
 pub trait TableSource: Send + Sync + 'static {
-    /// What a peer that has `since` is missing; none when this instance has nothing newer.
+    /// The changes after `since`; `None` when this instance has nothing newer.
     fn changes(&self, since: TableVersion) -> Option<Bytes>;
 
     /// The table in force.
-    fn mark(&self) -> TableMark;
+    fn revision(&self) -> TableRevision;
 
-    /// The version after which to ask a peer for changes; 0 asks for all.
+    /// The version after which to request changes from a peer; 0 requests the full table.
     fn pull_since(&self) -> TableVersion {
-        self.mark().version
+        self.revision().version
     }
 
-    /// Puts in force what a peer gave, and tells what is in force then.
+    /// Applies the changes from a peer and returns the resulting table revision.
     ///
     /// # Errors
     ///
-    /// When the content can't be read or is refused.
-    fn take(
+    /// When the content can't be decoded or is refused.
+    fn apply(
         &self,
         from: &InstanceId,
         content: Bytes,
-    ) -> impl Future<Output = Result<TableMark, PeerError>> + Send;
+    ) -> impl Future<Output = Result<TableRevision, PeerError>> + Send;
 }
--- a/crates/table/src/csv_read.rs
+++ b/crates/table/src/csv_read.rs
@@ -1,4 +1,4 @@
-//! Reads a table file and reports every fault.
+//! Parses a table file and reports every fault.
 
 use {
     crate::{
@@ -11,26 +11,26 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The largest file, in bytes.
-pub const FILE_LIMIT: usize = 16 << 20;
-/// The most rows a file may have.
-pub const ROWS_LIMIT: usize = 100_000;
-/// The mark that starts a comment line.
-const COMMENT_MARK: char = '#';
-/// The separators that spreadsheets write; the first is the canonical one.
+/// The maximum size of a file, in bytes.
+pub const MAX_FILE_SIZE: usize = 16 << 20;
+/// The maximum number of rows in a file.
+pub const MAX_ROWS: usize = 100_000;
+/// The character that starts a comment line.
+const COMMENT_PREFIX: char = '#';
+/// The supported cell separators; the first is the canonical one.
 const SEPARATORS: [u8; 3] = [b',', b';', b'\t'];
-/// The first line by which some spreadsheets tell the separator.
+/// The prefix of the first line with which some spreadsheets declare the separator.
 const SEPARATOR_LINE: &str = "sep=";
 /// The byte order mark of UTF-8.
-const UTF8_MARK: &[u8] = b"\xef\xbb\xbf";
+const UTF8_BOM: &[u8] = b"\xef\xbb\xbf";
 /// The byte order marks of UTF-16.
-const UTF16_MARKS: [&[u8]; 2] = [b"\xff\xfe", b"\xfe\xff"];
+const UTF16_BOMS: [&[u8]; 2] = [b"\xff\xfe", b"\xfe\xff"];
 
-/// Reads a whole table file. `file` is the name that faults show.
+/// Parses a whole table file. `file` is the name shown in faults.
 ///
 /// # Errors
 ///
-/// [`TableError::Invalid`] with every fault, by line and column; then nothing of the file counts.
+/// [`TableError::Invalid`] with every fault, ordered by line and column; nothing of the file is then used.
 pub fn read_csv(file: &str, content: &[u8]) -> Result<TableFile, TableError> {
     let mut reader = CsvReader {
         columns: None,
@@ -61,7 +61,7 @@
 
 impl CsvReader {
     fn add_row(&mut self, line: u64, cells: BTreeMap<WorkColumn, &str>, decimal_comma: bool) {
-        // The key is compared even when other cells of the row have faults.
+        // Duplicate keys are reported even when other cells of the row have faults.
         let work = cells.get(&WorkColumn::Work).copied().unwrap_or_default();
         let first = self.lines.get(work).copied();
         if let Some(first) = first {
@@ -99,15 +99,15 @@
     }
 
     fn read(&mut self, content: &[u8]) {
-        if content.len() > FILE_LIMIT {
-            let detail = format!("{} bytes, not up to {FILE_LIMIT}", content.len());
+        if content.len() > MAX_FILE_SIZE {
+            let detail = format!("{} bytes, not up to {MAX_FILE_SIZE}", content.len());
             return self.fault(FaultCode::FileTooLarge, 0, None, detail);
         }
-        if UTF16_MARKS.iter().any(|mark| content.starts_with(mark)) {
+        if UTF16_BOMS.iter().any(|mark| content.starts_with(mark)) {
             let detail = "it is UTF-16; save it as `CSV UTF-8`";
             return self.fault(FaultCode::FileEncoding, 0, None, detail);
         }
-        let content = content.strip_prefix(UTF8_MARK).unwrap_or(content);
+        let content = content.strip_prefix(UTF8_BOM).unwrap_or(content);
         let quotes = content.iter().filter(|byte| **byte == b'"').count();
         if !quotes.is_multiple_of(2) {
             self.fault(FaultCode::QuoteOpen, 0, None, "");
@@ -120,15 +120,15 @@
             .from_reader(content);
         let mut record = ByteRecord::new();
         let mut rows = 0;
-        // Reading from memory with flexible rows has no errors; a fault ends the loop all the same.
+        // Reading flexible rows from memory can't fail; an error would end the loop.
         while let Ok(true) = reader.read_byte_record(&mut record) {
             let line = line_of(&record, content);
             if !self.read_record(&record, line, separator) {
                 continue;
             }
             rows += 1;
-            if rows > ROWS_LIMIT {
-                let detail = format!("not up to {ROWS_LIMIT}");
+            if rows > MAX_ROWS {
+                let detail = format!("not up to {MAX_ROWS}");
                 self.fault(FaultCode::RowsTooMany, line, None, detail);
                 break;
             }
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Whether the record is a row.
+    /// Returns whether the record is a row.
     fn read_record(&mut self, record: &ByteRecord, line: u64, separator: u8) -> bool {
         if record.iter().all(|cell| cell.trim_ascii().is_empty()) {
             return false;
         }
         let first = String::from_utf8_lossy(record.get(0).unwrap_or_default());
-        if first.trim_start().starts_with(COMMENT_MARK) {
+        if first.trim_start().starts_with(COMMENT_PREFIX) {
             self.read_comment(first.trim(), line);
             return false;
         }
@@ -227,12 +227,12 @@
     }
 }
 
-/// The separator that the line of headings has most of.
+/// Detects the separator: the most frequent one in the line of headings.
 fn find_separator(content: &[u8]) -> u8 {
     for line in content.split(|byte| matches!(byte, b'\n' | b'\r')) {
         let start = line.trim_ascii_start();
         let start = start.strip_prefix(b"\"").unwrap_or(start);
-        let is_comment = start.first() == Some(&(COMMENT_MARK as u8));
+        let is_comment = start.first() == Some(&(COMMENT_PREFIX as u8));
         let is_blank = start.iter().all(|byte| SEPARATORS.contains(byte));
         if is_comment || is_blank || start.starts_with(SEPARATOR_LINE.as_bytes()) {
             continue;
@@ -244,7 +244,7 @@
     SEPARATORS[0]
 }
 
-/// The line where a record's text starts: the reader's own count stands before the empty lines that it passes over.
+/// The line where a record's text starts. The CSV reader's position is before the empty lines that it skips.
 fn line_of(record: &ByteRecord, content: &[u8]) -> u64 {
     let Some(position) = record.position() else {
         return 0;
--- a/crates/table/src/table_keeper.rs
+++ b/crates/table/src/table_keeper.rs
@@ -1,4 +1,4 @@
-//! The spread of versions: which table is in force here, whom to pull from, what is wrong elsewhere.
+//! Propagates table versions: decides which table is in force, from where to pull, and when to raise an alarm.
 
 use {
     crate::{
@@ -13,40 +13,40 @@
     },
 };
 
-/// How long the platform may be silent before the instance counts as cut off.
+/// How long the platform may be silent before the instance is considered cut off from it.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(10);
-/// How long a pull may take before another source is asked.
-pub const PULL_LIMIT: Duration = Duration::from_secs(2);
-/// The least time between two write-backs.
-pub const RESTORE_PAUSE: Duration = Duration::from_secs(2);
+/// How long a pull may take before another source is tried.
+pub const PULL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The minimum interval between two write-backs.
+pub const MIN_RESTORE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Keeps the table in force on one instance. The version never goes down, and no row goes back to an earlier edit,
-/// whatever the platform or a peer offers.
+/// Holds the table in force on one instance. The version never decreases and no row returns to an earlier edit,
+/// whatever the platform or a peer sends.
 #[derive(Clone, Debug)]
 pub struct TableKeeper {
-    /// Whether the last patch added up to its sender's digest.
-    adds_up: bool,
+    /// Whether the table matched the sender's digest after the last patch, or the patch was complete.
+    is_consistent: bool,
     alarms: BTreeSet<(ResultCode, TableSource)>,
     heads: BTreeMap<TableSource, TableHead>,
     in_force_since: Instant,
-    platform_seen: Instant,
+    platform_contact: Instant,
     pull: Option<(TableSource, Instant)>,
     restored_at: Option<Instant>,
-    /// The heads that were pulled whole, beside the head here at that time: pulling them again brings nothing.
-    settled: BTreeMap<TableSource, (TableHead, TableHead)>,
+    /// The heads that were pulled completely, with the own head afterwards: pulling them again changes nothing.
+    reconciled: BTreeMap<TableSource, (TableHead, TableHead)>,
     table: Arc<StampedTable>,
 }
 
 impl TableKeeper {
-    /// The alarms that stand.
+    /// The active alarms.
     pub fn alarms(&self) -> &BTreeSet<(ResultCode, TableSource)> {
         &self.alarms
     }
 
-    /// Since when neither this instance nor a peer has heard from the platform, when that is long ago.
+    /// The last contact of this instance or a peer with the platform, if it is longer ago than [`CUT_OFF_AFTER`].
     pub fn cut_off_since(&self, now: Instant) -> Option<Instant> {
-        let silence = now.saturating_duration_since(self.platform_seen);
-        (silence > CUT_OFF_AFTER).then_some(self.platform_seen)
+        let silence = now.saturating_duration_since(self.platform_contact);
+        (silence > CUT_OFF_AFTER).then_some(self.platform_contact)
     }
 
     /// The head to announce in heartbeats.
@@ -54,32 +54,32 @@
         self.table.head()
     }
 
-    /// Since when the table is in force here.
+    /// When the current table came into force.
     pub fn in_force_since(&self) -> Instant {
         self.in_force_since
     }
 
-    /// Whether there is a table to serve by.
+    /// Whether a table is in force.
     pub fn is_ready(&self) -> bool {
         self.table.version() > 0
     }
 
-    /// A keeper without a table.
+    /// Creates a keeper without a table.
     pub fn new(now: Instant) -> Self {
         Self {
-            adds_up: true,
+            is_consistent: true,
             alarms: BTreeSet::new(),
             heads: BTreeMap::new(),
             in_force_since: now,
-            platform_seen: now,
+            platform_contact: now,
             pull: None,
             restored_at: None,
-            settled: BTreeMap::new(),
+            reconciled: BTreeMap::new(),
             table: Arc::default(),
         }
     }
 
-    /// Takes one event and appends what it decides to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting actions to `actions`. `now` never decreases.
     pub fn on_event(&mut self, now: Instant, event: KeeperEvent, actions: &mut Vec<KeeperAction>) {
         match event {
             KeeperEvent::Head {
@@ -87,10 +87,12 @@
                 head,
                 source,
             } => self.on_head(now, asked, head, source, actions),
-            KeeperEvent::PeerGone(instance) => self.on_gone(TableSource::Peer(instance), actions),
-            KeeperEvent::PlatformSeen { at } => self.see_platform(at),
+            KeeperEvent::PeerRemoved(instance) => {
+                self.on_peer_removed(TableSource::Peer(instance), actions)
+            }
+            KeeperEvent::PlatformContact { at } => self.record_platform_contact(at),
             KeeperEvent::PullFailed { source } => {
-                // Its head comes again with its next heartbeat; until then others are asked.
+                // The next heartbeat reports its head again; until then other sources are tried.
                 self.heads.remove(&source);
                 self.end_pull(&source);
             }
@@ -101,26 +103,26 @@
         self.pull_next(now, actions);
     }
 
-    /// What a peer or a new instance asks for.
+    /// The patch for a peer that has the version `since`.
     pub fn patch_since(&self, since: TableVersion) -> TablePatch {
         self.table.patch_since(since)
     }
 
-    /// The version after which to ask a holder of a greater version for rows: 0, which asks for all, as long as the last
-    /// patch did not add up to its sender's digest.
+    /// The version after which to request rows from a holder of a newer version. It is 0, for all rows, while the last
+    /// patch did not result in its sender's digest.
     pub fn pull_since(&self) -> TableVersion {
-        match self.adds_up {
+        match self.is_consistent {
             true => self.table.version(),
             false => 0,
         }
     }
 
-    /// How long the platform has not been heard, by this instance or a peer that told of it.
+    /// The time since the platform last answered this instance or a peer that reported it.
     pub fn platform_silence(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.platform_seen)
+        now.saturating_duration_since(self.platform_contact)
     }
 
-    /// The table in force; empty before the first one.
+    /// The table in force; empty at the start.
     pub fn table(&self) -> &Arc<StampedTable> {
         &self.table
     }
@@ -142,7 +144,7 @@
         });
     }
 
-    fn alarm_over(
+    fn clear_alarm(
         &mut self,
         code: ResultCode,
         source: &TableSource,
@@ -151,22 +153,22 @@
         if !self.alarms.remove(&(code, source.clone())) {
             return;
         }
-        actions.push(KeeperAction::AlarmOver {
+        actions.push(KeeperAction::AlarmCleared {
             code,
             source: source.clone(),
         });
     }
 
-    fn on_gone(&mut self, source: TableSource, actions: &mut Vec<KeeperAction>) {
+    fn on_peer_removed(&mut self, source: TableSource, actions: &mut Vec<KeeperAction>) {
         for code in [
             ResultCode::DigestDiffers,
             ResultCode::PeerRefused,
             ResultCode::VersionFell,
         ] {
-            self.alarm_over(code, &source, actions);
+            self.clear_alarm(code, &source, actions);
         }
         self.heads.remove(&source);
-        self.settled.remove(&source);
+        self.reconciled.remove(&source);
         self.end_pull(&source);
     }
 
@@ -179,27 +181,27 @@
         actions: &mut Vec<KeeperAction>,
     ) {
         let own = self.head();
-        // A poll that was under way while a newer table came says nothing about the platform now.
+        // The answer to a poll that was in flight while a newer table arrived does not show the platform's present state.
         let is_stale = asked < self.in_force_since && head.version <= own.version;
         if source == TableSource::Platform {
-            self.see_platform(asked);
+            self.record_platform_contact(asked);
             if is_stale {
                 return;
             }
         }
         self.heads.insert(source.clone(), head);
         let differs = head.version == own.version && head.digest != own.digest;
-        let fell = head.version < own.version && source == TableSource::Platform;
+        let is_behind = head.version < own.version && source == TableSource::Platform;
         match differs {
             true => self.alarm(ResultCode::DigestDiffers, head, &source, actions),
-            false => self.alarm_over(ResultCode::DigestDiffers, &source, actions),
+            false => self.clear_alarm(ResultCode::DigestDiffers, &source, actions),
         }
-        match fell {
+        match is_behind {
             true => self.alarm(ResultCode::VersionFell, head, &source, actions),
-            false => self.alarm_over(ResultCode::VersionFell, &source, actions),
+            false => self.clear_alarm(ResultCode::VersionFell, &source, actions),
         }
-        let is_settled = self.settled.get(&source) == Some(&(head, own));
-        if fell || (differs && is_settled && source == TableSource::Platform) {
+        let is_reconciled = self.reconciled.get(&source) == Some(&(head, own));
+        if is_behind || (differs && is_reconciled && source == TableSource::Platform) {
             self.restore(now, actions);
         }
     }
@@ -220,18 +222,18 @@
             self.heads.remove(&source);
             return self.alarm(ResultCode::PeerRefused, head, &source, actions);
         }
-        self.alarm_over(ResultCode::PeerRefused, &source, actions);
+        self.clear_alarm(ResultCode::PeerRefused, &source, actions);
         if Arc::make_mut(&mut self.table).join(patch) {
             self.in_force_since = now;
             actions.push(KeeperAction::InForce(self.table.clone()));
         }
         let own = self.head();
         self.heads.insert(source.clone(), head);
-        self.adds_up = patch.is_whole() || head == own;
+        self.is_consistent = patch.is_whole() || head == own;
         if !patch.is_whole() {
             return;
         }
-        self.settled.insert(source.clone(), (head, own));
+        self.reconciled.insert(source.clone(), (head, own));
         if head != own && source == TableSource::Platform {
             let code = match head.version < own.version {
                 true => ResultCode::VersionFell,
@@ -243,7 +245,7 @@
     }
 
     fn on_restored(&mut self, version: TableVersion) {
-        // The head is read again by the next poll; until then nothing is wrong with the platform.
+        // The next poll reads the head again; until then the old one must not raise alarms.
         if version >= self.table.version() {
             self.heads.remove(&TableSource::Platform);
         }
@@ -255,13 +257,13 @@
         }
     }
 
-    /// The best source to pull from, and from which version on: peers before the platform, whose reads are limited.
+    /// The best source to pull from and the version to start at. Peers are preferred, because the platform limits reads.
     fn best_source(&self) -> Option<(TableSource, TableVersion)> {
         let own = self.head();
         let mut best: Option<(TableVersion, &TableSource)> = None;
         for (source, head) in &self.heads {
-            let is_settled = self.settled.get(source) == Some(&(*head, own));
-            if head.version < own.version || *head == own || is_settled {
+            let is_reconciled = self.reconciled.get(source) == Some(&(*head, own));
+            if head.version < own.version || *head == own || is_reconciled {
                 continue;
             }
             if best.is_none_or(|(version, _)| head.version > version) {
@@ -269,7 +271,7 @@
             }
         }
         let (version, source) = best?;
-        // With the same version, or after rows that did not add up to the digest, only the whole table helps.
+        // With an equal version, or after a patch that did not result in the sender's digest, the full table is needed.
         let since = match version > own.version {
             true => self.pull_since(),
             false => 0,
@@ -279,7 +281,7 @@
 
     fn pull_next(&mut self, now: Instant, actions: &mut Vec<KeeperAction>) {
         if let Some((source, asked)) = self.pull.clone() {
-            if now.saturating_duration_since(asked) < PULL_LIMIT {
+            if now.saturating_duration_since(asked) < PULL_TIMEOUT {
                 return;
             }
             self.heads.remove(&source);
@@ -293,15 +295,15 @@
     }
 
     fn restore(&mut self, now: Instant, actions: &mut Vec<KeeperAction>) {
-        let pause_over = |at: Instant| now.saturating_duration_since(at) >= RESTORE_PAUSE;
-        if !self.restored_at.is_none_or(pause_over) {
+        let is_due = |at: Instant| now.saturating_duration_since(at) >= MIN_RESTORE_INTERVAL;
+        if !self.restored_at.is_none_or(is_due) {
             return;
         }
         self.restored_at = Some(now);
         actions.push(KeeperAction::Restore(self.table.clone()));
     }
 
-    fn see_platform(&mut self, at: Instant) {
-        self.platform_seen = self.platform_seen.max(at);
+    fn record_platform_contact(&mut self, at: Instant) {
+        self.platform_contact = self.platform_contact.max(at);
     }
 }
--- a/crates/table/tests/csv_faults.rs
+++ b/crates/table/tests/csv_faults.rs
@@ -1,4 +1,4 @@
-//! A table file is checked as a whole: every fault with its line, column and code, and nothing is taken.
+//! Validation of table files: every fault is reported with its line, column and code.
 
 use table::{FaultCode, TableError, WorkColumn, read_csv};
 
@@ -7,8 +7,8 @@
 
 fn faults(content: impl AsRef<[u8]>) -> Vec<(u64, Option<WorkColumn>, FaultCode)> {
     let error = read_csv("work.csv", content.as_ref()).expect_err("the file has faults");
-    let places = error.faults().iter();
-    places
+    let faults = error.faults().iter();
+    faults
         .map(|fault| (fault.line, fault.column, fault.code))
         .collect()
 }
@@ -171,7 +171,7 @@
     assert_eq!(over.len(), 1);
     assert_eq!(Some(over[0].0), last_line);
     assert_eq!(found.iter().filter(|fault| fault.0 == 2).count(), 1);
-    let content = vec![b'x'; table::csv_read::FILE_LIMIT + 1];
+    let content = vec![b'x'; table::csv_read::MAX_FILE_SIZE + 1];
     assert_eq!(faults(content), [(0, None, FaultCode::FileTooLarge)]);
 }
 
