--- a/crates/trestlewalk/tests/close.rs
+++ b/crates/trestlewalk/tests/close.rs
@@ -25,7 +25,7 @@
     release(&fleet);
     let reply = call.await.unwrap().unwrap();
     assert_eq!((reply.status.as_u16(), reply.code()), (200, 1000));
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 #[tokio::test]
@@ -35,8 +35,8 @@
     fleet.terminate(ENTRY);
     let events = stream.all_events().await;
     assert_eq!(events.last().map(String::as_str), Some(DONE_MARKER));
-    assert!(!stream.cut);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert!(!stream.is_truncated);
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 #[tokio::test]
@@ -54,7 +54,7 @@
     let mut fleet = start(plan).await;
     let call = held_call(&fleet).await;
     fleet.terminate(ENTRY);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(30));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(30));
     let reply = call.await.unwrap().unwrap();
     assert_eq!((reply.status.as_u16(), reply.code()), (503, 3006));
 }
@@ -69,7 +69,7 @@
     let events = stream.all_events().await;
     let last: Value = serde_json::from_str(events.last().unwrap()).unwrap();
     assert_eq!(last["error"]["code"], 3006, "{last}");
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(30));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(30));
 }
 
 #[tokio::test]
@@ -78,7 +78,7 @@
     let _call = held_call(&fleet).await;
     close(&fleet).await;
     fleet.terminate(ENTRY);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(30));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(30));
     assert!(
         fleet
             .log(ENTRY)
@@ -97,7 +97,7 @@
     fleet.terminate(ENTRY);
     release(&fleet);
     assert_eq!(call.await.unwrap().unwrap().code(), 1000);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 /// Tells the instance to close, and waits until it says that it is closing.
--- a/crates/trestlewalk/tests/fleet.rs
+++ b/crates/trestlewalk/tests/fleet.rs
@@ -42,7 +42,7 @@
 async fn the_list_says_which_instance_is_leaving() {
     let fleet = FleetPlan::new().plain(1).start().await;
     fleet
-        .list_state("gijon-plain-1", InstanceState::Leaving)
+        .set_listed_state("gijon-plain-1", InstanceState::Leaving)
         .await;
     let call = HttpCall::new(hyper::Method::GET, fleet.platform_address(), "/instances");
     let records: Vec<InstanceRecord> = call.send().await.json();
--- a/crates/trestlewalk/tests/members_allocator.rs
+++ b/crates/trestlewalk/tests/members_allocator.rs
@@ -24,29 +24,29 @@
 async fn a_killed_allocator_is_followed_by_another_that_keeps_to_the_limit() {
     let mut fleet = start().await;
     let load = load(&fleet);
-    load.wait_more(20).await;
-    let steady = peak(&fleet).await;
+    load.wait_answered(20).await;
+    let peak_before = peak(&fleet).await;
     let (allocator, other) = roles(&fleet).await;
     load.remove(&allocator);
     fleet.kill(&allocator).await;
     let served = time_to_serve(&fleet, &other).await;
-    load.wait_more(20).await;
+    load.wait_answered(20).await;
     let report = load.close().await;
     println!("members: allocator killed: serves again after {served}");
     println!("members: allocator killed: {report:?}");
-    check_peaks("killed", steady, peak(&fleet).await);
-    assert!(report.lost_beside(&allocator).is_empty(), "{report:?}");
-    check_runs(&fleet).await;
+    check_peaks("killed", peak_before, peak(&fleet).await);
+    assert!(report.lost_except(&allocator).is_empty(), "{report:?}");
+    check_no_double_decode(&fleet).await;
 }
 
 #[tokio::test]
 async fn a_frozen_allocator_takes_a_new_life_and_its_old_grants_run_nothing_twice() {
     let fleet = start().await;
     let load = load(&fleet);
-    load.wait_more(20).await;
-    let steady = peak(&fleet).await;
+    load.wait_answered(20).await;
+    let peak_before = peak(&fleet).await;
     let (allocator, other) = roles(&fleet).await;
-    let life = incarnation(&fleet, &allocator).await;
+    let incarnation_before = incarnation(&fleet, &allocator).await;
     load.remove(&allocator);
     fleet.pause(&allocator).await;
     let served = time_to_serve(&fleet, &other).await;
@@ -57,32 +57,37 @@
     .await;
     fleet.resume(&allocator);
     wait_until("it takes a new life", async || {
-        incarnation(&fleet, &allocator).await > life
+        incarnation(&fleet, &allocator).await > incarnation_before
     })
     .await;
-    fleet.wait_agreed().await;
+    fleet.wait_allocator_agreed().await;
     load.add(&fleet, &allocator);
-    load.wait_more(20).await;
+    load.wait_answered(20).await;
     let report = load.close().await;
     println!("members: allocator frozen: serves again after {served}");
     println!("members: allocator frozen: {report:?}");
-    check_peaks("frozen", steady, peak(&fleet).await);
-    assert!(report.lost_beside(&allocator).is_empty(), "{report:?}");
-    check_runs(&fleet).await;
+    check_peaks("frozen", peak_before, peak(&fleet).await);
+    assert!(report.lost_except(&allocator).is_empty(), "{report:?}");
+    check_no_double_decode(&fleet).await;
 }
 
-fn check_peaks(what: &str, steady: u64, after: u64) {
-    println!("members: allocator {what}: peak {steady} before, {after} after, limit {LIMIT}");
-    assert!(steady <= LIMIT, "{steady} ran at once without any change");
-    assert!(after <= OVERSHOOT_BOUND, "{after} ran at once");
+fn check_peaks(what: &str, peak_before: u64, peak_after: u64) {
+    println!(
+        "members: allocator {what}: peak {peak_before} before, {peak_after} after, limit {LIMIT}"
+    );
+    assert!(
+        peak_before <= LIMIT,
+        "{peak_before} ran at once without any change"
+    );
+    assert!(peak_after <= OVERSHOOT_BOUND, "{peak_after} ran at once");
 }
 
 /// No prompt was decoded twice.
-async fn check_runs(fleet: &Fleet) {
+async fn check_no_double_decode(fleet: &Fleet) {
     let counters = fleet.counters(DECODE).await;
     let runs = counters["decode_runs_by_prompt"].as_object().unwrap();
-    let doubled = runs.values().filter(|count| count.as_u64() > Some(1));
-    assert_eq!(doubled.count(), 0, "{runs:?}");
+    let decoded_twice = runs.values().filter(|count| count.as_u64() > Some(1));
+    assert_eq!(decoded_twice.count(), 0, "{runs:?}");
 }
 
 async fn incarnation(fleet: &Fleet, entry: &str) -> u64 {
@@ -91,8 +96,8 @@
 }
 
 fn load(fleet: &Fleet) -> MemberLoad {
-    MemberLoad::start(fleet, CALLERS, |side, number| {
-        side.completion(PATIENT, &long_prompt(number, 20), TOKENS, false)
+    MemberLoad::start(fleet, CALLERS, |endpoint, number| {
+        endpoint.completion(PATIENT, &long_prompt(number, 20), TOKENS, false)
     })
 }
 
@@ -122,8 +127,8 @@
     fleet
         .put_table(&TABLE.replace("report,redactor,sondeo,5,1,,", &limited))
         .await;
-    wait_serving(&fleet).await;
-    fleet.wait_agreed().await;
+    wait_all_serving(&fleet).await;
+    fleet.wait_allocator_agreed().await;
     fleet
 }
 
@@ -138,15 +143,18 @@
 }
 
 /// Waits until every instance knows that all serve: until then the allocator may change once more.
-async fn wait_serving(fleet: &Fleet) {
+async fn wait_all_serving(fleet: &Fleet) {
     for entry in fleet.entry_names() {
         let what = format!("{entry} hears that all serve");
-        wait_until(&what, async || serving(fleet, &entry).await == ENTRIES).await;
+        wait_until(&what, async || {
+            serving_count(fleet, &entry).await == ENTRIES
+        })
+        .await;
     }
 }
 
 /// How many members take requests, as an entry instance hears.
-async fn serving(fleet: &Fleet, entry: &str) -> usize {
+async fn serving_count(fleet: &Fleet, entry: &str) -> usize {
     let dump = fleet.dump(entry).await;
     let heard = dump["peer"]["members"]["heard"].as_array().unwrap();
     let states = heard.iter().filter_map(|member| member["state"].as_str());
--- a/crates/trestlewalk/tests/members_outage.rs
+++ b/crates/trestlewalk/tests/members_outage.rs
@@ -10,9 +10,9 @@
 };
 
 /// Reads that one instance may make within a second of the platform's return: its list, and head and row as a poller.
-const READS_AN_INSTANCE: u64 = 5;
+const MAX_READS_PER_INSTANCE: u64 = 5;
 /// Reads for each instance after which the watch over the platform's return ends: several seconds of polls.
-const READS_WATCHED: u64 = 12;
+const WATCHED_READS_PER_INSTANCE: u64 = 12;
 /// The window in which reads are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 const ZONES: [&str; 2] = ["gijon", "ferrol"];
@@ -21,24 +21,24 @@
 async fn an_instance_started_in_an_outage_is_made_ready_by_its_peers() {
     let mut fleet = start(&["gijon"], 2).await;
     let version = fleet.version("gijon-1").await;
-    outage(&fleet, RelayMode::Reset);
+    set_platform_mode(&fleet, RelayMode::Reset);
     let started = Instant::now();
-    let known = fleet.entry_names();
+    let known_peers = fleet.entry_names();
     fleet
-        .start_entry_behind("gijon-3", "gijon", RelayMode::Reset, &known)
+        .start_entry_with("gijon-3", "gijon", RelayMode::Reset, &known_peers)
         .await;
     fleet.wait_ready("gijon-3").await;
     let ready = started.elapsed();
     println!("members: started in an outage: ready after {ready:?}");
     assert_eq!(fleet.version("gijon-3").await, version);
-    wait_heard(&fleet, "gijon-3", 3).await;
+    wait_members(&fleet, "gijon-3", 3).await;
 }
 
 #[tokio::test]
 async fn an_instance_started_in_an_outage_without_peers_says_why_it_is_not_ready() {
     let mut fleet = FleetPlan::new().entries(0).start().await;
     fleet
-        .start_entry_behind("gijon-1", "gijon", RelayMode::Reset, &[])
+        .start_entry_with("gijon-1", "gijon", RelayMode::Reset, &[])
         .await;
     let reply = fleet.admin("gijon-1", "/ready").send().await;
     assert_eq!(reply.status.as_u16(), 503);
@@ -48,7 +48,7 @@
         Some("no table yet")
     );
     wait_until("it says that the platform is silent", async || {
-        cut_off(&fleet, "gijon-1").await
+        is_cut_off(&fleet, "gijon-1").await
     })
     .await;
     assert_eq!(fleet.version("gijon-1").await, 0);
@@ -57,16 +57,16 @@
 #[tokio::test]
 async fn the_platforms_return_after_replacements_in_an_outage_brings_no_herd() {
     let mut fleet = start(&ZONES, 3).await;
-    outage(&fleet, RelayMode::Reset);
+    set_platform_mode(&fleet, RelayMode::Reset);
     let version = fleet.version("gijon-1").await;
     for name in ["gijon-1", "ferrol-2"] {
-        let mut known = fleet.entry_names();
-        known.retain(|other| other != name);
+        let mut known_peers = fleet.entry_names();
+        known_peers.retain(|other| other != name);
         let zone = name.split('-').next().unwrap();
         fleet.kill(name).await;
         let started = Instant::now();
         fleet
-            .start_entry_behind(name, zone, RelayMode::Reset, &known)
+            .start_entry_with(name, zone, RelayMode::Reset, &known_peers)
             .await;
         fleet.wait_ready(name).await;
         let ready = started.elapsed();
@@ -78,8 +78,8 @@
         .await;
     let names = fleet.entry_names();
     let started = Instant::now();
-    outage(&fleet, RelayMode::Open);
-    let peak = peak_reads(&fleet, READS_WATCHED * names.len() as u64).await;
+    set_platform_mode(&fleet, RelayMode::Open);
+    let peak = peak_reads(&fleet, WATCHED_READS_PER_INSTANCE * names.len() as u64).await;
     fleet.wait_version(later).await;
     let caught_up = started.elapsed();
     println!(
@@ -87,7 +87,7 @@
          {caught_up:?}",
         names.len()
     );
-    let bound = READS_AN_INSTANCE * names.len() as u64;
+    let bound = MAX_READS_PER_INSTANCE * names.len() as u64;
     assert!(peak <= bound, "{peak} reads within a second");
 }
 
@@ -102,11 +102,11 @@
         .commit_table(&TABLE.replace("tile,carta,,0,1", "tile,carta,,0,2"))
         .await;
     fleet.wait_version(later).await;
-    let spread = started.elapsed();
-    println!("members: zone without platform: edit in force by way of peers after {spread:?}");
-    serve(&fleet, "gijon-1").await;
+    let propagation = started.elapsed();
+    println!("members: zone without platform: edit in force by way of peers after {propagation:?}");
+    check_served(&fleet, "gijon-1").await;
     for entry in ["gijon-1", "gijon-2"] {
-        assert!(!cut_off(&fleet, entry).await, "{entry}");
+        assert!(!is_cut_off(&fleet, entry).await, "{entry}");
     }
 }
 
@@ -116,10 +116,10 @@
     fleet.isolate_zone("gijon");
     for entry in ["gijon-1", "gijon-2"] {
         let what = format!("{entry} says that it is cut off");
-        wait_until(&what, async || cut_off(&fleet, entry).await).await;
-        serve(&fleet, entry).await;
+        wait_until(&what, async || is_cut_off(&fleet, entry).await).await;
+        check_served(&fleet, entry).await;
     }
-    assert!(!cut_off(&fleet, "ferrol-1").await);
+    assert!(!is_cut_off(&fleet, "ferrol-1").await);
     let later = fleet
         .commit_table(&TABLE.replace("tile,carta,,0,1", "tile,carta,,0,2"))
         .await;
@@ -132,18 +132,18 @@
     );
     for entry in ["gijon-1", "gijon-2"] {
         let what = format!("{entry} is cut off no more");
-        wait_until(&what, async || !cut_off(&fleet, entry).await).await;
-        serve(&fleet, entry).await;
+        wait_until(&what, async || !is_cut_off(&fleet, entry).await).await;
+        check_served(&fleet, entry).await;
     }
 }
 
-async fn cut_off(fleet: &Fleet, entry: &str) -> bool {
+async fn is_cut_off(fleet: &Fleet, entry: &str) -> bool {
     let reply = fleet.admin(entry, "/table").send().await;
     reply.json::<Value>()["cut_off_since"] != json!(null)
 }
 
 /// Sets the ways of all entry instances to the platform.
-fn outage(fleet: &Fleet, mode: RelayMode) {
+fn set_platform_mode(fleet: &Fleet, mode: RelayMode) {
     for entry in fleet.entry_names() {
         fleet.platform_relay(&entry).set(mode);
     }
@@ -151,12 +151,12 @@
 
 /// The most reads that the platform counted within a window, until it has counted so many more.
 async fn peak_reads(fleet: &Fleet, count: u64) -> u64 {
-    let first = reads(fleet).await;
-    let mut samples = vec![(Instant::now(), first)];
+    let reads_before = reads(fleet).await;
+    let mut samples = vec![(Instant::now(), reads_before)];
     wait_until("the platform is read", async || {
         let read = reads(fleet).await;
         samples.push((Instant::now(), read));
-        read >= first + count
+        read >= reads_before + count
     })
     .await;
     let mut peak = 0;
@@ -164,8 +164,8 @@
         let within = samples[index..]
             .iter()
             .take_while(|(at, _)| *at - *from <= WINDOW);
-        let most = within.map(|(_, read)| read - before).max();
-        peak = peak.max(most.unwrap_or(0));
+        let window_peak = within.map(|(_, read)| read - before).max();
+        peak = peak.max(window_peak.unwrap_or(0));
     }
     peak
 }
@@ -175,7 +175,7 @@
     counters["reads"].as_u64().unwrap()
 }
 
-async fn serve(fleet: &Fleet, entry: &str) {
+async fn check_served(fleet: &Fleet, entry: &str) {
     let call = fleet.entry(entry).get("/services/carta/tile");
     let reply = call.work("tile").send().await;
     assert_eq!(reply.code(), 1000, "{entry}: {}", reply.text());
@@ -187,12 +187,12 @@
     fleet.put_table(TABLE).await;
     for entry in fleet.entry_names() {
         fleet.wait_ready(&entry).await;
-        wait_heard(&fleet, &entry, zones.len() * entries).await;
+        wait_members(&fleet, &entry, zones.len() * entries).await;
     }
     fleet
 }
 
-async fn wait_heard(fleet: &Fleet, entry: &str, count: usize) {
+async fn wait_members(fleet: &Fleet, entry: &str, count: usize) {
     wait_until(&format!("{entry} hears {count}"), async || {
         let dump = fleet.dump(entry).await;
         let heard = dump["peer"]["members"]["heard"].as_array();
--- a/crates/trestlewalk/tests/members_replaced.rs
+++ b/crates/trestlewalk/tests/members_replaced.rs
@@ -14,11 +14,11 @@
 #[tokio::test]
 async fn a_zone_whose_instances_are_replaced_loses_no_request() {
     let mut fleet = start().await;
-    let models = MemberLoad::start(&fleet, CALLERS, |side, number| {
-        side.completion("report", &long_prompt(number, 20), 8, false)
+    let models = MemberLoad::start(&fleet, CALLERS, |endpoint, number| {
+        endpoint.completion("report", &long_prompt(number, 20), 8, false)
     });
-    let calls = MemberLoad::start(&fleet, CALLERS, |side, _| {
-        side.get("/services/carta/tile").work("tile")
+    let calls = MemberLoad::start(&fleet, CALLERS, |endpoint, _| {
+        endpoint.get("/services/carta/tile").work("tile")
     });
     for number in 1..=ENTRIES {
         let started = Instant::now();
@@ -29,7 +29,7 @@
         let ready = started.elapsed();
         for load in [&models, &calls] {
             load.add(&fleet, &new);
-            load.wait_more(CALLERS).await;
+            load.wait_answered(CALLERS).await;
         }
         fleet.terminate(&old);
         wait_until("the old one is not ready", async || {
@@ -39,13 +39,13 @@
         .await;
         models.remove(&old);
         calls.remove(&old);
-        assert_eq!(fleet.exit(&old).await.code(), Some(0), "{old}");
+        assert_eq!(fleet.wait_exit(&old).await.code(), Some(0), "{old}");
         println!(
             "members: {old} replaced: new one ready after {ready:?}, whole change {:?}",
             started.elapsed()
         );
-        models.wait_more(CALLERS).await;
-        calls.wait_more(CALLERS).await;
+        models.wait_answered(CALLERS).await;
+        calls.wait_answered(CALLERS).await;
     }
     let models = models.close().await;
     let calls = calls.close().await;
@@ -64,6 +64,6 @@
         .start()
         .await;
     fleet.put_table(TABLE).await;
-    fleet.wait_agreed().await;
+    fleet.wait_allocator_agreed().await;
     fleet
 }
--- a/crates/trestlewalk/tests/members_table.rs
+++ b/crates/trestlewalk/tests/members_table.rs
@@ -15,8 +15,8 @@
 #[tokio::test]
 async fn an_edit_that_only_an_instance_without_polls_holds_reaches_all_after_a_fork() {
     let mut fleet = start().await;
-    let holder = quiet_entry(&fleet);
-    platform_copy(&fleet, "snapshot").await;
+    let holder = non_polling_entry(&fleet);
+    call_platform_admin(&fleet, "snapshot").await;
     fleet
         .put_table(&TABLE.replace("tile,carta,,0,1", "tile,carta,,0,2"))
         .await;
@@ -28,7 +28,7 @@
     for name in &others {
         fleet.kill(name).await;
     }
-    platform_copy(&fleet, "restore").await;
+    call_platform_admin(&fleet, "restore").await;
     let fork = fleet
         .commit_table(&TABLE.replace("report,redactor,sondeo,5", "report,redactor,sondeo,6"))
         .await;
@@ -41,12 +41,12 @@
     }
     fleet.resume(&holder);
     wait_until("the platform has both edits", async || {
-        let shown = shown(&fleet).await;
-        shown.contains("tile,carta,,0,2") && shown.contains("report,redactor,sondeo,6")
+        let shown_table = shown_table(&fleet).await;
+        shown_table.contains("tile,carta,,0,2") && shown_table.contains("report,redactor,sondeo,6")
     })
     .await;
     wait_until("all instances have one table", async || {
-        digests(&fleet).await.len() == 1
+        table_digests(&fleet).await.len() == 1
     })
     .await;
 }
@@ -54,25 +54,25 @@
 #[tokio::test]
 async fn an_instance_without_polls_knows_whether_the_platform_answers_the_others() {
     let fleet = start().await;
-    let quiet = quiet_entry(&fleet);
+    let entry = non_polling_entry(&fleet);
     // Its own way to the platform is cut: what it knows comes from its peers.
-    fleet.platform_relay(&quiet).set(RelayMode::Silent);
+    fleet.platform_relay(&entry).set(RelayMode::Silent);
     wait_until("it is no poller", async || {
-        platform(&fleet, &quiet).await["poller"] == false
+        platform_dump(&fleet, &entry).await["poller"] == false
     })
     .await;
     for _ in 0..3 {
-        let mut before = silent_ms(&fleet, &quiet).await;
+        let mut before = silent_ms(&fleet, &entry).await;
         wait_until("a word comes by way of a peer", async || {
-            let silent = silent_ms(&fleet, &quiet).await;
+            let silent = silent_ms(&fleet, &entry).await;
             std::mem::replace(&mut before, silent) > silent
         })
         .await;
     }
-    fleet.faults("platform", json!({ "down": true })).await;
+    fleet.set_faults("platform", json!({ "down": true })).await;
     for name in fleet.entry_names() {
         let what = format!("{name} says that it is cut off");
-        wait_until(&what, async || cut_off(&fleet, &name).await.is_some()).await;
+        wait_until(&what, async || cut_off_since(&fleet, &name).await.is_some()).await;
         assert!(
             fleet
                 .log(&name)
@@ -81,33 +81,33 @@
         let gauge = fleet.metric(&name, "platform_cut_off", &[]).await;
         assert_eq!(gauge, Some(1.0), "{name}");
     }
-    fleet.faults("platform", json!({ "down": false })).await;
+    fleet.set_faults("platform", json!({ "down": false })).await;
     for name in fleet.entry_names() {
         let what = format!("{name} says that it is cut off no more");
-        wait_until(&what, async || cut_off(&fleet, &name).await.is_none()).await;
+        wait_until(&what, async || cut_off_since(&fleet, &name).await.is_none()).await;
         assert!(fleet.log(&name).contains("the platform is heard again"));
     }
 }
 
-async fn cut_off(fleet: &Fleet, entry: &str) -> Option<u64> {
+async fn cut_off_since(fleet: &Fleet, entry: &str) -> Option<u64> {
     let reply = fleet.admin(entry, "/table").send().await;
     reply.json::<Value>()["cut_off_since"].as_u64()
 }
 
-async fn digests(fleet: &Fleet) -> BTreeSet<String> {
-    let mut digests = BTreeSet::new();
+async fn table_digests(fleet: &Fleet) -> BTreeSet<String> {
+    let mut table_digests = BTreeSet::new();
     for entry in fleet.entry_names() {
         let reply = fleet.admin(&entry, "/table").send().await;
-        digests.insert(reply.json::<Value>()["digest"].to_string());
+        table_digests.insert(reply.json::<Value>()["digest"].to_string());
     }
-    digests
+    table_digests
 }
 
-async fn platform(fleet: &Fleet, entry: &str) -> Value {
+async fn platform_dump(fleet: &Fleet, entry: &str) -> Value {
     fleet.dump(entry).await["platform"].clone()
 }
 
-async fn platform_copy(fleet: &Fleet, call: &str) {
+async fn call_platform_admin(fleet: &Fleet, call: &str) {
     let path = format!("/admin/{call}");
     let process = fleet.process("platform");
     let reply = process.post("admin", &path).json(&json!({})).send().await;
@@ -115,20 +115,20 @@
 }
 
 /// The entry instance that does not poll while the two others live.
-fn quiet_entry(fleet: &Fleet) -> String {
+fn non_polling_entry(fleet: &Fleet) -> String {
     let names = fleet.entry_names().into_iter();
-    let quiet = names.min_by_key(|name| (rendezvous_score(ZONE, name), name.clone()));
-    quiet.unwrap()
+    let entry = names.min_by_key(|name| (rendezvous_score(ZONE, name), name.clone()));
+    entry.unwrap()
 }
 
-async fn shown(fleet: &Fleet) -> String {
+async fn shown_table(fleet: &Fleet) -> String {
     let address = format!("http://{}", fleet.platform_address());
     let args = ["table", "show", "--platform", &address];
     fleet.run(&args).await.stdout
 }
 
 async fn silent_ms(fleet: &Fleet, entry: &str) -> u64 {
-    let value = platform(fleet, entry).await["silent_ms"].as_u64();
+    let value = platform_dump(fleet, entry).await["silent_ms"].as_u64();
     value.unwrap_or(0)
 }
 
@@ -137,12 +137,12 @@
     fleet.put_table(TABLE).await;
     for entry in fleet.entry_names() {
         fleet.wait_ready(&entry).await;
-        wait_heard(&fleet, &entry).await;
+        wait_members(&fleet, &entry).await;
     }
     fleet
 }
 
-async fn wait_heard(fleet: &Fleet, entry: &str) {
+async fn wait_members(fleet: &Fleet, entry: &str) {
     wait_until(&format!("{entry} hears all"), async || {
         let dump = fleet.dump(entry).await;
         let heard = dump["peer"]["members"]["heard"].as_array();
--- a/crates/trestlewalk/tests/promise_answers.rs
+++ b/crates/trestlewalk/tests/promise_answers.rs
@@ -6,19 +6,19 @@
     serde_json::{Value, json},
     support::{
         Fleet, FleetPlan, RelayMode,
-        answer_check::{AnswerCounts, AnswerMix, check_stream, check_whole},
+        answer_check::{AnswerCounts, RequestMix, check_json, check_stream},
         model_work::{expected_text, long_prompt},
         wait_until,
     },
 };
 
-const DECODES: [&str; 2] = ["gijon-decode-1", "gijon-decode-2"];
+const DECODE_ENGINES: [&str; 2] = ["gijon-decode-1", "gijon-decode-2"];
 const ENTRY: &str = "gijon-1";
 const ONCE: &str = "single";
 const PATIENT: &str = "report";
 /// A decode engine that joins later.
-const SPARE: &str = "gijon-decode-3";
-const PREFILLS: [&str; 2] = ["gijon-prefill-1", "gijon-prefill-2"];
+const SPARE_ENGINE: &str = "gijon-decode-3";
+const PREFILL_ENGINES: [&str; 2] = ["gijon-prefill-1", "gijon-prefill-2"];
 
 async fn start() -> Fleet {
     let plan = FleetPlan::new()
@@ -34,14 +34,14 @@
 }
 
 async fn set_decode_faults(fleet: &Fleet, faults: Value) {
-    for engine in DECODES {
-        fleet.faults(engine, faults.clone()).await;
+    for engine in DECODE_ENGINES {
+        fleet.set_faults(engine, faults.clone()).await;
     }
 }
 
 async fn run_with(fleet: &Fleet, work: &str, faults: Value) -> AnswerCounts {
     set_decode_faults(fleet, faults.clone()).await;
-    let counts = AnswerMix::new(work, 36, 40).run(fleet).await;
+    let counts = RequestMix::new(work, 36, 40).run(fleet).await;
     println!("answers: {work}, {faults}: {counts:?}");
     counts
 }
@@ -50,7 +50,7 @@
 async fn busy_engine(fleet: &Fleet) -> &'static str {
     let mut busy = None;
     wait_until("a decode engine is busy", async || {
-        for engine in DECODES {
+        for engine in DECODE_ENGINES {
             if fleet.counters(engine).await["tokens_generated"].as_u64() > Some(20) {
                 busy = Some(engine);
             }
@@ -64,17 +64,17 @@
 #[tokio::test]
 async fn interleaved_answers_of_all_styles_are_whole() {
     let fleet = start().await;
-    let counts = AnswerMix::new(PATIENT, 120, 64).run(&fleet).await;
-    assert_eq!(counts.whole, 120, "{counts:?}");
+    let counts = RequestMix::new(PATIENT, 120, 64).run(&fleet).await;
+    assert_eq!(counts.complete, 120, "{counts:?}");
 }
 
 #[tokio::test]
 async fn connections_cut_in_mid_stream_are_taken_up_without_gap_or_repeat() {
     let fleet = start().await;
     let counts = run_with(&fleet, PATIENT, json!({ "stop_after_tokens": 7 })).await;
-    assert_eq!(counts.whole, 36, "{counts:?}");
+    assert_eq!(counts.complete, 36, "{counts:?}");
     let counts = run_with(&fleet, ONCE, json!({ "stop_after_tokens": 1 })).await;
-    assert_eq!(counts.whole, 36, "{counts:?}");
+    assert_eq!(counts.complete, 36, "{counts:?}");
 }
 
 #[tokio::test]
@@ -82,7 +82,7 @@
     let fleet = start().await;
     let faults = json!({ "duplicate_chunks": true, "stop_after_tokens": 11 });
     let counts = run_with(&fleet, PATIENT, faults).await;
-    assert_eq!(counts.whole, 36, "{counts:?}");
+    assert_eq!(counts.complete, 36, "{counts:?}");
 }
 
 #[tokio::test]
@@ -91,26 +91,26 @@
     for faults in [json!({ "extra_tokens": 3 }), json!({ "garbage": true })] {
         for work in [PATIENT, ONCE] {
             let counts = run_with(&fleet, work, faults.clone()).await;
-            assert_eq!(counts.whole, 0, "{faults}: {counts:?}");
+            assert_eq!(counts.complete, 0, "{faults}: {counts:?}");
             let is_unknown = |code: &u64| *code >= 3000;
             assert!(counts.codes.iter().all(is_unknown), "{counts:?}");
         }
     }
     let counts = run_with(&fleet, PATIENT, json!({})).await;
-    assert_eq!(counts.whole, 36, "{counts:?}");
+    assert_eq!(counts.complete, 36, "{counts:?}");
 }
 
 #[tokio::test]
 async fn a_way_that_resets_in_mid_stream_loses_no_token() {
     let fleet = start().await;
-    let mix = AnswerMix::new(ONCE, 24, 300);
+    let mix = RequestMix::new(ONCE, 24, 300);
     let resets = async {
         busy_engine(&fleet).await;
-        for engine in DECODES {
+        for engine in DECODE_ENGINES {
             fleet.upstream_relay(engine).set(RelayMode::Reset);
         }
         tokio::task::yield_now().await;
-        for engine in DECODES {
+        for engine in DECODE_ENGINES {
             fleet.upstream_relay(engine).set(RelayMode::Open);
         }
     };
@@ -118,7 +118,7 @@
     println!("answers: reset in mid-stream: {counts:?}");
     // A decode call whose answer had not begun may be lost with its connection.
     assert!(counts.codes.iter().all(|code| *code >= 3000), "{counts:?}");
-    assert!(counts.whole >= 12, "{counts:?}");
+    assert!(counts.complete >= 12, "{counts:?}");
 }
 
 #[tokio::test]
@@ -129,15 +129,18 @@
     let waiting = tokio::spawn(call.send());
     let engine = busy_engine(&fleet).await;
     fleet.upstream_relay(engine).set(RelayMode::Silent);
-    let other = DECODES.into_iter().find(|other| *other != engine).unwrap();
+    let other = DECODE_ENGINES
+        .into_iter()
+        .find(|other| *other != engine)
+        .unwrap();
     wait_until("another attempt", async || {
-        fleet.total(other, "decode_runs").await == 1
+        fleet.counter_sum(other, "decode_runs").await == 1
     })
     .await;
     fleet.upstream_relay(engine).set(RelayMode::Open);
     let reply = waiting.await.unwrap();
-    assert_eq!(check_whole(&reply, &expected_text(&prompt, 800)), 1000);
-    fleet.wait_free(&DECODES).await;
+    assert_eq!(check_json(&reply, &expected_text(&prompt, 800)), 1000);
+    fleet.wait_idle(&DECODE_ENGINES).await;
 }
 
 #[tokio::test]
@@ -145,33 +148,36 @@
     let mut fleet = start().await;
     let prompt = long_prompt(0, 30);
     let expected = expected_text(&prompt, 4000);
-    let side = fleet.entry(ENTRY);
-    let mut stream = side.completion(PATIENT, &prompt, 4000, true).stream().await;
+    let endpoint = fleet.entry(ENTRY);
+    let mut stream = endpoint
+        .completion(PATIENT, &prompt, 4000, true)
+        .stream()
+        .await;
     let mut events = vec![stream.next_event().await.unwrap()];
-    let repeatable = tokio::spawn(side.completion(PATIENT, &prompt, 4000, false).send());
-    let once = tokio::spawn(side.completion(ONCE, &prompt, 4000, false).send());
+    let repeatable = tokio::spawn(endpoint.completion(PATIENT, &prompt, 4000, false).send());
+    let once = tokio::spawn(endpoint.completion(ONCE, &prompt, 4000, false).send());
     wait_until("all three decode", async || {
         fleet.in_phase(ENTRY, "decoding").await == 3
     })
     .await;
     fleet
-        .start_upstream(SPARE, "gijon", plat::InstanceKind::Decode)
+        .start_upstream(SPARE_ENGINE, "gijon", plat::InstanceKind::Decode)
         .await;
     wait_until("the spare engine is used", async || {
-        let call = side.completion(PATIENT, "who is free?", 4, false);
+        let call = endpoint.completion(PATIENT, "who is free?", 4, false);
         assert_eq!(call.send().await.code(), 1000);
-        fleet.total(SPARE, "decode_runs").await > 0
+        fleet.counter_sum(SPARE_ENGINE, "decode_runs").await > 0
     })
     .await;
-    for engine in DECODES {
+    for engine in DECODE_ENGINES {
         fleet.kill(engine).await;
     }
     events.extend(stream.all_events().await);
     let code = check_stream(&events, &expected);
     assert_eq!(code, 3003, "a stream that began is cut");
-    assert_eq!(check_whole(&once.await.unwrap(), &expected), 3003);
+    assert_eq!(check_json(&once.await.unwrap(), &expected), 3003);
     let reply = repeatable.await.unwrap();
-    assert_eq!(check_whole(&reply, &expected), 1000, "{}", reply.text());
+    assert_eq!(check_json(&reply, &expected), 1000, "{}", reply.text());
 }
 
 #[tokio::test]
@@ -179,29 +185,29 @@
     let mut fleet = start().await;
     set_decode_faults(&fleet, json!({ "refuse": true })).await;
     let prompt = long_prompt(0, 30);
-    let side = fleet.entry(ENTRY);
-    let repeatable = tokio::spawn(side.completion(PATIENT, &prompt, 8, false).send());
-    let once = tokio::spawn(side.completion(ONCE, &prompt, 8, false).send());
+    let endpoint = fleet.entry(ENTRY);
+    let repeatable = tokio::spawn(endpoint.completion(PATIENT, &prompt, 8, false).send());
+    let once = tokio::spawn(endpoint.completion(ONCE, &prompt, 8, false).send());
     wait_until("both KV caches wait", async || {
         let mut held = 0;
-        for engine in PREFILLS {
-            held += fleet.held(engine).await;
+        for engine in PREFILL_ENGINES {
+            held += fleet.held_streams(engine).await;
         }
         held == 2 && fleet.in_phase(ENTRY, "prefilling").await == 0
     })
     .await;
-    for engine in PREFILLS {
+    for engine in PREFILL_ENGINES {
         fleet.kill(engine).await;
     }
     fleet
         .start_upstream("gijon-prefill-3", "gijon", plat::InstanceKind::Prefill)
         .await;
     let once = once.await.unwrap();
-    assert_eq!(check_whole(&once, ""), 3008, "{}", once.text());
+    assert_eq!(check_json(&once, ""), 3008, "{}", once.text());
     set_decode_faults(&fleet, json!({})).await;
     let reply = repeatable.await.unwrap();
     assert_eq!(
-        check_whole(&reply, &expected_text(&prompt, 8)),
+        check_json(&reply, &expected_text(&prompt, 8)),
         1000,
         "{}",
         reply.text()
--- a/crates/trestlewalk/tests/promise_close.rs
+++ b/crates/trestlewalk/tests/promise_close.rs
@@ -6,17 +6,17 @@
     serde_json::json,
     support::{
         CallReply, Fleet, FleetPlan,
-        answer_check::{check_stream, check_whole},
+        answer_check::{check_json, check_stream},
         model_work::{error_code, expected_text, long_prompt},
         wait_until,
     },
     tokio::task::JoinSet,
 };
 
-const CLOSING: u16 = 2008;
-const CUT: u16 = 3006;
+const CLOSING_CODE: u16 = 2008;
+const CUT_CODE: u16 = 3006;
 /// The exit code of results 3xxx.
-const CUT_EXIT: i32 = 30;
+const CUT_EXIT_STATUS: i32 = 30;
 const DECODE: &str = "gijon-decode-1";
 const ENGINES: [&str; 2] = ["gijon-prefill-1", DECODE];
 const PATIENT: &str = "report";
@@ -35,16 +35,16 @@
 
 /// Starts requests at an entry instance, streamed and whole in turns; each task checks its answer and gives the code.
 fn start_requests(fleet: &Fleet, entry: &str, numbers: std::ops::Range<usize>) -> JoinSet<u64> {
-    let side = fleet.entry(entry);
+    let endpoint = fleet.entry(entry);
     let mut tasks = JoinSet::new();
     for number in numbers {
         tasks.spawn(async move {
             let prompt = long_prompt(number, 30);
             let expected = expected_text(&prompt, TOKENS);
             let stream = number % 2 == 0;
-            let call = side.completion(PATIENT, &prompt, TOKENS, stream);
+            let call = endpoint.completion(PATIENT, &prompt, TOKENS, stream);
             if !stream {
-                return check_whole(&call.send().await, &expected);
+                return check_json(&call.send().await, &expected);
             }
             let mut reply = call.stream().await;
             if reply.code() != 1000 {
@@ -73,7 +73,7 @@
     .await;
 }
 
-async fn ask(fleet: &Fleet, entry: &str) -> Result<CallReply, String> {
+async fn send_short_request(fleet: &Fleet, entry: &str) -> Result<CallReply, String> {
     let call = fleet.entry(entry).completion(PATIENT, "one more", 4, false);
     call.try_send().await
 }
@@ -81,32 +81,36 @@
 async fn check_graceful(fleet: &mut Fleet, entry: &str) {
     let entries = fleet.entry_names();
     let other = entries.iter().find(|name| *name != entry).unwrap().clone();
-    let mut own = start_requests(fleet, entry, 0..10);
+    let mut own_requests = start_requests(fleet, entry, 0..10);
     wait_mixed(fleet, entry).await;
-    let others = start_requests(fleet, &other, 10..14);
-    fleet.faults("platform", json!({ "down": true })).await;
+    let other_requests = start_requests(fleet, &other, 10..14);
+    fleet.set_faults("platform", json!({ "down": true })).await;
     fleet.terminate(entry);
     wait_closing(fleet, entry).await;
-    let refusal = ask(fleet, entry).await.unwrap();
-    assert_eq!(refusal.code(), CLOSING, "{}", refusal.text());
+    let refusal = send_short_request(fleet, entry).await.unwrap();
+    assert_eq!(refusal.code(), CLOSING_CODE, "{}", refusal.text());
     assert!(
         refusal.headers.contains_key("retry-after"),
         "{:?}",
         refusal.headers
     );
     let mut codes = Vec::new();
-    while let Some(code) = own.join_next().await {
+    while let Some(code) = own_requests.join_next().await {
         codes.push(code.unwrap());
     }
     assert_eq!(codes, [1000; 10], "at the closing instance");
-    assert_eq!(others.join_all().await, [1000; 4], "at another instance");
-    assert_eq!(fleet.exit(entry).await.code(), Some(0));
     assert_eq!(
-        ask(fleet, &other).await.unwrap().code(),
+        other_requests.join_all().await,
+        [1000; 4],
+        "at another instance"
+    );
+    assert_eq!(fleet.wait_exit(entry).await.code(), Some(0));
+    assert_eq!(
+        send_short_request(fleet, &other).await.unwrap().code(),
         1000,
         "the others go on"
     );
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
 }
 
 #[tokio::test]
@@ -128,11 +132,11 @@
 #[tokio::test]
 async fn the_only_instance_closes_under_streams_and_a_queue() {
     let mut fleet = Fleet::serving(plan().entries(1)).await;
-    let own = start_requests(&fleet, "gijon-1", 0..8);
+    let own_requests = start_requests(&fleet, "gijon-1", 0..8);
     wait_mixed(&fleet, "gijon-1").await;
     fleet.terminate("gijon-1");
-    assert_eq!(own.join_all().await, [1000; 8]);
-    assert_eq!(fleet.exit("gijon-1").await.code(), Some(0));
+    assert_eq!(own_requests.join_all().await, [1000; 8]);
+    assert_eq!(fleet.wait_exit("gijon-1").await.code(), Some(0));
 }
 
 #[tokio::test]
@@ -151,21 +155,21 @@
     fleet.terminate("gijon-1");
     let reply = call.await.unwrap();
     assert_eq!((reply.code(), reply.body.len()), (1000, 3_000_000));
-    assert_eq!(fleet.exit("gijon-1").await.code(), Some(0));
+    assert_eq!(fleet.wait_exit("gijon-1").await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn the_close_limit_ends_what_is_left_and_counts_it() {
     let mut fleet = Fleet::serving(plan().set("limits.close=1s")).await;
     fleet
-        .faults(DECODE, json!({ "stall_decoding": true }))
+        .set_faults(DECODE, json!({ "stall_decoding": true }))
         .await;
-    let side = fleet.entry("gijon-1");
-    let first = side.completion(PATIENT, "stays", TOKENS, true);
+    let endpoint = fleet.entry("gijon-1");
+    let first = endpoint.completion(PATIENT, "stays", TOKENS, true);
     let first = tokio::spawn(first.send());
-    let second = side.completion(PATIENT, "stays too", TOKENS, false);
+    let second = endpoint.completion(PATIENT, "stays too", TOKENS, false);
     let second = tokio::spawn(second.send());
-    let third = tokio::spawn(side.completion(PATIENT, "waits", TOKENS, false).send());
+    let third = tokio::spawn(endpoint.completion(PATIENT, "waits", TOKENS, false).send());
     wait_until("two hold the places, one waits", async || {
         let dump = fleet.dump("gijon-1").await;
         let requests = &dump["flow"]["requests"];
@@ -178,12 +182,18 @@
         codes.push(call.await.unwrap().code());
     }
     codes.sort_unstable();
-    assert_eq!(codes, [CLOSING, CUT, CUT]);
-    assert_eq!(fleet.exit("gijon-1").await.code(), Some(CUT_EXIT));
+    assert_eq!(codes, [CLOSING_CODE, CUT_CODE, CUT_CODE]);
+    assert_eq!(
+        fleet.wait_exit("gijon-1").await.code(),
+        Some(CUT_EXIT_STATUS)
+    );
     let log = fleet.log("gijon-1");
     assert!(log.contains("the close limit cut 3 requests off"), "{log}");
-    assert_eq!(fleet.total("gijon-prefill-1", "prefill_runs").await, 2);
-    fleet.wait_free(&ENGINES).await;
+    assert_eq!(
+        fleet.counter_sum("gijon-prefill-1", "prefill_runs").await,
+        2
+    );
+    fleet.wait_idle(&ENGINES).await;
 }
 
 #[tokio::test]
@@ -200,13 +210,16 @@
     fleet.terminate("gijon-1");
     events.extend(reply.all_events().await);
     assert!(
-        reply.cut || error_code(&events) >= 3000,
+        reply.is_truncated || error_code(&events) >= 3000,
         "{:?}",
         events.last()
     );
     assert!(!events.iter().any(|event| event == "[DONE]"));
-    assert_eq!(fleet.exit("gijon-1").await.code(), Some(CUT_EXIT));
+    assert_eq!(
+        fleet.wait_exit("gijon-1").await.code(),
+        Some(CUT_EXIT_STATUS)
+    );
     let log = fleet.log("gijon-1");
     assert!(log.contains("a second signal cut 1 requests off"), "{log}");
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
 }
--- a/crates/trestlewalk/tests/promise_engine_gone.rs
+++ b/crates/trestlewalk/tests/promise_engine_gone.rs
@@ -11,7 +11,7 @@
 const DECODE: &str = "gijon-decode-1";
 const ENTRY: &str = "gijon-1";
 /// Longer than an engine that gives no load report counts as there.
-const GONE_AFTER: Duration = Duration::from_secs(8);
+const ENGINE_SILENCE: Duration = Duration::from_secs(8);
 
 async fn start() -> Fleet {
     let plan = FleetPlan::new()
@@ -29,27 +29,27 @@
 async fn a_request_that_an_engine_refuses_after_it_was_held_for_gone_is_answered() {
     for (at, work) in ["single", "report"].into_iter().enumerate() {
         let fleet = start().await;
-        let side = fleet.entry(ENTRY);
+        let endpoint = fleet.entry(ENTRY);
         let prompt = long_prompt(at, 20);
-        let earlier = side
+        let earlier = endpoint
             .completion(work, "is it served?", 4, false)
             .send()
             .await;
         assert_eq!(earlier.code(), 1000, "{work}: {}", earlier.text());
-        fleet.faults(DECODE, json!({ "refuse": true })).await;
+        fleet.set_faults(DECODE, json!({ "refuse": true })).await;
         fleet.upstream_relay(DECODE).set(RelayMode::Silent);
-        let answer = tokio::spawn(side.completion(work, &prompt, 4, false).send());
+        let answer = tokio::spawn(endpoint.completion(work, &prompt, 4, false).send());
         wait_until("the decode engine is called", async || {
             fleet.in_phase(ENTRY, "transferring").await == 1
         })
         .await;
-        tokio::time::sleep(GONE_AFTER).await;
+        tokio::time::sleep(ENGINE_SILENCE).await;
         fleet.upstream_relay(DECODE).set(RelayMode::Open);
         wait_until("the engine refuses", async || {
-            fleet.total(DECODE, "refused").await >= 1
+            fleet.counter_sum(DECODE, "refused").await >= 1
         })
         .await;
-        fleet.faults(DECODE, json!({})).await;
+        fleet.set_faults(DECODE, json!({})).await;
         let reply = answer.await.unwrap();
         assert_eq!(reply.code(), 1000, "{work}: {}", reply.text());
     }
--- a/crates/trestlewalk/tests/promise_leaving.rs
+++ b/crates/trestlewalk/tests/promise_leaving.rs
@@ -6,12 +6,12 @@
     plat::InstanceState,
     serde_json::{Value, json},
     std::time::{Duration, Instant},
-    support::{Fleet, FleetPlan, RelayMode, answer_check::AnswerMix, wait_until},
+    support::{Fleet, FleetPlan, RelayMode, answer_check::RequestMix, wait_until},
     tokio::task::JoinSet,
 };
 
 const DECODE: &str = "gijon-decode-1";
-const LEAVERS: [&str; 3] = [DECODE, "gijon-plain-1", PREFILL];
+const LEAVING_UPSTREAMS: [&str; 3] = [DECODE, "gijon-plain-1", PREFILL];
 const PREFILL: &str = "gijon-prefill-1";
 const REQUESTS: usize = 30;
 
@@ -27,7 +27,7 @@
 }
 
 /// Waits until every entry instance takes the upstreams for leaving. How long that took.
-async fn wait_marked(fleet: &Fleet, upstreams: &[&str]) -> Duration {
+async fn wait_known_leaving(fleet: &Fleet, upstreams: &[&str]) -> Duration {
     let started = Instant::now();
     for entry in fleet.entry_names() {
         for upstream in upstreams {
@@ -43,35 +43,35 @@
 }
 
 /// What an upstream was asked to do so far: runs and refusals.
-async fn asked(fleet: &Fleet, upstream: &str) -> Value {
+async fn work_counters(fleet: &Fleet, upstream: &str) -> Value {
     let counters = fleet.counters(upstream).await;
     let fields = ["decode_runs", "prefill_runs", "refused", "runs"];
     fields.map(|field| counters[field].clone()).into()
 }
 
 /// Sends work of all kinds through all entry instances; all of it has to be answered.
-async fn work(fleet: &Fleet) {
+async fn send_work(fleet: &Fleet) {
     let mut tasks = JoinSet::new();
     for number in 0..REQUESTS {
         let entries = fleet.entry_names();
-        let side = fleet.entry(&entries[number % entries.len()]);
-        let call = side.get("/services/carta/tile").work("tile");
+        let endpoint = fleet.entry(&entries[number % entries.len()]);
+        let call = endpoint.get("/services/carta/tile").work("tile");
         tasks.spawn(async move { call.send().await.code() });
     }
-    let counts = AnswerMix::new("report", REQUESTS, 16).run(fleet).await;
-    assert_eq!(counts.whole, REQUESTS, "{counts:?}");
+    let counts = RequestMix::new("report", REQUESTS, 16).run(fleet).await;
+    assert_eq!(counts.complete, REQUESTS, "{counts:?}");
     assert_eq!(tasks.join_all().await, [1000; REQUESTS]);
 }
 
 /// Whether a round of work of all kinds leaves the upstreams alone.
-async fn are_left_alone(fleet: &Fleet, upstreams: &[&str]) -> bool {
+async fn receive_no_work(fleet: &Fleet, upstreams: &[&str]) -> bool {
     let mut before = Vec::new();
     for upstream in upstreams {
-        before.push(asked(fleet, upstream).await);
+        before.push(work_counters(fleet, upstream).await);
     }
-    work(fleet).await;
+    send_work(fleet).await;
     for (upstream, before) in upstreams.iter().zip(before) {
-        if asked(fleet, upstream).await != before {
+        if work_counters(fleet, upstream).await != before {
             return false;
         }
     }
@@ -83,7 +83,7 @@
 async fn check_no_new_work(fleet: &Fleet, upstreams: &[&str]) {
     let started = Instant::now();
     wait_until("a round that leaves them alone", async || {
-        are_left_alone(fleet, upstreams).await
+        receive_no_work(fleet, upstreams).await
     })
     .await;
     println!(
@@ -92,7 +92,7 @@
     );
     for _ in 0..3 {
         assert!(
-            are_left_alone(fleet, upstreams).await,
+            receive_no_work(fleet, upstreams).await,
             "new work at {upstreams:?}"
         );
     }
@@ -101,24 +101,26 @@
 #[tokio::test]
 async fn the_list_alone_is_enough() {
     let fleet = start().await;
-    work(&fleet).await;
-    for upstream in LEAVERS {
-        fleet.list_state(upstream, InstanceState::Leaving).await;
+    send_work(&fleet).await;
+    for upstream in LEAVING_UPSTREAMS {
+        fleet
+            .set_listed_state(upstream, InstanceState::Leaving)
+            .await;
     }
-    let took = wait_marked(&fleet, &LEAVERS).await;
+    let took = wait_known_leaving(&fleet, &LEAVING_UPSTREAMS).await;
     println!("leaving: by the list, which lags 500 ms: known everywhere after {took:?}");
-    check_no_new_work(&fleet, &LEAVERS).await;
+    check_no_new_work(&fleet, &LEAVING_UPSTREAMS).await;
 }
 
 #[tokio::test]
 async fn an_engines_own_word_is_enough_while_the_list_cannot_be_read() {
     let fleet = start().await;
-    work(&fleet).await;
-    fleet.faults("platform", json!({ "down": true })).await;
+    send_work(&fleet).await;
+    fleet.set_faults("platform", json!({ "down": true })).await;
     for engine in [DECODE, PREFILL] {
-        fleet.faults(engine, json!({ "leaving": true })).await;
+        fleet.set_faults(engine, json!({ "leaving": true })).await;
     }
-    let took = wait_marked(&fleet, &[DECODE, PREFILL]).await;
+    let took = wait_known_leaving(&fleet, &[DECODE, PREFILL]).await;
     println!("leaving: by the engines' word alone: known everywhere after {took:?}");
     check_no_new_work(&fleet, &[DECODE, PREFILL]).await;
 }
@@ -126,38 +128,42 @@
 #[tokio::test]
 async fn what_one_instance_alone_read_from_the_list_reaches_the_others() {
     let fleet = start().await;
-    work(&fleet).await;
+    send_work(&fleet).await;
     for entry in ["gijon-2", "gijon-3"] {
         fleet.platform_relay(entry).set(RelayMode::Reset);
     }
-    for upstream in LEAVERS {
-        fleet.list_state(upstream, InstanceState::Leaving).await;
+    for upstream in LEAVING_UPSTREAMS {
+        fleet
+            .set_listed_state(upstream, InstanceState::Leaving)
+            .await;
     }
-    let took = wait_marked(&fleet, &LEAVERS).await;
+    let took = wait_known_leaving(&fleet, &LEAVING_UPSTREAMS).await;
     println!("leaving: read by one instance of three: known everywhere after {took:?}");
-    check_no_new_work(&fleet, &LEAVERS).await;
+    check_no_new_work(&fleet, &LEAVING_UPSTREAMS).await;
 }
 
 #[tokio::test]
 async fn work_that_runs_at_a_leaving_engine_ends_there_and_it_may_come_back() {
     let fleet = start().await;
-    let mix = AnswerMix::new("report", REQUESTS, 300);
+    let mix = RequestMix::new("report", REQUESTS, 300);
     let leaving = async {
-        wait_until("it works", async || fleet.held(DECODE).await > 0).await;
-        for upstream in LEAVERS {
-            fleet.list_state(upstream, InstanceState::Leaving).await;
+        wait_until("it works", async || fleet.held_streams(DECODE).await > 0).await;
+        for upstream in LEAVING_UPSTREAMS {
+            fleet
+                .set_listed_state(upstream, InstanceState::Leaving)
+                .await;
         }
     };
     let (counts, ()) = tokio::join!(mix.run(&fleet), leaving);
-    assert_eq!(counts.whole, REQUESTS, "{counts:?}");
-    wait_marked(&fleet, &LEAVERS).await;
-    for upstream in LEAVERS {
-        fleet.list_state(upstream, InstanceState::Live).await;
+    assert_eq!(counts.complete, REQUESTS, "{counts:?}");
+    wait_known_leaving(&fleet, &LEAVING_UPSTREAMS).await;
+    for upstream in LEAVING_UPSTREAMS {
+        fleet.set_listed_state(upstream, InstanceState::Live).await;
     }
     wait_until("it works again", async || {
-        let before = asked(&fleet, DECODE).await;
-        work(&fleet).await;
-        asked(&fleet, DECODE).await != before
+        let before = work_counters(&fleet, DECODE).await;
+        send_work(&fleet).await;
+        work_counters(&fleet, DECODE).await != before
     })
     .await;
 }
--- a/crates/trestlewalk/tests/promise_limits.rs
+++ b/crates/trestlewalk/tests/promise_limits.rs
@@ -10,8 +10,8 @@
 };
 
 const LIMIT: u64 = 4;
-const LIMIT_REACHED: u16 = 2005;
-const PATIENCE_ENDED: u16 = 2007;
+const LIMIT_REACHED_CODE: u16 = 2005;
+const PATIENCE_ENDED_CODE: u16 = 2007;
 const REPLICA: &str = "gijon-plain-1";
 const ROWS: &str = "\
 work,service,model,rank,weight,limit,zones,first_token,between_tokens,patience,repeat,retries,waste
@@ -39,10 +39,10 @@
 }
 
 /// Sends as many requests to each entry instance at once. How many got which code; each refusal names when to come back.
-async fn send(fleet: &Fleet, work: &'static str, each: usize) -> BTreeMap<u16, usize> {
+async fn send(fleet: &Fleet, work: &'static str, per_entry: usize) -> BTreeMap<u16, usize> {
     let mut tasks = JoinSet::new();
     for entry in fleet.entry_names() {
-        for _ in 0..each {
+        for _ in 0..per_entry {
             let call = fleet.entry(&entry).post("/services/carta/slots").work(work);
             tasks.spawn(call.send());
         }
@@ -75,7 +75,7 @@
     );
     assert_eq!(codes.values().sum::<usize>(), 24);
     assert_eq!(codes.get(&1000).copied().unwrap_or(0) as u64, ran);
-    assert_eq!(codes[&LIMIT_REACHED] as u64, 24 - ran);
+    assert_eq!(codes[&LIMIT_REACHED_CODE] as u64, 24 - ran);
     assert!(counter(&fleet, "peak_in_progress").await <= LIMIT);
 }
 
@@ -97,5 +97,5 @@
     let codes = send(&fleet, "short", 3).await;
     let ran = counter(&fleet, "runs").await;
     assert_eq!(ran, 3);
-    assert_eq!(codes, BTreeMap::from([(1000, 3), (PATIENCE_ENDED, 6)]));
+    assert_eq!(codes, BTreeMap::from([(1000, 3), (PATIENCE_ENDED_CODE, 6)]));
 }
--- a/crates/trestlewalk/tests/promise_memory.rs
+++ b/crates/trestlewalk/tests/promise_memory.rs
@@ -9,7 +9,7 @@
     std::time::Duration,
     support::{
         Fleet, FleetPlan, RelayMode, SseReply,
-        model_work::{long_prompt, p50_and_worst},
+        model_work::{long_prompt, median_and_max},
         wait_until,
     },
     tokio::task::JoinHandle,
@@ -21,7 +21,7 @@
 const PREFILL: &str = "gijon-prefill-1";
 const PATIENT: &str = "report";
 /// More tokens than any test waits for.
-const ENDLESS: u32 = 4000;
+const UNREACHED_TOKENS: u32 = 4000;
 const ROUNDS: usize = 8;
 
 fn plan() -> FleetPlan {
@@ -35,11 +35,11 @@
 }
 
 /// A caller that waits for its answer; aborting it closes its connection.
-fn call(fleet: &Fleet, entry: &str, number: usize, tokens: usize) -> JoinHandle<()> {
+fn start_caller(fleet: &Fleet, entry: &str, number: usize, tokens: usize) -> JoinHandle<()> {
     let prompt = long_prompt(number, tokens);
     let call = fleet
         .entry(entry)
-        .completion(PATIENT, &prompt, ENDLESS, false);
+        .completion(PATIENT, &prompt, UNREACHED_TOKENS, false);
     tokio::spawn(async move {
         let _ = call.try_send().await;
     })
@@ -49,7 +49,7 @@
     let prompt = long_prompt(number, 50);
     let call = fleet
         .entry(entry)
-        .completion(PATIENT, &prompt, ENDLESS, true);
+        .completion(PATIENT, &prompt, UNREACHED_TOKENS, true);
     let mut reply = call.stream().await;
     assert!(reply.next_event().await.is_some(), "a first token");
     reply
@@ -61,87 +61,87 @@
 }
 
 /// Drops a caller that is in a phase, several times, and prints how long the engines held on.
-async fn measure_drops(fleet: &Fleet, phase: &str, tokens: usize) {
+async fn measure_disconnects(fleet: &Fleet, phase: &str, tokens: usize) {
     let mut samples = Vec::new();
     for round in 0..ROUNDS {
-        let caller = call(fleet, ENTRY, round, tokens);
+        let caller = start_caller(fleet, ENTRY, round, tokens);
         wait_phase(fleet, ENTRY, phase, 1).await;
         caller.abort();
-        samples.push(fleet.wait_free(&ENGINES).await);
+        samples.push(fleet.wait_idle(&ENGINES).await);
         wait_phase(fleet, ENTRY, phase, 0).await;
     }
-    report(phase, samples);
+    print_samples(phase, samples);
 }
 
-fn report(what: &str, samples: Vec<Duration>) {
+fn print_samples(what: &str, samples: Vec<Duration>) {
     let count = samples.len();
-    let (middle, worst) = p50_and_worst(samples);
-    println!("freed: {what}: n {count}, p50 {middle:?}, worst {worst:?}");
+    let (median, max) = median_and_max(samples);
+    println!("freed: {what}: n {count}, p50 {median:?}, worst {max:?}");
 }
 
 #[tokio::test]
 async fn a_caller_that_goes_while_queued_is_never_read() {
     let fleet = Fleet::serving(plan().engine_set("prefill_rate=100")).await;
-    let first = call(&fleet, ENTRY, 0, 1000);
+    let first = start_caller(&fleet, ENTRY, 0, 1000);
     wait_phase(&fleet, ENTRY, "prefilling", 1).await;
-    let second = call(&fleet, "gijon-2", 1, 1000);
+    let second = start_caller(&fleet, "gijon-2", 1, 1000);
     wait_phase(&fleet, "gijon-2", "queued", 1).await;
     second.abort();
     wait_phase(&fleet, "gijon-2", "queued", 0).await;
     first.abort();
-    fleet.wait_free(&ENGINES).await;
-    assert_eq!(fleet.total(PREFILL, "prefill_runs").await, 1);
+    fleet.wait_idle(&ENGINES).await;
+    assert_eq!(fleet.counter_sum(PREFILL, "prefill_runs").await, 1);
 }
 
 #[tokio::test]
 async fn a_caller_that_goes_while_its_prompt_is_read_frees_the_prefill_engine() {
     let fleet = Fleet::serving(plan().engine_set("prefill_rate=100")).await;
-    measure_drops(&fleet, "prefilling", 1000).await;
-    assert_eq!(fleet.total(DECODE, "decode_runs").await, 0);
+    measure_disconnects(&fleet, "prefilling", 1000).await;
+    assert_eq!(fleet.counter_sum(DECODE, "decode_runs").await, 0);
 }
 
 #[tokio::test]
 async fn a_caller_that_goes_while_its_kv_cache_waits_frees_the_prefill_engine() {
     let fleet = Fleet::serving(plan()).await;
-    fleet.faults(DECODE, json!({ "refuse": true })).await;
+    fleet.set_faults(DECODE, json!({ "refuse": true })).await;
     let mut samples = Vec::new();
     for round in 0..ROUNDS {
-        let caller = call(&fleet, ENTRY, round, 50);
+        let caller = start_caller(&fleet, ENTRY, round, 50);
         let refused = fleet.counters(DECODE).await["refused"]["full"].as_u64();
         wait_until("a refusal with the KV cache read", async || {
             let now = fleet.counters(DECODE).await["refused"]["full"].as_u64();
-            now > refused && fleet.held(PREFILL).await == 1
+            now > refused && fleet.held_streams(PREFILL).await == 1
         })
         .await;
         caller.abort();
-        samples.push(fleet.wait_free(&ENGINES).await);
+        samples.push(fleet.wait_idle(&ENGINES).await);
     }
-    report("read and waiting", samples);
+    print_samples("read and waiting", samples);
 }
 
 #[tokio::test]
 async fn a_caller_that_goes_during_the_transfer_frees_both_engines() {
     let fleet = Fleet::serving(plan()).await;
     fleet
-        .faults(DECODE, json!({ "stall_transfers": true }))
+        .set_faults(DECODE, json!({ "stall_transfers": true }))
         .await;
     fleet
-        .faults(PREFILL, json!({ "stall_transfers": true }))
+        .set_faults(PREFILL, json!({ "stall_transfers": true }))
         .await;
-    measure_drops(&fleet, "transferring", 50).await;
+    measure_disconnects(&fleet, "transferring", 50).await;
 }
 
 #[tokio::test]
 async fn a_caller_that_goes_during_decoding_frees_its_place() {
     let fleet = Fleet::serving(plan()).await;
-    measure_drops(&fleet, "decoding", 50).await;
+    measure_disconnects(&fleet, "decoding", 50).await;
     let mut samples = Vec::new();
     for round in 0..ROUNDS {
         let reply = open_stream(&fleet, ENTRY, 100 + round).await;
         drop(reply);
-        samples.push(fleet.wait_free(&ENGINES).await);
+        samples.push(fleet.wait_idle(&ENGINES).await);
     }
-    report("streaming", samples);
+    print_samples("streaming", samples);
 }
 
 #[tokio::test]
@@ -149,13 +149,13 @@
     let fleet = Fleet::serving(plan()).await;
     for engine in ENGINES {
         fleet
-            .faults(engine, json!({ "slow_accept_ms": 3000 }))
+            .set_faults(engine, json!({ "slow_accept_ms": 3000 }))
             .await;
         let phase = match engine {
             PREFILL => "prefilling",
             _ => "transferring",
         };
-        let caller = call(&fleet, ENTRY, 0, 50);
+        let caller = start_caller(&fleet, ENTRY, 0, 50);
         wait_phase(&fleet, ENTRY, phase, 1).await;
         caller.abort();
         wait_phase(&fleet, ENTRY, phase, 0).await;
@@ -165,25 +165,25 @@
             counters["cancelled"] == 1 || counters["refused"]["evicted"] == 1
         })
         .await;
-        fleet.wait_free(&ENGINES).await;
-        fleet.faults(engine, json!({})).await;
+        fleet.wait_idle(&ENGINES).await;
+        fleet.set_faults(engine, json!({})).await;
     }
-    finish_one(&fleet, ENTRY).await;
+    check_short_request(&fleet, ENTRY).await;
 }
 
 #[tokio::test]
 async fn a_call_that_is_held_up_on_its_way_leaves_nothing_behind() {
     let fleet = Fleet::serving(plan()).await;
     // Before its first answer the allocator may not know the engine yet, and would refuse.
-    finish_one(&fleet, ENTRY).await;
+    check_short_request(&fleet, ENTRY).await;
     fleet.upstream_relay(DECODE).set(RelayMode::Silent);
-    let caller = call(&fleet, ENTRY, 0, 50);
+    let caller = start_caller(&fleet, ENTRY, 0, 50);
     wait_phase(&fleet, ENTRY, "transferring", 1).await;
     caller.abort();
     wait_phase(&fleet, ENTRY, "transferring", 0).await;
     fleet.upstream_relay(DECODE).set(RelayMode::Open);
-    finish_one(&fleet, ENTRY).await;
-    fleet.wait_free(&ENGINES).await;
+    check_short_request(&fleet, ENTRY).await;
+    fleet.wait_idle(&ENGINES).await;
 }
 
 #[tokio::test]
@@ -197,11 +197,11 @@
     })
     .await;
     drop(reply);
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
 }
 
 /// A short request is answered whole: nothing is stuck.
-async fn finish_one(fleet: &Fleet, entry: &str) {
+async fn check_short_request(fleet: &Fleet, entry: &str) {
     let call = fleet
         .entry(entry)
         .completion(PATIENT, "is it still well?", 4, false);
--- a/crates/trestlewalk/tests/promise_memory_dead.rs
+++ b/crates/trestlewalk/tests/promise_memory_dead.rs
@@ -6,7 +6,7 @@
     std::time::Duration,
     support::{
         Fleet, FleetPlan, SseReply,
-        model_work::{DONE, error_code, long_prompt, p50_and_worst},
+        model_work::{DONE, error_code, long_prompt, median_and_max},
         wait_until,
     },
     tokio::task::JoinHandle,
@@ -17,7 +17,7 @@
 const PATIENT: &str = "report";
 const PREFILL: &str = "gijon-prefill-1";
 /// Tokens that take longer to read than any test runs.
-const SLOW_TOKENS: usize = 20_000;
+const LONG_PROMPT_TOKENS: usize = 20_000;
 
 async fn start() -> Fleet {
     let plan = FleetPlan::new()
@@ -47,23 +47,23 @@
     reply
 }
 
-async fn start_reading(fleet: &Fleet, entry: &str, number: usize) -> JoinHandle<()> {
-    let prompt = long_prompt(number, SLOW_TOKENS);
+async fn start_prefill(fleet: &Fleet, entry: &str, number: usize) -> JoinHandle<()> {
+    let prompt = long_prompt(number, LONG_PROMPT_TOKENS);
     let call = fleet.entry(entry).completion(PATIENT, &prompt, 4, false);
     let caller = tokio::spawn(async move {
         let _ = call.try_send().await;
     });
     wait_until("the prompt is being read", async || {
-        fleet.held(PREFILL).await == 1
+        fleet.held_streams(PREFILL).await == 1
     })
     .await;
     caller
 }
 
-fn report(what: &str, samples: Vec<Duration>) {
+fn print_samples(what: &str, samples: Vec<Duration>) {
     let count = samples.len();
-    let (middle, worst) = p50_and_worst(samples);
-    println!("freed: {what}: n {count}, p50 {middle:?}, worst {worst:?}");
+    let (median, max) = median_and_max(samples);
+    println!("freed: {what}: n {count}, p50 {median:?}, worst {max:?}");
 }
 
 #[tokio::test]
@@ -74,14 +74,14 @@
         let (_, others) = roles(&fleet).await;
         let victim = &others[round % 2];
         let stream = open_stream(&fleet, victim, round).await;
-        let reading = start_reading(&fleet, victim, round).await;
+        let prefilling = start_prefill(&fleet, victim, round).await;
         fleet.kill(victim).await;
-        samples.push(fleet.wait_free(&ENGINES).await);
-        drop((stream, reading));
+        samples.push(fleet.wait_idle(&ENGINES).await);
+        drop((stream, prefilling));
         fleet.restart_entry(victim).await;
-        fleet.wait_agreed().await;
+        fleet.wait_allocator_agreed().await;
     }
-    report("entry killed", samples);
+    print_samples("entry killed", samples);
 }
 
 #[tokio::test]
@@ -93,13 +93,13 @@
     fleet.kill(&allocator).await;
     let started = std::time::Instant::now();
     wait_until("the dead one's stream is freed", async || {
-        fleet.held(DECODE).await == 1
+        fleet.held_streams(DECODE).await == 1
     })
     .await;
-    report("allocator killed", vec![started.elapsed()]);
+    print_samples("allocator killed", vec![started.elapsed()]);
     assert_eq!(fleet.in_phase(&others[0], "decoding").await, 1);
     drop((stream, other));
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
 }
 
 #[tokio::test]
@@ -108,12 +108,12 @@
     let (allocator, others) = roles(&fleet).await;
     let stream = open_stream(&fleet, &others[0], 0).await;
     let own = open_stream(&fleet, &allocator, 1).await;
-    let reading = start_reading(&fleet, &others[0], 2).await;
+    let prefilling = start_prefill(&fleet, &others[0], 2).await;
     fleet.kill(&others[0]).await;
     fleet.kill(&allocator).await;
-    let freed = fleet.wait_free(&ENGINES).await;
-    report("entry and allocator killed", vec![freed]);
-    drop((stream, own, reading));
+    let freed = fleet.wait_idle(&ENGINES).await;
+    print_samples("entry and allocator killed", vec![freed]);
+    drop((stream, own, prefilling));
     let call = fleet
         .entry(&others[1])
         .completion(PATIENT, "still there?", 4, false);
@@ -131,30 +131,30 @@
     let call = fleet
         .entry(victim)
         .completion(PATIENT, &prompt, 4000, false);
-    let json = tokio::spawn(call.try_send());
+    let json_reply = tokio::spawn(call.try_send());
     wait_until("both decode", async || {
         fleet.in_phase(victim, "decoding").await == 2
     })
     .await;
-    let reading = start_reading(&fleet, victim, 2).await;
+    let prefilling = start_prefill(&fleet, victim, 2).await;
     fleet.pause(victim).await;
-    let freed = fleet.wait_free(&ENGINES).await;
-    report("entry frozen", vec![freed]);
+    let freed = fleet.wait_idle(&ENGINES).await;
+    print_samples("entry frozen", vec![freed]);
     fleet.resume(victim);
     let events = stream.all_events().await;
     assert_ne!(events.last().map(String::as_str), Some(DONE));
     assert!(error_code(&events) >= 3000, "{:?}", events.last());
-    let reply = json.await.unwrap().unwrap();
-    let is_true = reply.code() == 1000 || reply.code() >= 3000;
-    assert!(is_true, "{}", reply.text());
-    reading.await.unwrap();
-    fleet.wait_agreed().await;
+    let reply = json_reply.await.unwrap().unwrap();
+    let is_accurate = reply.code() == 1000 || reply.code() >= 3000;
+    assert!(is_accurate, "{}", reply.text());
+    prefilling.await.unwrap();
+    fleet.wait_allocator_agreed().await;
     let call = fleet
         .entry(victim)
         .completion(PATIENT, "and now?", 4, false);
     let reply = call.send().await;
     assert_eq!(reply.code(), 1000, "{}", reply.text());
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
 }
 
 #[tokio::test]
@@ -168,10 +168,10 @@
         .completion(PATIENT, "who grants?", 4, false);
     let reply = call.send().await;
     assert_eq!(reply.code(), 1000, "{}", reply.text());
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
     fleet.resume(&allocator);
     drop(stream);
-    fleet.wait_agreed().await;
+    fleet.wait_allocator_agreed().await;
     for entry in fleet.entry_names() {
         let call = fleet
             .entry(&entry)
@@ -179,5 +179,5 @@
         let reply = call.send().await;
         assert_eq!(reply.code(), 1000, "{entry}: {}", reply.text());
     }
-    fleet.wait_free(&ENGINES).await;
+    fleet.wait_idle(&ENGINES).await;
 }
--- a/crates/trestlewalk/tests/promise_not_run.rs
+++ b/crates/trestlewalk/tests/promise_not_run.rs
@@ -37,9 +37,9 @@
     let mut tasks = JoinSet::new();
     for number in 0..BATCH {
         let key = format!("{batch}-{number}");
-        let side = fleet.entry(&entries[number % entries.len()]);
+        let endpoint = fleet.entry(&entries[number % entries.len()]);
         tasks.spawn(async move {
-            let call = side
+            let call = endpoint
                 .post("/services/carta/slots")
                 .work(work)
                 .body(key.clone());
@@ -67,8 +67,8 @@
     let mut codes = Codes::new();
     for number in 0..BATCH {
         let key = format!("{batch}-{number}");
-        let side = fleet.entry(&entries[number % entries.len()]);
-        let call = side.get("/services/carta/tile").work(REPEATABLE);
+        let endpoint = fleet.entry(&entries[number % entries.len()]);
+        let call = endpoint.get("/services/carta/tile").work(REPEATABLE);
         let reply = call.header("x-run-key", &key).try_send().await;
         codes.insert(key, reply.map_or(0, |reply| reply.code()));
     }
@@ -76,7 +76,7 @@
 }
 
 /// Compares every code with what the replicas counted.
-async fn check(fleet: &Fleet, what: &str, work: &str, codes: &Codes) {
+async fn check_codes(fleet: &Fleet, what: &str, work: &str, codes: &Codes) {
     let runs = runs(fleet, &REPLICAS).await;
     let mut tally: BTreeMap<(u16, u64), u32> = BTreeMap::new();
     for (key, code) in codes {
@@ -104,7 +104,7 @@
 
 async fn set_faults(fleet: &Fleet, faults: &Value) {
     for replica in REPLICAS {
-        fleet.faults(replica, faults.clone()).await;
+        fleet.set_faults(replica, faults.clone()).await;
     }
 }
 
@@ -124,7 +124,7 @@
         set_faults(&fleet, faults).await;
         for work in [ONCE, REPEATABLE] {
             let codes = send_batch(&fleet, work, &format!("{what}-{work}")).await;
-            check(&fleet, what, work, &codes).await;
+            check_codes(&fleet, what, work, &codes).await;
         }
     }
 }
@@ -134,7 +134,7 @@
     let fleet = start(0).await;
     set_faults(&fleet, &json!({ "drop_on_reuse": true })).await;
     let codes = send_gets(&fleet, "idle").await;
-    check(&fleet, "idle connections closed", REPEATABLE, &codes).await;
+    check_codes(&fleet, "idle connections closed", REPEATABLE, &codes).await;
     assert!(codes.values().all(|code| *code == 1000), "{codes:?}");
 }
 
@@ -167,7 +167,7 @@
         for replica in REPLICAS {
             fleet.upstream_relay(replica).set(RelayMode::Open);
         }
-        check(&fleet, "resets", work, &codes).await;
+        check_codes(&fleet, "resets", work, &codes).await;
     }
 }
 
@@ -196,11 +196,11 @@
 #[tokio::test]
 async fn a_killed_entry_instance_runs_nothing_twice() {
     let mut fleet = start(200).await;
-    let side = fleet.entry("gijon-1");
+    let endpoint = fleet.entry("gijon-1");
     let mut tasks = JoinSet::new();
     for number in 0..BATCH {
         let key = format!("dead-{number}");
-        let call = side
+        let call = endpoint
             .post("/services/carta/slots")
             .work(ONCE)
             .header("x-run-key", &key);
@@ -209,17 +209,17 @@
     wait_until("some run", async || runs(&fleet, &REPLICAS).await.len() > 5).await;
     fleet.kill("gijon-1").await;
     let codes: Codes = tasks.join_all().await.into_iter().collect();
-    check(&fleet, "entry killed", ONCE, &codes).await;
+    check_codes(&fleet, "entry killed", ONCE, &codes).await;
 }
 
 #[tokio::test]
 async fn a_body_that_is_still_sent_when_the_replica_answers_spoils_no_later_answer() {
     let fleet = start(0).await;
     set_faults(&fleet, &json!({ "refuse": true })).await;
-    let side = fleet.entry("gijon-1");
+    let endpoint = fleet.entry("gijon-1");
     let body = vec![b'x'; 3 << 20];
     for number in 0..10 {
-        let call = side
+        let call = endpoint
             .post("/services/carta/large")
             .work(REPEATABLE)
             .body(body.clone());
@@ -228,10 +228,10 @@
         let code = reply.map_or(0, |reply| reply.code());
         assert!(code != 1000, "{code}");
         let codes = Codes::from([(key, code)]);
-        check(&fleet, "answered early", REPEATABLE, &codes).await;
+        check_codes(&fleet, "answered early", REPEATABLE, &codes).await;
     }
     set_faults(&fleet, &json!({})).await;
     let codes = send_batch(&fleet, REPEATABLE, "after").await;
-    check(&fleet, "after early answers", REPEATABLE, &codes).await;
+    check_codes(&fleet, "after early answers", REPEATABLE, &codes).await;
     assert!(codes.values().all(|code| *code == 1000), "{codes:?}");
 }
--- a/crates/trestlewalk/tests/promise_not_run_model.rs
+++ b/crates/trestlewalk/tests/promise_not_run_model.rs
@@ -14,10 +14,10 @@
 };
 
 const BATCH: usize = 24;
-const DECODES: [&str; 2] = ["gijon-decode-1", "gijon-decode-2"];
+const DECODE_ENGINES: [&str; 2] = ["gijon-decode-1", "gijon-decode-2"];
 const ONCE: &str = "single";
 const PATIENT: &str = "report";
-const PREFILLS: [&str; 2] = ["gijon-prefill-1", "gijon-prefill-2"];
+const PREFILL_ENGINES: [&str; 2] = ["gijon-prefill-1", "gijon-prefill-2"];
 const TOKENS: u32 = 12;
 
 async fn start() -> Fleet {
@@ -36,9 +36,9 @@
     let entries = fleet.entry_names();
     let mut tasks = JoinSet::new();
     for number in first..first + BATCH {
-        let side = fleet.entry(&entries[number % entries.len()]);
+        let endpoint = fleet.entry(&entries[number % entries.len()]);
         let prompt = long_prompt(number, 20);
-        let call = side.completion(work, &prompt, TOKENS, false);
+        let call = endpoint.completion(work, &prompt, TOKENS, false);
         tasks.spawn(async move {
             let reply = call.try_send().await;
             (number, reply.map_or(0, |reply| reply.code()))
@@ -51,7 +51,7 @@
 async fn decode_runs(fleet: &Fleet, number: usize) -> u64 {
     let digits = prompt_digits(&long_prompt(number, 20));
     let mut runs = 0;
-    for engine in DECODES {
+    for engine in DECODE_ENGINES {
         let counters = fleet.counters(engine).await;
         runs += counters["decode_runs_by_prompt"][&digits]
             .as_u64()
@@ -68,14 +68,20 @@
 
 async fn prefill_runs(fleet: &Fleet) -> u64 {
     let mut runs = 0;
-    for engine in PREFILLS {
-        runs += fleet.total(engine, "prefill_runs").await;
+    for engine in PREFILL_ENGINES {
+        runs += fleet.counter_sum(engine, "prefill_runs").await;
     }
     runs
 }
 
 /// Compares a batch's codes with the engines' counters.
-async fn check(fleet: &Fleet, what: &str, work: &str, codes: &BTreeMap<usize, u16>, read: u64) {
+async fn check_codes(
+    fleet: &Fleet,
+    what: &str,
+    work: &str,
+    codes: &BTreeMap<usize, u16>,
+    prefills: u64,
+) {
     let mut tally: BTreeMap<(u16, u64), u32> = BTreeMap::new();
     for (number, code) in codes {
         let runs = decode_runs(fleet, *number).await;
@@ -94,26 +100,28 @@
         .values()
         .filter(|code| (2000..3000).contains(*code))
         .count();
-    let limit = (codes.len() - not_run) as u64;
+    let max_prefills = (codes.len() - not_run) as u64;
     assert!(
-        work != ONCE || read <= limit,
-        "{what}: {read} readings of {limit}"
+        work != ONCE || prefills <= max_prefills,
+        "{what}: {prefills} readings of {max_prefills}"
+    );
+    println!(
+        "once: {what}, {work}: (code, decode runs) = requests: {tally:?}, {prefills} readings"
     );
-    println!("once: {what}, {work}: (code, decode runs) = requests: {tally:?}, {read} readings");
 }
 
 async fn run_case(fleet: &Fleet, what: &str, engines: &[&str], faults: &Value, first: usize) {
     for engine in engines {
-        fleet.faults(engine, faults.clone()).await;
+        fleet.set_faults(engine, faults.clone()).await;
     }
     for (work, first) in [(ONCE, first), (PATIENT, first + BATCH)] {
         let before = prefill_runs(fleet).await;
         let codes = send_batch(fleet, work, first).await;
-        let read = prefill_runs(fleet).await - before;
-        check(fleet, what, work, &codes, read).await;
+        let prefills = prefill_runs(fleet).await - before;
+        check_codes(fleet, what, work, &codes, prefills).await;
     }
     for engine in engines {
-        fleet.faults(engine, json!({})).await;
+        fleet.set_faults(engine, json!({})).await;
     }
     wait_until("the engines are used again", async || {
         let call = fleet.entry("gijon-1").completion(ONCE, what, 4, false);
@@ -128,27 +136,35 @@
     let cases = [
         (
             "decode closes after reading",
-            &DECODES,
+            &DECODE_ENGINES,
             json!({ "close_after_read": true }),
         ),
         (
             "decode drops connections",
-            &DECODES,
+            &DECODE_ENGINES,
             json!({ "drop_connections": true }),
         ),
-        ("decode gives garbage", &DECODES, json!({ "garbage": true })),
+        (
+            "decode gives garbage",
+            &DECODE_ENGINES,
+            json!({ "garbage": true }),
+        ),
         (
             "prefill closes after reading",
-            &PREFILLS,
+            &PREFILL_ENGINES,
             json!({ "close_after_read": true }),
         ),
         (
             "prefill gives garbage",
-            &PREFILLS,
+            &PREFILL_ENGINES,
             json!({ "garbage": true }),
         ),
-        ("prefill is full", &PREFILLS, json!({ "refuse": true })),
-        ("no fault", &PREFILLS, json!({})),
+        (
+            "prefill is full",
+            &PREFILL_ENGINES,
+            json!({ "refuse": true }),
+        ),
+        ("no fault", &PREFILL_ENGINES, json!({})),
     ];
     for (at, (what, engines, faults)) in cases.iter().enumerate() {
         run_case(&fleet, what, *engines, faults, at * 100).await;
@@ -163,7 +179,7 @@
         let resets = async {
             loop {
                 for mode in [RelayMode::Reset, RelayMode::Open] {
-                    for engine in DECODES.into_iter().chain(PREFILLS) {
+                    for engine in DECODE_ENGINES.into_iter().chain(PREFILL_ENGINES) {
                         fleet.upstream_relay(engine).set(mode);
                     }
                     tokio::time::sleep(std::time::Duration::from_millis(23)).await;
@@ -174,27 +190,33 @@
             codes = send_batch(&fleet, work, at * BATCH) => codes,
             () = resets => unreachable!("the resets have no end"),
         };
-        for engine in DECODES.into_iter().chain(PREFILLS) {
+        for engine in DECODE_ENGINES.into_iter().chain(PREFILL_ENGINES) {
             fleet.upstream_relay(engine).set(RelayMode::Open);
         }
-        let read = prefill_runs(&fleet).await - before;
-        check(&fleet, "resets", work, &codes, read).await;
+        let prefills = prefill_runs(&fleet).await - before;
+        check_codes(&fleet, "resets", work, &codes, prefills).await;
     }
 }
 
 #[tokio::test]
 async fn a_request_of_a_killed_entry_instance_is_not_run_by_another() {
     let mut fleet = start().await;
-    let side = fleet.entry("gijon-1");
+    let endpoint = fleet.entry("gijon-1");
     let prompt = long_prompt(0, 20);
-    let mut reply = side.completion(ONCE, &prompt, 2000, true).stream().await;
+    let mut reply = endpoint
+        .completion(ONCE, &prompt, 2000, true)
+        .stream()
+        .await;
     let first = reply.next_event().await.unwrap();
     assert!(!streamed_text(&[first]).is_empty());
     fleet.kill("gijon-1").await;
     reply.all_events().await;
-    assert!(reply.cut, "the caller sees that the stream was cut");
-    let engines = [DECODES, PREFILLS].concat();
-    fleet.wait_free(&engines).await;
+    assert!(
+        reply.is_truncated,
+        "the caller sees that the stream was cut"
+    );
+    let engines = [DECODE_ENGINES, PREFILL_ENGINES].concat();
+    fleet.wait_idle(&engines).await;
     assert_eq!(decode_runs(&fleet, 0).await, 1);
     assert_eq!(prefill_runs(&fleet).await, 1);
 }
--- a/crates/trestlewalk/tests/promise_once_close.rs
+++ b/crates/trestlewalk/tests/promise_once_close.rs
@@ -6,7 +6,7 @@
     Fleet, FleetPlan, HttpCall, KEY_HEADER, RelayMode, TICKET_HEADER, start_ready, wait_until,
 };
 
-const HERE: &str = "gijon-1";
+const ORIGIN: &str = "gijon-1";
 const PLAIN: &str = "gijon-plain-1";
 const SUCCESSORS: [&str; 2] = ["gijon-2", "gijon-3"];
 
@@ -20,14 +20,14 @@
 }
 
 async fn close(fleet: &mut Fleet) {
-    fleet.terminate(HERE);
-    assert_eq!(fleet.exit(HERE).await.code(), Some(0));
+    fleet.terminate(ORIGIN);
+    assert_eq!(fleet.wait_exit(ORIGIN).await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn outstanding_tickets_run_once_at_the_successor_whoever_is_asked() {
     let mut fleet = start(3).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     close(&mut fleet).await;
     let mut bodies = Vec::new();
     for entry in SUCCESSORS {
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn both_at_once_run_an_outstanding_ticket_once() {
     let mut fleet = start(3).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     close(&mut fleet).await;
     let [first, second] =
         SUCCESSORS.map(|entry| confirm(&fleet, entry, "slot", &ticket).try_send());
@@ -56,9 +56,9 @@
 #[tokio::test]
 async fn used_tickets_and_keys_keep_their_answers_after_the_close() {
     let mut fleet = start(3).await;
-    let ticket = fleet.mint(HERE).await;
-    let first = confirm(&fleet, HERE, "slot", &ticket).send().await;
-    let call = fleet.confirm(HERE, "keyed").header(KEY_HEADER, "key");
+    let ticket = fleet.mint(ORIGIN).await;
+    let first = confirm(&fleet, ORIGIN, "slot", &ticket).send().await;
+    let call = fleet.confirm(ORIGIN, "keyed").header(KEY_HEADER, "key");
     let keyed = call.send().await;
     assert_eq!((first.code(), keyed.code()), (1000, 1000));
     close(&mut fleet).await;
@@ -76,25 +76,25 @@
 #[tokio::test]
 async fn during_the_close_an_unused_ticket_runs_at_the_successor_and_a_used_one_ends_here() {
     let mut fleet = start(3).await;
-    let running = fleet.mint(HERE).await;
-    let unused = fleet.mint(HERE).await;
+    let running = fleet.mint(ORIGIN).await;
+    let unused = fleet.mint(ORIGIN).await;
     let relay = fleet.upstream_relay(PLAIN);
     relay.set(RelayMode::Silent);
-    let call = confirm(&fleet, HERE, "running", &running);
+    let call = confirm(&fleet, ORIGIN, "running", &running);
     let call = tokio::spawn(call.try_send());
     wait_until("the run", async || relay.held() > 0).await;
-    fleet.terminate(HERE);
+    fleet.terminate(ORIGIN);
     wait_until("the hand-over", async || {
-        let dump = fleet.ticket_dump(HERE).await;
+        let dump = fleet.ticket_dump(ORIGIN).await;
         dump["happenings"]["lives_handed_over"] == 1
     })
     .await;
     let repeated = confirm(&fleet, "gijon-2", "running", &running);
     let repeated = tokio::spawn(repeated.try_send());
-    let used = confirm(&fleet, HERE, "unused", &unused);
+    let used = confirm(&fleet, ORIGIN, "unused", &unused);
     let used = tokio::spawn(used.try_send());
     wait_until("the unused ticket is at the successor", async || {
-        let dump = fleet.ticket_dump(HERE).await;
+        let dump = fleet.ticket_dump(ORIGIN).await;
         dump["happenings"]["forwarded"] == 1
     })
     .await;
@@ -110,7 +110,7 @@
         "{}",
         repeated.text()
     );
-    assert_eq!(fleet.exit(HERE).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ORIGIN).await.code(), Some(0));
     for entry in SUCCESSORS {
         let later = confirm(&fleet, entry, "running", &running).send().await;
         assert_eq!(later.body, reply.body, "{entry}: {}", later.text());
@@ -123,7 +123,7 @@
 #[tokio::test]
 async fn without_a_successor_that_answers_the_tickets_run_nowhere() {
     let mut fleet = start(2).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     fleet.pause("gijon-2").await;
     close(&mut fleet).await;
     fleet.resume("gijon-2");
@@ -135,7 +135,7 @@
 #[tokio::test]
 async fn tickets_pass_through_two_closes() {
     let mut fleet = start(3).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     close(&mut fleet).await;
     let mut holders = Vec::new();
     for entry in SUCCESSORS {
@@ -147,7 +147,7 @@
         panic!("one successor: {holders:?}");
     };
     fleet.terminate(holder);
-    assert_eq!(fleet.exit(holder).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(holder).await.code(), Some(0));
     let last = SUCCESSORS.into_iter().find(|entry| *entry != holder);
     let last = last.expect("another instance");
     for _ in 0..2 {
--- a/crates/trestlewalk/tests/promise_once_dead.rs
+++ b/crates/trestlewalk/tests/promise_once_dead.rs
@@ -13,22 +13,22 @@
 };
 
 const DECODE: &str = "gijon-decode-1";
-const HERE: &str = "gijon-1";
+const ORIGIN: &str = "gijon-1";
 const PLAIN: &str = "gijon-plain-1";
 const CONFIRM: &str = "confirm,carta,,0,1,,,1s,,5s";
 const CONFIRM_LIMITED: &str = "confirm,carta,,0,1,1,,,,60s";
-const THERE: &str = "gijon-2";
+const OTHER: &str = "gijon-2";
 
 #[tokio::test]
 async fn after_the_origin_is_killed_in_a_run_its_ticket_runs_nowhere() {
     let mut fleet = start_ready(FleetPlan::new().entries(3).plain(1)).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     let at = |fleet: &Fleet, entry| fleet.confirm(entry, "slot").header(TICKET_HEADER, &ticket);
-    let call = run_and_hold(&fleet, at(&fleet, THERE)).await;
-    fleet.kill(HERE).await;
+    let call = run_and_hold(&fleet, at(&fleet, OTHER)).await;
+    fleet.kill(ORIGIN).await;
     let reply = call.await.unwrap().unwrap();
     assert_eq!((reply.status.as_u16(), reply.code()), (502, 3004));
-    for entry in [THERE, "gijon-3"] {
+    for entry in [OTHER, "gijon-3"] {
         let reply = at(&fleet, entry).send().await;
         assert_eq!(reply.code(), 3004, "{entry}: {}", reply.text());
     }
@@ -39,10 +39,10 @@
 async fn after_the_origin_is_killed_in_a_run_its_key_runs_nowhere() {
     let mut fleet = start_ready(FleetPlan::new().entries(3).plain(1)).await;
     let at = |fleet: &Fleet, entry| fleet.confirm(entry, "slot").header(KEY_HEADER, "key");
-    let call = run_and_hold(&fleet, at(&fleet, HERE)).await;
-    fleet.kill(HERE).await;
+    let call = run_and_hold(&fleet, at(&fleet, ORIGIN)).await;
+    fleet.kill(ORIGIN).await;
     assert!(call.await.unwrap().is_err());
-    for entry in [THERE, "gijon-3"] {
+    for entry in [OTHER, "gijon-3"] {
         let reply = at(&fleet, entry).send().await;
         assert_eq!(reply.code(), 3004, "{entry}: {}", reply.text());
     }
@@ -52,11 +52,11 @@
 #[tokio::test]
 async fn a_later_life_of_the_origin_does_not_run_the_tickets_of_the_earlier_one() {
     let mut fleet = start_ready(FleetPlan::new().entries(2).plain(1)).await;
-    let ticket = fleet.mint(HERE).await;
-    fleet.kill(HERE).await;
-    fleet.restart_entry(HERE).await;
-    fleet.wait_ready(HERE).await;
-    for entry in [HERE, THERE] {
+    let ticket = fleet.mint(ORIGIN).await;
+    fleet.kill(ORIGIN).await;
+    fleet.restart_entry(ORIGIN).await;
+    fleet.wait_ready(ORIGIN).await;
+    for entry in [ORIGIN, OTHER] {
         let call = fleet.confirm(entry, "slot").header(TICKET_HEADER, &ticket);
         assert_eq!(call.send().await.code(), 3004);
     }
@@ -68,23 +68,23 @@
     const LIFETIME_MS: u64 = 700;
     let plan = FleetPlan::new().entries(2).prefill(1).decode(1).plain(1);
     let fleet = start_ready(plan.engine_set("decode_base_us=1000000")).await;
-    let hold = json!({ "prompt": "the whole harbour", "max_tokens": 64, "stream": true });
-    let call = fleet.entry(THERE).post("/v1/completions").work("single");
-    let mut holder = call.json(&hold).stream().await;
+    let holder_body = json!({ "prompt": "the whole harbour", "max_tokens": 64, "stream": true });
+    let call = fleet.entry(OTHER).post("/v1/completions").work("single");
+    let mut holder = call.json(&holder_body).stream().await;
     assert!(holder.next_event().await.is_some());
-    let ticket = fleet.mint_for(HERE, LIFETIME_MS).await;
+    let ticket = fleet.mint_for(ORIGIN, LIFETIME_MS).await;
     let minted = Instant::now();
     let body = json!({ "prompt": "the late one", "max_tokens": 4 });
     let call = || {
-        let call = fleet.entry(HERE).post("/v1/completions").work("single");
+        let call = fleet.entry(ORIGIN).post("/v1/completions").work("single");
         call.header(TICKET_HEADER, &ticket).json(&body)
     };
     let queued = tokio::spawn(call().try_send());
     wait_until("the request is queued", async || {
-        fleet.ticket_dump(HERE).await["records"] == 1
+        fleet.ticket_dump(ORIGIN).await["records"] == 1
     })
     .await;
-    fleet.pause(HERE).await;
+    fleet.pause(ORIGIN).await;
     wait_until("the ticket's end", async || {
         minted.elapsed() > Duration::from_millis(LIFETIME_MS + 2)
     })
@@ -94,7 +94,7 @@
         fleet.counters(DECODE).await["places_used"] == 0
     })
     .await;
-    fleet.resume(HERE);
+    fleet.resume(ORIGIN);
     let reply = queued.await.unwrap().unwrap();
     // Its prompt may have been read before the freeze.
     assert!([3008, 4001].contains(&reply.code()), "{}", reply.text());
@@ -112,11 +112,11 @@
         .await;
     let relay = fleet.upstream_relay(PLAIN);
     relay.set(RelayMode::Silent);
-    let first = tokio::spawn(fleet.confirm(HERE, "first").try_send());
+    let first = tokio::spawn(fleet.confirm(ORIGIN, "first").try_send());
     wait_until("the first call is on its way", async || relay.held() > 0).await;
-    let ticket = fleet.mint_for(HERE, LIFETIME_MS).await;
+    let ticket = fleet.mint_for(ORIGIN, LIFETIME_MS).await;
     let minted = Instant::now();
-    let call = || fleet.confirm(HERE, "late").header(TICKET_HEADER, &ticket);
+    let call = || fleet.confirm(ORIGIN, "late").header(TICKET_HEADER, &ticket);
     let late = tokio::spawn(call().try_send());
     wait_until("the ticket's end", async || {
         minted.elapsed() > Duration::from_millis(LIFETIME_MS + 2)
@@ -134,19 +134,19 @@
 #[tokio::test]
 async fn a_frozen_origin_leaves_the_outcome_unknown_and_runs_no_second_time() {
     let fleet = start_ready(FleetPlan::new().entries(2).plain(1)).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     let at = |entry| fleet.confirm(entry, "slot").header(TICKET_HEADER, &ticket);
-    let call = run_and_hold(&fleet, at(THERE)).await;
-    fleet.pause(HERE).await;
+    let call = run_and_hold(&fleet, at(OTHER)).await;
+    fleet.pause(ORIGIN).await;
     let reply = call.await.unwrap().unwrap();
     assert_eq!(reply.code(), 3004, "{}", reply.text());
-    fleet.resume(HERE);
+    fleet.resume(ORIGIN);
     wait_until("the origin answers", async || {
-        let reply = at(THERE).send().await;
+        let reply = at(OTHER).send().await;
         reply.code() != 3004
     })
     .await;
-    let reply = at(HERE).send().await;
+    let reply = at(ORIGIN).send().await;
     assert!([1000, 3003].contains(&reply.code()), "{}", reply.text());
     assert_eq!(fleet.runs("slot").await, 1);
 }
@@ -156,7 +156,7 @@
     let fleet = two_zones().await;
     let ticket = fleet.mint("gijon-1").await;
     let at = |entry| fleet.confirm(entry, "slot").header(TICKET_HEADER, &ticket);
-    fleet.cut_zones("gijon", "ferrol");
+    fleet.partition_zones("gijon", "ferrol");
     let reply = at("ferrol-1").send().await;
     assert_eq!(reply.code(), 3004, "{}", reply.text());
     assert!(reply.headers.contains_key("retry-after"));
@@ -164,7 +164,7 @@
     let first = at("gijon-2").send().await;
     assert_eq!(first.code(), 1000, "{}", first.text());
     assert_eq!(at("ferrol-2").send().await.code(), 3004);
-    fleet.mend_zones("gijon", "ferrol");
+    fleet.heal_zones("gijon", "ferrol");
     wait_until("the origin is reached again", async || {
         let reply = at("ferrol-1").send().await;
         reply.code() == 1000 && reply.body == first.body
@@ -179,9 +179,9 @@
     let at = |entry| fleet.confirm(entry, "slot").header(KEY_HEADER, "key");
     let first = at("gijon-1").send().await;
     assert_eq!(first.code(), 1000, "{}", first.text());
-    fleet.cut_zones("gijon", "ferrol");
+    fleet.partition_zones("gijon", "ferrol");
     assert_eq!(at("ferrol-1").send().await.code(), 3004);
-    fleet.mend_zones("gijon", "ferrol");
+    fleet.heal_zones("gijon", "ferrol");
     wait_until("the origin is reached again", async || {
         let reply = at("ferrol-1").send().await;
         reply.code() == 1000 && reply.body == first.body
@@ -193,13 +193,13 @@
 #[tokio::test]
 async fn an_answer_that_is_lost_after_the_run_is_not_asked_for_again() {
     let fleet = start_ready(FleetPlan::new().entries(2).plain(1)).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     let at = |entry| fleet.confirm(entry, "slot").header(TICKET_HEADER, &ticket);
     let faults = json!({ "close_after_read": true });
-    fleet.faults(PLAIN, faults).await;
-    assert_eq!(at(THERE).send().await.code(), 3001);
-    fleet.faults(PLAIN, json!({})).await;
-    for entry in [HERE, THERE] {
+    fleet.set_faults(PLAIN, faults).await;
+    assert_eq!(at(OTHER).send().await.code(), 3001);
+    fleet.set_faults(PLAIN, json!({})).await;
+    for entry in [ORIGIN, OTHER] {
         assert_eq!(at(entry).send().await.code(), 3001);
     }
     assert_eq!(fleet.runs("slot").await, 1);
@@ -208,12 +208,12 @@
 #[tokio::test]
 async fn a_refused_request_stays_refused_under_its_ticket() {
     let fleet = start_ready(FleetPlan::new().entries(2).plain(1)).await;
-    let ticket = fleet.mint(HERE).await;
+    let ticket = fleet.mint(ORIGIN).await;
     let at = |entry| fleet.confirm(entry, "slot").header(TICKET_HEADER, &ticket);
-    fleet.faults(PLAIN, json!({ "refuse": true })).await;
-    assert_eq!(at(THERE).send().await.code(), 2011);
-    fleet.faults(PLAIN, json!({})).await;
-    for entry in [HERE, THERE] {
+    fleet.set_faults(PLAIN, json!({ "refuse": true })).await;
+    assert_eq!(at(OTHER).send().await.code(), 2011);
+    fleet.set_faults(PLAIN, json!({})).await;
+    for entry in [ORIGIN, OTHER] {
         assert_eq!(at(entry).send().await.code(), 2011);
     }
     assert_eq!(fleet.runs("slot").await, 0);
@@ -222,7 +222,7 @@
 /// A call that the service has run, and whose answer is held on its way back.
 async fn run_and_hold(fleet: &Fleet, call: HttpCall) -> JoinHandle<Result<CallReply, String>> {
     let relay = fleet.upstream_relay(PLAIN);
-    fleet.faults(PLAIN, json!({ "delay_ms": 400 })).await;
+    fleet.set_faults(PLAIN, json!({ "delay_ms": 400 })).await;
     let call = tokio::spawn(call.try_send());
     wait_until("the service runs it", async || {
         fleet.counters(PLAIN).await["in_progress"] == 1
@@ -233,7 +233,7 @@
         relay.held() > 0 && fleet.counters(PLAIN).await["in_progress"] == 0
     })
     .await;
-    fleet.faults(PLAIN, json!({})).await;
+    fleet.set_faults(PLAIN, json!({})).await;
     relay.set(RelayMode::Silent);
     call
 }
--- a/crates/trestlewalk/tests/promise_once_key.rs
+++ b/crates/trestlewalk/tests/promise_once_key.rs
@@ -61,7 +61,7 @@
     for (turn, entry) in ENTRIES.iter().enumerate() {
         let key = format!("lost-{turn}");
         fleet
-            .faults("platform", json!({ "lose_next_replies": 1 }))
+            .set_faults("platform", json!({ "lose_next_replies": 1 }))
             .await;
         for _ in 0..2 {
             let call = fleet.confirm(entry, &key).header(KEY_HEADER, &key);
@@ -76,12 +76,12 @@
 #[tokio::test]
 async fn with_the_platform_down_a_key_is_refused_as_not_run_and_runs_later() {
     let fleet = start().await;
-    fleet.faults("platform", json!({ "down": true })).await;
+    fleet.set_faults("platform", json!({ "down": true })).await;
     let reply = confirm(&fleet, "gijon-1").await;
     assert_eq!((reply.status.as_u16(), reply.code()), (503, 2010));
     assert!(reply.headers.contains_key("retry-after"));
     assert_eq!(fleet.runs("slot").await, 0);
-    fleet.faults("platform", json!({})).await;
+    fleet.set_faults("platform", json!({})).await;
     for entry in ENTRIES {
         assert_eq!(confirm(&fleet, entry).await.code(), 1000);
     }
@@ -94,7 +94,7 @@
     // The write takes effect, its reply is lost, and then nothing is heard of the platform.
     let relay = fleet.platform_relay("gijon-1");
     fleet
-        .faults("platform", json!({ "reply_delay_ms": 600_000 }))
+        .set_faults("platform", json!({ "reply_delay_ms": 600_000 }))
         .await;
     let call = fleet.confirm("gijon-1", "slot").header(KEY_HEADER, KEY);
     let refused = tokio::spawn(call.try_send());
@@ -105,7 +105,7 @@
     relay.set(RelayMode::Reset);
     let refused = refused.await.unwrap().unwrap();
     assert_eq!(refused.code(), 2010, "{}", refused.text());
-    fleet.faults("platform", json!({})).await;
+    fleet.set_faults("platform", json!({})).await;
     let reply = confirm(&fleet, "gijon-2").await;
     assert_eq!(reply.code(), 1000, "{}", reply.text());
     assert_eq!(fleet.runs("slot").await, 1);
--- a/crates/trestlewalk/tests/relay_close.rs
+++ b/crates/trestlewalk/tests/relay_close.rs
@@ -44,7 +44,7 @@
         (200, "answer to 0001")
     );
     assert!(busy.ends().await);
-    assert!(run.process.exit().await.success());
+    assert!(run.process.wait_exit().await.success());
 }
 
 #[tokio::test]
--- a/crates/trestlewalk/tests/serve.rs
+++ b/crates/trestlewalk/tests/serve.rs
@@ -88,21 +88,21 @@
 async fn sigterm_closes_an_idle_instance_with_exit_code_0() {
     let mut fleet = FleetPlan::new().start().await;
     fleet.terminate(ENTRY);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn sigint_closes_as_sigterm_does() {
     let mut fleet = FleetPlan::new().start().await;
     fleet.process(ENTRY).signal(Signal::INT);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn the_steps_of_a_close_come_in_their_order() {
     let mut fleet = FleetPlan::new().set("log.format=json").start().await;
     fleet.terminate(ENTRY);
-    fleet.exit(ENTRY).await;
+    fleet.wait_exit(ENTRY).await;
     let steps: Vec<String> = fleet
         .log(ENTRY)
         .lines()
--- a/crates/trestlewalk/tests/settings_fuzz.rs
+++ b/crates/trestlewalk/tests/settings_fuzz.rs
@@ -13,9 +13,9 @@
 /// One change of a line of the example.
 #[derive(Clone, Debug)]
 enum LineChange {
-    Cut(Index),
-    Double,
-    Drop,
+    Truncate(Index),
+    Duplicate,
+    Remove,
     Indent,
     Insert(Index, char),
     Value(String),
@@ -32,9 +32,9 @@
 
 fn change() -> impl Strategy<Value = LineChange> {
     prop_oneof![
-        any::<Index>().prop_map(LineChange::Cut),
-        Just(LineChange::Double),
-        Just(LineChange::Drop),
+        any::<Index>().prop_map(LineChange::Truncate),
+        Just(LineChange::Duplicate),
+        Just(LineChange::Remove),
         Just(LineChange::Indent),
         (any::<Index>(), any::<char>()).prop_map(|(at, char)| LineChange::Insert(at, char)),
         value().prop_map(LineChange::Value),
@@ -68,21 +68,21 @@
     }
     let number = at.index(lines.len());
     let line = lines[number].clone();
-    let place = |index: Index| {
-        let places: Vec<usize> = line.char_indices().map(|(place, _)| place).collect();
-        if places.is_empty() {
+    let char_start = |index: Index| {
+        let starts: Vec<usize> = line.char_indices().map(|(start, _)| start).collect();
+        if starts.is_empty() {
             return 0;
         }
-        places[index.index(places.len())]
+        starts[index.index(starts.len())]
     };
     match change {
-        LineChange::Cut(index) => lines[number].truncate(place(index)),
-        LineChange::Double => lines.insert(number, line.clone()),
-        LineChange::Drop => {
+        LineChange::Truncate(index) => lines[number].truncate(char_start(index)),
+        LineChange::Duplicate => lines.insert(number, line.clone()),
+        LineChange::Remove => {
             lines.remove(number);
         }
         LineChange::Indent => lines[number].insert_str(0, "  "),
-        LineChange::Insert(index, char) => lines[number].insert(place(index), char),
+        LineChange::Insert(index, char) => lines[number].insert(char_start(index), char),
         LineChange::Value(value) => {
             let key = line.split_inclusive(": ").next().unwrap_or_default();
             lines[number] = format!("{key}{value}");
@@ -90,13 +90,13 @@
     }
 }
 
-fn check_places(content: &[u8], faults: &[SettingsFault]) -> Result<(), TestCaseError> {
-    let breaks = content.iter().filter(|byte| **byte == b'\n').count();
-    let last = u64::try_from(breaks + 1).unwrap();
+fn check_fault_lines(content: &[u8], faults: &[SettingsFault]) -> Result<(), TestCaseError> {
+    let line_breaks = content.iter().filter(|byte| **byte == b'\n').count();
+    let last_line = u64::try_from(line_breaks + 1).unwrap();
     prop_assert!(!faults.is_empty());
     for fault in faults {
         if let FaultPlace::Line(line) = fault.place {
-            prop_assert!(line <= last, "{} of {last} lines", fault);
+            prop_assert!(line <= last_line, "{} of {last_line} lines", fault);
         }
     }
     Ok(())
@@ -108,7 +108,7 @@
     #[test]
     fn any_bytes_are_refused(content in prop::collection::vec(any::<u8>(), 0..200)) {
         let faults = parse_settings("a.yaml", &content, Vec::new()).unwrap_err();
-        check_places(&content, &faults)?;
+        check_fault_lines(&content, &faults)?;
     }
 
     #[test]
@@ -121,7 +121,7 @@
         }
         let text = lines.join("\n");
         if let Err(faults) = parse_settings("a.yaml", text.as_bytes(), Vec::new()) {
-            check_places(text.as_bytes(), &faults)?;
+            check_fault_lines(text.as_bytes(), &faults)?;
         }
     }
 
--- a/crates/trestlewalk/tests/support/answer_check.rs
+++ b/crates/trestlewalk/tests/support/answer_check.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         Fleet,
-        fleet::CallerSide,
+        fleet::CallerEndpoint,
         http_call::CallReply,
         model_work::{DONE, error_code, expected_text, long_prompt, streamed_text},
     },
@@ -17,12 +17,12 @@
     /// The codes of those that got no answer.
     pub codes: Vec<u64>,
     /// Those that got the whole answer.
-    pub whole: usize,
+    pub complete: usize,
 }
 
 /// Requests of one row, in all styles, at all entry instances.
 #[derive(Clone, Debug)]
-pub struct AnswerMix {
+pub struct RequestMix {
     /// How many.
     pub count: usize,
     /// The tokens of each answer.
@@ -31,7 +31,7 @@
     pub work: String,
 }
 
-impl AnswerMix {
+impl RequestMix {
     /// So many requests of a row.
     pub fn new(work: &str, count: usize, max_tokens: u32) -> Self {
         Self {
@@ -46,25 +46,25 @@
         let entries = fleet.entry_names();
         let mut tasks = JoinSet::new();
         for number in 0..self.count {
-            let side = fleet.entry(&entries[number % entries.len()]);
+            let endpoint = fleet.entry(&entries[number % entries.len()]);
             let mix = self.clone();
-            tasks.spawn(async move { mix.run_one(side, number).await });
+            tasks.spawn(async move { mix.run_one(endpoint, number).await });
         }
         let mut counts = AnswerCounts::default();
         while let Some(code) = tasks.join_next().await {
             match code.unwrap() {
-                1000 => counts.whole += 1,
+                1000 => counts.complete += 1,
                 code => counts.codes.push(code),
             }
         }
         counts
     }
 
-    async fn run_one(self, side: CallerSide, number: usize) -> u64 {
+    async fn run_one(self, endpoint: CallerEndpoint, number: usize) -> u64 {
         let text = long_prompt(number, 20 + number % 40);
         let stream = number / 2 % 2 == 1;
         if number.is_multiple_of(2) {
-            let call = side.completion(&self.work, &text, self.max_tokens, stream);
+            let call = endpoint.completion(&self.work, &text, self.max_tokens, stream);
             return self.check(call, &text, stream).await;
         }
         let body = json!({
@@ -72,7 +72,7 @@
             "messages": [{ "content": text, "role": "user" }],
             "stream": stream,
         });
-        let call = side
+        let call = endpoint
             .post("/v1/chat/completions")
             .work(&self.work)
             .json(&body);
@@ -83,7 +83,7 @@
     async fn check(&self, call: super::HttpCall, prompt: &str, stream: bool) -> u64 {
         let expected = expected_text(prompt, self.max_tokens);
         if !stream {
-            return check_whole(&call.send().await, &expected);
+            return check_json(&call.send().await, &expected);
         }
         let mut reply = call.stream().await;
         if reply.code() != 1000 {
@@ -95,7 +95,7 @@
 }
 
 /// Checks a whole answer: the expected text, or an error without any text. The code.
-pub fn check_whole(reply: &CallReply, expected: &str) -> u64 {
+pub fn check_json(reply: &CallReply, expected: &str) -> u64 {
     let body: Value = reply.json();
     if reply.code() != 1000 {
         assert!(body["choices"].is_null(), "{body}");
--- a/crates/trestlewalk/tests/support/fleet.rs
+++ b/crates/trestlewalk/tests/support/fleet.rs
@@ -56,8 +56,8 @@
     }
 
     /// The calls of callers at one entry instance.
-    pub fn entry(&self, name: &str) -> CallerSide {
-        CallerSide {
+    pub fn entry(&self, name: &str) -> CallerEndpoint {
+        CallerEndpoint {
             address: self.process(name).address("callers"),
         }
     }
@@ -68,12 +68,12 @@
     }
 
     /// Waits until a process ends by itself.
-    pub async fn exit(&mut self, name: &str) -> ExitStatus {
-        self.process_mut(name).exit().await
+    pub async fn wait_exit(&mut self, name: &str) -> ExitStatus {
+        self.process_mut(name).wait_exit().await
     }
 
     /// Sets the faults of a stand-in: `platform` or an upstream.
-    pub async fn faults(&self, name: &str, faults: Value) {
+    pub async fn set_faults(&self, name: &str, faults: Value) {
         let process = self.process(name);
         let call = process.post("admin", "/admin/faults").json(&faults);
         let reply = call.send().await;
@@ -92,10 +92,10 @@
     }
 
     /// Changes what the platform's list says of an instance.
-    pub async fn list_state(&self, name: &str, state: InstanceState) {
+    pub async fn set_listed_state(&self, name: &str, state: InstanceState) {
         let mut record = self.record(name);
         record.state = state;
-        self.list(&record).await;
+        self.list_instance(&record).await;
     }
 
     /// What a process wrote to standard error.
@@ -228,7 +228,7 @@
         }
     }
 
-    pub(super) async fn list(&self, record: &InstanceRecord) {
+    pub(super) async fn list_instance(&self, record: &InstanceRecord) {
         let path = format!("/instances/{}", record.name);
         let call = HttpCall::new(Method::PUT, self.platform_address(), &path);
         let reply = call.json(record).send().await;
@@ -273,12 +273,12 @@
 
 /// Calls of callers at one entry instance.
 #[derive(Clone, Copy, Debug)]
-pub struct CallerSide {
+pub struct CallerEndpoint {
     /// Where the instance answers callers.
     pub address: SocketAddr,
 }
 
-impl CallerSide {
+impl CallerEndpoint {
     /// A call with any method.
     pub fn call(&self, method: Method, path: &str) -> HttpCall {
         HttpCall::new(method, self.address, path)
--- a/crates/trestlewalk/tests/support/fleet_process.rs
+++ b/crates/trestlewalk/tests/support/fleet_process.rs
@@ -4,7 +4,7 @@
     super::{
         BINARY,
         http_call::HttpCall,
-        wait::{DEADLINE, wait_for, wait_until},
+        wait::{WAIT_TIMEOUT, wait_for, wait_until},
     },
     hyper::Method,
     rustix::process::{Pid, Signal, kill_process},
@@ -43,7 +43,7 @@
     }
 
     /// Waits until the process ends by itself.
-    pub async fn exit(&mut self) -> ExitStatus {
+    pub async fn wait_exit(&mut self) -> ExitStatus {
         let what = format!("the end of {}", self.name);
         wait_for(&what, self.child.wait()).await.unwrap()
     }
@@ -106,16 +106,16 @@
             .spawn()
             .unwrap();
         let mut lines = BufReader::new(child.stdout.take().unwrap()).lines();
-        let line = tokio::time::timeout(DEADLINE, lines.next_line()).await;
+        let line = tokio::time::timeout(WAIT_TIMEOUT, lines.next_line()).await;
         let Ok(Ok(Some(line))) = line else {
             let text = fs::read_to_string(&log).unwrap_or_default();
             panic!("{name} printed no ready line; its log:\n{text}");
         };
         let ready = serde_json::from_str(&line).unwrap();
-        let mut rest = File::options().append(true).open(&log).unwrap();
+        let mut log_file = File::options().append(true).open(&log).unwrap();
         tokio::spawn(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                writeln!(rest, "{line}").unwrap();
+                writeln!(log_file, "{line}").unwrap();
             }
         });
         Self {
--- a/crates/trestlewalk/tests/support/fleet_start.rs
+++ b/crates/trestlewalk/tests/support/fleet_start.rs
@@ -18,7 +18,7 @@
 };
 
 /// The target of a relay until the process that it stands before is there.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
+const PLACEHOLDER_TARGET: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 
 impl Fleet {
     /// Starts a new life of an entry instance that ended or was killed.
@@ -29,25 +29,25 @@
 
     /// Starts an entry instance, or a new life of one, and puts it into the platform's list.
     pub async fn start_entry(&mut self, name: &str, zone: &str) {
-        self.start_entry_behind(name, zone, RelayMode::Open, &[])
+        self.start_entry_with(name, zone, RelayMode::Open, &[])
             .await;
     }
 
     /// Starts an entry instance whose way to the platform is in a mode from the start, and whose settings name peers.
-    pub async fn start_entry_behind(
+    pub async fn start_entry_with(
         &mut self,
         name: &str,
         zone: &str,
         mode: RelayMode,
-        known: &[String],
+        known_peers: &[String],
     ) {
         let platform = TcpRelay::start(self.platform_address()).await;
         platform.set(mode);
-        let peers = UdpRelay::start(NOWHERE).await;
+        let peers = UdpRelay::start(PLACEHOLDER_TARGET).await;
         let file = format!("{name}.yaml");
         let mut settings = self.entry_settings(name, zone, platform.address());
         settings.listen.advertise = Some(peers.address());
-        settings.peers = self.known_peers(known);
+        settings.peers = self.peer_settings(known_peers);
         fs::write(
             self.folder.path().join(&file),
             serde_json::to_string(&settings).unwrap(),
@@ -66,7 +66,7 @@
             zone: zone.to_owned(),
         };
         self.entries.insert(name.to_owned(), entry);
-        self.list(&self.record(name)).await;
+        self.list_instance(&self.record(name)).await;
     }
 
     /// Starts an upstream, and puts it into the platform's list.
@@ -89,7 +89,7 @@
             state: InstanceState::Live,
             zone: zone.into(),
         };
-        self.list(&record).await;
+        self.list_instance(&record).await;
         let upstream = FleetUpstream {
             process,
             record,
@@ -98,13 +98,13 @@
         self.upstreams.insert(name.to_owned(), upstream);
     }
 
-    fn known_peers(&self, known: &[String]) -> Vec<PeerSettings> {
-        let named = known.iter().map(|name| PeerSettings {
+    fn peer_settings(&self, known_peers: &[String]) -> Vec<PeerSettings> {
+        let settings = known_peers.iter().map(|name| PeerSettings {
             address: self.fleet_entry(name).peers.address(),
             instance: name.as_str().into(),
             zone: self.fleet_entry(name).zone.as_str().into(),
         });
-        named.collect()
+        settings.collect()
     }
 
     fn entry_settings(&self, name: &str, zone: &str, platform: SocketAddr) -> EntrySettings {
--- a/crates/trestlewalk/tests/support/fleet_zones.rs
+++ b/crates/trestlewalk/tests/support/fleet_zones.rs
@@ -7,34 +7,34 @@
 
 impl Fleet {
     /// Lets nothing pass between the entry instances of two availability zones.
-    pub fn cut_zones(&self, left: &str, right: &str) {
-        self.each_way(left, right, |relay, sender| relay.block(sender));
-        self.each_way(right, left, |relay, sender| relay.block(sender));
+    pub fn partition_zones(&self, left: &str, right: &str) {
+        self.for_each_link(left, right, |relay, sender| relay.block(sender));
+        self.for_each_link(right, left, |relay, sender| relay.block(sender));
     }
 
     /// Cuts an availability zone off from all others and from the platform.
     pub fn isolate_zone(&self, zone: &str) {
-        self.switch_platform(zone, RelayMode::Silent);
+        self.set_platform_mode(zone, RelayMode::Silent);
         for other in self.other_zones(zone) {
-            self.cut_zones(zone, &other);
+            self.partition_zones(zone, &other);
         }
     }
 
     /// Joins two availability zones again.
-    pub fn mend_zones(&self, left: &str, right: &str) {
-        self.each_way(left, right, |relay, sender| relay.unblock(sender));
-        self.each_way(right, left, |relay, sender| relay.unblock(sender));
+    pub fn heal_zones(&self, left: &str, right: &str) {
+        self.for_each_link(left, right, |relay, sender| relay.unblock(sender));
+        self.for_each_link(right, left, |relay, sender| relay.unblock(sender));
     }
 
     /// Joins an isolated availability zone to all others and to the platform.
     pub fn rejoin_zone(&self, zone: &str) {
-        self.switch_platform(zone, RelayMode::Open);
+        self.set_platform_mode(zone, RelayMode::Open);
         for other in self.other_zones(zone) {
-            self.mend_zones(zone, &other);
+            self.heal_zones(zone, &other);
         }
     }
 
-    fn each_way(&self, to: &str, from: &str, act: impl Fn(&UdpRelay, SocketAddr)) {
+    fn for_each_link(&self, to: &str, from: &str, act: impl Fn(&UdpRelay, SocketAddr)) {
         for entry in self.entries.values().filter(|entry| entry.zone == to) {
             for sender in self.entries.values().filter(|entry| entry.zone == from) {
                 act(&entry.peers, sender.process.address("peers"));
@@ -48,7 +48,7 @@
         zones
     }
 
-    fn switch_platform(&self, zone: &str, mode: RelayMode) {
+    fn set_platform_mode(&self, zone: &str, mode: RelayMode) {
         for entry in self.entries.values().filter(|entry| entry.zone == zone) {
             entry.platform.set(mode);
         }
--- a/crates/trestlewalk/tests/support/member_load.rs
+++ b/crates/trestlewalk/tests/support/member_load.rs
@@ -1,7 +1,7 @@
 //! Callers that go on calling the members of a fleet while those come and go.
 
 use {
-    super::{CallReply, Fleet, HttpCall, fleet::CallerSide},
+    super::{CallReply, Fleet, HttpCall, fleet::CallerEndpoint},
     std::{
         collections::BTreeMap,
         sync::{
@@ -34,12 +34,12 @@
 
 impl LoadReport {
     /// The lost calls at all instances but one.
-    pub fn lost_beside(&self, entry: &str) -> Vec<&String> {
+    pub fn lost_except(&self, entry: &str) -> Vec<&String> {
         let others = self.lost.iter().filter(|(name, _)| *name != entry);
         others.flat_map(|(_, errors)| errors).collect()
     }
 
-    fn note(&mut self, entry: &str, result: Result<CallReply, String>) {
+    fn record(&mut self, entry: &str, result: Result<CallReply, String>) {
         let error = match result {
             Ok(reply) if reply.code() == ANSWERED => {
                 self.answered += 1;
@@ -62,9 +62,9 @@
 
 /// What the callers share: the members that a balancer would send them to.
 #[derive(Debug, Default)]
-struct LoadBoard {
+struct LoadState {
     is_over: AtomicBool,
-    members: Mutex<Vec<(String, CallerSide)>>,
+    members: Mutex<Vec<(String, CallerEndpoint)>>,
     next: AtomicUsize,
     report: Mutex<LoadReport>,
 }
@@ -72,7 +72,7 @@
 /// The running callers.
 #[derive(Debug)]
 pub struct MemberLoad {
-    board: Arc<LoadBoard>,
+    state: Arc<LoadState>,
     callers: Vec<JoinHandle<()>>,
 }
 
@@ -80,26 +80,26 @@
     /// Sends calls to one more member.
     pub fn add(&self, fleet: &Fleet, entry: &str) {
         let member = (entry.to_owned(), fleet.entry(entry));
-        self.board.members.lock().unwrap().push(member);
+        self.state.members.lock().unwrap().push(member);
     }
 
     /// How many calls were answered.
     pub fn answered(&self) -> usize {
-        self.board.report.lock().unwrap().answered
+        self.state.report.lock().unwrap().answered
     }
 
     /// Lets the running calls end; what became of all.
     pub async fn close(self) -> LoadReport {
-        self.board.is_over.store(true, Ordering::SeqCst);
+        self.state.is_over.store(true, Ordering::SeqCst);
         for caller in self.callers {
             caller.await.unwrap();
         }
-        self.board.report.lock().unwrap().clone()
+        self.state.report.lock().unwrap().clone()
     }
 
     /// Sends no more calls to a member.
     pub fn remove(&self, entry: &str) {
-        let mut members = self.board.members.lock().unwrap();
+        let mut members = self.state.members.lock().unwrap();
         members.retain(|(name, _)| name != entry);
     }
 
@@ -107,24 +107,24 @@
     pub fn start(
         fleet: &Fleet,
         callers: usize,
-        make: impl Fn(&CallerSide, usize) -> HttpCall + Clone + Send + Sync + 'static,
+        make: impl Fn(&CallerEndpoint, usize) -> HttpCall + Clone + Send + Sync + 'static,
     ) -> Self {
         let mut load = Self {
-            board: Arc::default(),
+            state: Arc::default(),
             callers: Vec::new(),
         };
         for entry in fleet.entry_names() {
             load.add(fleet, &entry);
         }
         for _ in 0..callers {
-            let caller = call_on(load.board.clone(), make.clone());
+            let caller = call_members(load.state.clone(), make.clone());
             load.callers.push(tokio::spawn(caller));
         }
         load
     }
 
     /// Waits until so many more calls were answered.
-    pub async fn wait_more(&self, count: usize) {
+    pub async fn wait_answered(&self, count: usize) {
         let target = self.answered() + count;
         super::wait_until("more calls are answered", async || {
             self.answered() >= target
@@ -133,14 +133,14 @@
     }
 }
 
-async fn call_on(board: Arc<LoadBoard>, make: impl Fn(&CallerSide, usize) -> HttpCall) {
-    while !board.is_over.load(Ordering::SeqCst) {
-        let number = board.next.fetch_add(1, Ordering::SeqCst);
-        let members = board.members.lock().unwrap().clone();
-        let (entry, side) = &members[number % members.len()];
-        let result = make(side, number).try_send().await;
+async fn call_members(state: Arc<LoadState>, make: impl Fn(&CallerEndpoint, usize) -> HttpCall) {
+    while !state.is_over.load(Ordering::SeqCst) {
+        let number = state.next.fetch_add(1, Ordering::SeqCst);
+        let members = state.members.lock().unwrap().clone();
+        let (entry, endpoint) = &members[number % members.len()];
+        let result = make(endpoint, number).try_send().await;
         let is_answered = result.is_ok();
-        board.report.lock().unwrap().note(entry, result);
+        state.report.lock().unwrap().record(entry, result);
         if !is_answered {
             // A balancer looks for another member before it tries again.
             tokio::task::yield_now().await;
--- a/crates/trestlewalk/tests/support/mod.rs
+++ b/crates/trestlewalk/tests/support/mod.rs
@@ -16,7 +16,7 @@
 //! fleet.wait_ready("gijon-1").await;
 //! let reply = fleet.entry("gijon-1").get("/services/carta/tile").send().await;
 //! fleet.pause("gijon-1").await;                // SIGSTOP; resume, terminate and kill are there too.
-//! fleet.cut_zones("gijon", "ferrol");          // mend_zones joins them again.
+//! fleet.partition_zones("gijon", "ferrol");          // heal_zones reconnects them.
 //! fleet.platform_relay("gijon-1").set(RelayMode::Silent);
 //! fleet.upstream_relay("gijon-plain-1").set(RelayMode::Slow(Duration::from_millis(50)));
 //! assert_eq!(fleet.metric("gijon-1", "peer_dropped_total", &[]).await, Some(0.0));
@@ -24,7 +24,7 @@
 //! ```
 //!
 //! Names: entry instances are `{zone}-{n}`, upstreams `{zone}-prefill-{n}`, `{zone}-decode-{n}` and `{zone}-plain-{n}`,
-//! counted from 1. Waits poll a condition and panic after [`DEADLINE`](wait::DEADLINE), which is no measure of speed.
+//! counted from 1. Waits poll a condition and panic after [`WAIT_TIMEOUT`](wait::WAIT_TIMEOUT), which is no measure of speed.
 
 #![allow(
     dead_code,
--- a/crates/trestlewalk/tests/support/model_work.rs
+++ b/crates/trestlewalk/tests/support/model_work.rs
@@ -1,7 +1,7 @@
 //! Model work at a fleet: prompts, the answers expected to them, and what engines hold.
 
 use {
-    super::{Fleet, FleetPlan, HttpCall, TABLE, fleet::CallerSide, wait_until},
+    super::{Fleet, FleetPlan, HttpCall, TABLE, fleet::CallerEndpoint, wait_until},
     fake::{LengthSpread, expected_length, expected_token},
     serde_json::{Value, json},
     std::time::{Duration, Instant},
@@ -35,10 +35,10 @@
     for event in events.iter().filter(|event| *event != DONE) {
         let chunk: Value = serde_json::from_str(event).unwrap();
         let choice = &chunk["choices"][0];
-        let part = choice["text"]
+        let piece = choice["text"]
             .as_str()
             .or(choice["delta"]["content"].as_str());
-        text.push_str(part.unwrap_or_default());
+        text.push_str(piece.unwrap_or_default());
     }
     text
 }
@@ -53,12 +53,12 @@
 }
 
 /// Durations with their middle and their worst, for the printed measurement.
-pub fn p50_and_worst(mut samples: Vec<Duration>) -> (Duration, Duration) {
+pub fn median_and_max(mut samples: Vec<Duration>) -> (Duration, Duration) {
     samples.sort();
     (samples[samples.len() / 2], samples[samples.len() - 1])
 }
 
-impl CallerSide {
+impl CallerEndpoint {
     /// A completion of a row.
     pub fn completion(&self, work: &str, prompt: &str, max_tokens: u32, stream: bool) -> HttpCall {
         let body = json!({ "max_tokens": max_tokens, "prompt": prompt, "stream": stream });
@@ -75,7 +75,7 @@
     }
 
     /// How many streams an engine holds, in any state.
-    pub async fn held(&self, engine: &str) -> usize {
+    pub async fn held_streams(&self, engine: &str) -> usize {
         let reply = self.process(engine).get("address", "/streams").send().await;
         reply.json::<Vec<Value>>().len()
     }
@@ -91,20 +91,20 @@
         let fleet = plan.start().await;
         fleet.put_table(TABLE).await;
         // An allocator that all name before all serve may be another one a moment later.
-        fleet.wait_all_serve().await;
-        fleet.wait_agreed().await;
+        fleet.wait_all_serving().await;
+        fleet.wait_allocator_agreed().await;
         fleet
     }
 
     /// The sum of a counter that has one entry a request or prompt.
-    pub async fn total(&self, upstream: &str, counter: &str) -> u64 {
+    pub async fn counter_sum(&self, upstream: &str, counter: &str) -> u64 {
         let counters = self.counters(upstream).await;
         let map = counters[counter].as_object().unwrap();
         map.values().filter_map(Value::as_u64).sum()
     }
 
     /// Waits until every entry instance knows of every other that it serves.
-    pub async fn wait_all_serve(&self) {
+    pub async fn wait_all_serving(&self) {
         let names = self.entry_names();
         for entry in &names {
             wait_until(&format!("{entry} knows that all serve"), async || {
@@ -121,7 +121,7 @@
     }
 
     /// Waits until all entry instances are ready and name one allocator.
-    pub async fn wait_agreed(&self) {
+    pub async fn wait_allocator_agreed(&self) {
         let entries = self.entry_names();
         for entry in &entries {
             self.wait_ready(entry).await;
@@ -138,11 +138,11 @@
     }
 
     /// Waits until none of the engines holds a stream. How long that took.
-    pub async fn wait_free(&self, engines: &[&str]) -> Duration {
+    pub async fn wait_idle(&self, engines: &[&str]) -> Duration {
         let started = Instant::now();
         for engine in engines {
             let what = format!("{engine} is free");
-            wait_until(&what, async || self.held(engine).await == 0).await;
+            wait_until(&what, async || self.held_streams(engine).await == 0).await;
         }
         started.elapsed()
     }
--- a/crates/trestlewalk/tests/support/relay_mode.rs
+++ b/crates/trestlewalk/tests/support/relay_mode.rs
@@ -64,7 +64,7 @@
     }
 
     /// Waits until connections are to be closed.
-    pub async fn reset(&self) {
+    pub async fn wait_reset(&self) {
         let mut receiver = self.sender.subscribe();
         if receiver
             .wait_for(|mode| *mode == RelayMode::Reset)
--- a/crates/trestlewalk/tests/support/sse_reply.rs
+++ b/crates/trestlewalk/tests/support/sse_reply.rs
@@ -14,7 +14,7 @@
 pub struct SseReply {
     body: Incoming,
     /// Whether the body ended before its last chunk.
-    pub cut: bool,
+    pub is_truncated: bool,
     /// The headers.
     pub headers: HeaderMap,
     /// The HTTP status.
@@ -42,7 +42,7 @@
         let (parts, body) = response.into_parts();
         Self {
             body,
-            cut: false,
+            is_truncated: false,
             headers: parts.headers,
             status: parts.status,
             text: String::new(),
@@ -57,7 +57,7 @@
             }
             let frame = wait_for("the next event", self.body.frame()).await?;
             let Ok(frame) = frame else {
-                self.cut = true;
+                self.is_truncated = true;
                 return None;
             };
             let Ok(data) = frame.into_data() else {
@@ -68,7 +68,7 @@
     }
 
     /// What was read and is no whole event.
-    pub fn rest(&self) -> &str {
+    pub fn remainder(&self) -> &str {
         &self.text
     }
 
--- a/crates/trestlewalk/tests/support/tcp_relay.rs
+++ b/crates/trestlewalk/tests/support/tcp_relay.rs
@@ -16,7 +16,7 @@
     },
 };
 
-const PIECE_BYTES: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
 /// A way to one process. It ends when it is dropped.
 #[derive(Debug)]
@@ -71,36 +71,36 @@
 }
 
 async fn accept_all(listener: TcpListener, target: Arc<Mutex<SocketAddr>>, switch: RelaySwitch) {
-    while let Ok((stream, _)) = listener.accept().await {
+    while let Ok((inbound, _)) = listener.accept().await {
         let target = *target.lock().unwrap();
-        tokio::spawn(pass_connection(stream, target, switch.clone()));
+        tokio::spawn(forward_connection(inbound, target, switch.clone()));
     }
 }
 
-async fn pass_connection(stream: TcpStream, target: SocketAddr, switch: RelaySwitch) {
+async fn forward_connection(inbound: TcpStream, target: SocketAddr, switch: RelaySwitch) {
     if !switch.pass().await {
         return;
     }
-    let Ok(onward) = TcpStream::connect(target).await else {
+    let Ok(outbound) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = stream.into_split();
-    let (far_read, far_write) = onward.into_split();
-    let there = copy(near_read, far_write, &switch);
-    let back = copy(far_read, near_write, &switch);
+    let (inbound_read, inbound_write) = inbound.into_split();
+    let (outbound_read, outbound_write) = outbound.into_split();
+    let forward = copy(inbound_read, outbound_write, &switch);
+    let backward = copy(outbound_read, inbound_write, &switch);
     tokio::select! {
-        () = switch.reset() => {}
-        () = async { tokio::join!(there, back); } => {}
+        () = switch.wait_reset() => {}
+        () = async { tokio::join!(forward, backward); } => {}
     }
 }
 
 async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, switch: &RelaySwitch) {
-    let mut piece = vec![0; PIECE_BYTES];
-    while let Ok(length) = from.read(&mut piece).await {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while let Ok(length) = from.read(&mut buffer).await {
         if length == 0 || !switch.pass().await {
             return;
         }
-        if to.write_all(&piece[..length]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/trestlewalk/tests/support/udp_relay.rs
+++ b/crates/trestlewalk/tests/support/udp_relay.rs
@@ -47,19 +47,19 @@
     pub async fn start(target: SocketAddr) -> Self {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         let address = socket.local_addr().unwrap();
-        let way = RelayWay {
+        let path = RelayPath {
             blocked: Arc::default(),
             socket,
             switch: RelaySwitch::new(),
             target: Arc::new(Mutex::new(target)),
         };
         let mut tasks = JoinSet::new();
-        tasks.spawn(pass_there(way.clone()));
+        tasks.spawn(forward_datagrams(path.clone()));
         Self {
             address,
-            blocked: way.blocked,
-            switch: way.switch,
-            target: way.target,
+            blocked: path.blocked,
+            switch: path.switch,
+            target: path.target,
             _tasks: tasks,
         }
     }
@@ -71,14 +71,14 @@
 }
 
 #[derive(Clone)]
-struct RelayWay {
+struct RelayPath {
     blocked: Arc<Mutex<BTreeSet<SocketAddr>>>,
     socket: Arc<UdpSocket>,
     switch: RelaySwitch,
     target: Arc<Mutex<SocketAddr>>,
 }
 
-impl RelayWay {
+impl RelayPath {
     /// Sends one datagram, or drops it; a slow one is sent later.
     async fn send(&self, socket: &Arc<UdpSocket>, sender: SocketAddr, to: SocketAddr, data: &[u8]) {
         if self.blocked.lock().unwrap().contains(&sender) {
@@ -100,34 +100,35 @@
     }
 }
 
-async fn pass_back(way: RelayWay, onward: Arc<UdpSocket>, sender: SocketAddr) {
+async fn return_datagrams(path: RelayPath, outbound: Arc<UdpSocket>, sender: SocketAddr) {
     let mut data = vec![0; DATAGRAM_BYTES];
     loop {
-        let Ok((length, _)) = onward.recv_from(&mut data).await else {
+        let Ok((length, _)) = outbound.recv_from(&mut data).await else {
             continue;
         };
-        way.send(&way.socket, sender, sender, &data[..length]).await;
+        path.send(&path.socket, sender, sender, &data[..length])
+            .await;
     }
 }
 
-async fn pass_there(way: RelayWay) {
+async fn forward_datagrams(path: RelayPath) {
     let mut data = vec![0; DATAGRAM_BYTES];
     let mut sockets: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
     let mut tasks = JoinSet::new();
     loop {
-        let Ok((length, sender)) = way.socket.recv_from(&mut data).await else {
+        let Ok((length, sender)) = path.socket.recv_from(&mut data).await else {
             continue;
         };
-        let onward = match sockets.get(&sender) {
-            Some(onward) => onward.clone(),
+        let outbound = match sockets.get(&sender) {
+            Some(outbound) => outbound.clone(),
             None => {
-                let onward = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
-                sockets.insert(sender, onward.clone());
-                tasks.spawn(pass_back(way.clone(), onward.clone(), sender));
-                onward
+                let outbound = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
+                sockets.insert(sender, outbound.clone());
+                tasks.spawn(return_datagrams(path.clone(), outbound.clone(), sender));
+                outbound
             }
         };
-        let target = *way.target.lock().unwrap();
-        way.send(&onward, sender, target, &data[..length]).await;
+        let target = *path.target.lock().unwrap();
+        path.send(&outbound, sender, target, &data[..length]).await;
     }
 }
--- a/crates/trestlewalk/tests/table_cli.rs
+++ b/crates/trestlewalk/tests/table_cli.rs
@@ -32,7 +32,7 @@
 fn every_fault_of_a_file_is_printed_and_nothing_applied() {
     let test = filled();
     let version = test.version();
-    test.take("work.csv", "no,1,0", "maybe,1,7");
+    test.edit_shown("work.csv", "no,1,0", "maybe,1,7");
     for verb in ["apply", "check", "diff"] {
         test.run(&[verb, "work.csv"])
             .exit(52)
@@ -46,12 +46,12 @@
 #[test]
 fn two_operators_change_two_rows_and_both_edits_stand() {
     let test = filled();
-    test.take(
+    test.edit_shown(
         "ilze.csv",
         "confirm,booking-app,,0,4,",
         "confirm,booking-app,,0,8,",
     );
-    test.take("juan.csv", "15min", "30min");
+    test.edit_shown("juan.csv", "15min", "30min");
     test.run(&["apply", "ilze.csv"]).exit(0);
     test.run(&["apply", "juan.csv"])
         .exit(0)
@@ -65,8 +65,8 @@
 #[test]
 fn one_row_changed_by_two_is_a_conflict_that_shows_both_values() {
     let test = filled();
-    test.take("ilze.csv", "15min", "20min");
-    test.take("juan.csv", "15min", "30min");
+    test.edit_shown("ilze.csv", "15min", "20min");
+    test.edit_shown("juan.csv", "15min", "30min");
     test.run(&["apply", "ilze.csv"]).exit(0);
     let version = test.version();
     for verb in ["diff", "apply"] {
@@ -82,8 +82,8 @@
 fn a_row_removed_by_one_and_changed_by_the_other_is_a_conflict() {
     let test = filled();
     let notes = FIRST.lines().nth(1).unwrap();
-    test.take("ilze.csv", &format!("{notes}\n"), "");
-    test.take("juan.csv", "15min", "30min");
+    test.edit_shown("ilze.csv", &format!("{notes}\n"), "");
+    test.edit_shown("juan.csv", "15min", "30min");
     test.run(&["apply", "ilze.csv"])
         .exit(0)
         .output_has("- notes  service=redactor");
@@ -98,7 +98,7 @@
     let test = filled()
         .listed_upstream("gijon", "booking-app", None)
         .listed_upstream("gijon", "redactor", Some("redactor-7b"));
-    let changed = test.take("work.csv", "200,,250ms", "200,gijon gijn,250ms");
+    let changed = test.edit_shown("work.csv", "200,,250ms", "200,gijon gijn,250ms");
     test.write("work.csv", &changed.replace("15min", "20min"));
     let output = test.run(&["diff", "work.csv"]).exit(0).output;
     let notes: Vec<&str> = output
@@ -120,7 +120,7 @@
 #[test]
 fn applying_the_same_file_again_changes_nothing() {
     let test = filled();
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.run(&["apply", "work.csv"]).exit(0);
     let version = test.version();
     test.run(&["apply", "work.csv"])
@@ -133,7 +133,7 @@
 #[test]
 fn a_refreshed_file_can_be_edited_further() {
     let test = filled();
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.run(&["apply", "--refresh", "work.csv"]).exit(0);
     let again = test.read("work.csv").replace("20min", "25min");
     test.write("work.csv", &again);
@@ -145,7 +145,7 @@
 #[test]
 fn a_reply_that_was_lost_does_not_double_the_edit() {
     let test = filled();
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.lose_replies(1);
     test.run(&["apply", "work.csv"]).exit(0);
     let history = test.run(&["history"]).exit(0).output;
@@ -171,7 +171,7 @@
 #[test]
 fn apply_prints_each_zone_as_the_edit_comes_into_force() {
     let test = filled().entry("riga-a").entry("riga-a").entry("riga-b");
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.run(&["apply", "work.csv"])
         .exit(0)
         .output_has("riga-a: in force after ")
@@ -185,7 +185,7 @@
         .entry("riga-a")
         .stuck_entry("riga-b", 7)
         .silent_entry("riga-c");
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.run(&["apply", "--wait", "300ms", "work.csv"])
         .exit(55)
         .output_has("riga-a: in force after ")
@@ -199,7 +199,7 @@
     let test = filled();
     let ahead = test.version() + 1000;
     let test = test.stuck_entry("riga-a", ahead);
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     let version = test.version();
     test.run(&["apply", "--wait", "300ms", "work.csv"])
         .exit(62)
@@ -212,7 +212,7 @@
 #[test]
 fn a_platform_that_is_down_is_said() {
     let test = filled();
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.platform().set_faults(fake::PlatformFaults {
         down: true,
         ..fake::PlatformFaults::default()
@@ -226,7 +226,7 @@
 #[test]
 fn history_tells_who_changed_what() {
     let test = filled();
-    test.take("work.csv", "15min", "20min");
+    test.edit_shown("work.csv", "15min", "20min");
     test.run(&["apply", "--author", "juan", "work.csv"]).exit(0);
     let version = test.version();
     test.run(&["history", "--limit", "1"])
--- a/crates/trestlewalk/tests/table_driver.rs
+++ b/crates/trestlewalk/tests/table_driver.rs
@@ -24,7 +24,7 @@
 
 const HEADER: &str = "work,service,model,rank,weight,limit,zones,first_token,between_tokens,patience,repeat,retries,waste";
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Rows in memory, with a count of the scans.
 #[derive(Clone)]
@@ -42,7 +42,7 @@
     }
 
     /// The same rows with a count of its own.
-    fn beside(&self) -> Self {
+    fn with_own_count(&self) -> Self {
         Self {
             rows: self.rows.clone(),
             scans: Arc::default(),
@@ -93,12 +93,12 @@
 #[tokio::test]
 async fn an_instance_that_is_one_edit_behind_does_not_scan_the_table() {
     let rows = CountedRows::new();
-    let editor = TableRepository::new(rows.beside());
+    let editor = TableRepository::new(rows.with_own_count());
     let first = edit(&editor, 1).await;
-    let board = Arc::new(CurrentTable::new());
+    let current_table = Arc::new(CurrentTable::new());
     let pool = WorkerPool::new();
     let driver = TableDriver::builder()
-        .current_table(board.clone())
+        .current_table(current_table.clone())
         .health(Arc::new(PlatformHealth::new(Arc::default()).unwrap()))
         .instance("gijon-1".into())
         .plan(plan())
@@ -107,12 +107,12 @@
         .repository(TableRepository::new(rows.clone()))
         .build();
     pool.spawn(Arc::new(driver).run_ticks());
-    wait_version(&board, first).await;
+    wait_version(&current_table, first).await;
     let scans = rows.scans();
     let mut version = first;
     for weight in 2..6 {
         version = edit(&editor, weight).await;
-        wait_version(&board, version).await;
+        wait_version(&current_table, version).await;
     }
     assert!(version > first);
     assert_eq!(rows.scans(), scans, "scans for edits");
@@ -148,9 +148,9 @@
     PollPlan::new(Instant::now(), "gijon".into(), "gijon-1".into(), settings)
 }
 
-async fn wait_version(board: &CurrentTable, version: u64) {
-    let end = Instant::now() + WAIT_LIMIT;
-    while board
+async fn wait_version(current_table: &CurrentTable, version: u64) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while current_table
         .entry()
         .is_none_or(|entry| entry.table.version < version)
     {
--- a/crates/trestlewalk/tests/table_fleet.rs
+++ b/crates/trestlewalk/tests/table_fleet.rs
@@ -16,7 +16,7 @@
 }
 
 /// Runs `trestlewalk table` with the fleet's addresses; its exit code and output.
-async fn table(fleet: &Fleet, verb: &[&str]) -> (i32, String) {
+async fn run_table(fleet: &Fleet, command: &[&str]) -> (i32, String) {
     let platform = format!("http://{}", fleet.platform_address());
     let mut instances = Vec::new();
     for entry in fleet.entry_names() {
@@ -24,34 +24,34 @@
     }
     let instances = instances.join(",");
     let mut args = vec!["table"];
-    args.extend(verb);
+    args.extend(command);
     args.extend(["--platform", &platform, "--instances", &instances]);
     let output = fleet.run(&args).await;
     (output.status, format!("{}{}", output.stdout, output.stderr))
 }
 
 /// Takes a file, changes its text and applies it.
-async fn edit(fleet: &Fleet, from: &str, to: &str, more: &[&str]) -> (i32, String) {
+async fn edit(fleet: &Fleet, from: &str, to: &str, options: &[&str]) -> (i32, String) {
     let platform = format!("http://{}", fleet.platform_address());
-    let shown = fleet.run(&["table", "show", "--platform", &platform]).await;
-    assert!(shown.stdout.contains(from), "{}", shown.stdout);
+    let shown_table = fleet.run(&["table", "show", "--platform", &platform]).await;
+    assert!(shown_table.stdout.contains(from), "{}", shown_table.stdout);
     let file = fleet.folder().join("work.csv");
-    fs::write(&file, shown.stdout.replace(from, to)).unwrap();
+    fs::write(&file, shown_table.stdout.replace(from, to)).unwrap();
     let mut args = vec!["apply", "work.csv"];
-    args.extend(more);
-    table(fleet, &args).await
+    args.extend(options);
+    run_table(fleet, &args).await
 }
 
-async fn digests(fleet: &Fleet) -> BTreeSet<String> {
-    let mut digests = BTreeSet::new();
+async fn table_digests(fleet: &Fleet) -> BTreeSet<String> {
+    let mut table_digests = BTreeSet::new();
     for entry in fleet.entry_names() {
         let reply = fleet.admin(&entry, "/table").send().await;
-        digests.insert(reply.json::<Value>()["digest"].to_string());
+        table_digests.insert(reply.json::<Value>()["digest"].to_string());
     }
-    digests
+    table_digests
 }
 
-async fn shown(fleet: &Fleet) -> String {
+async fn shown_table(fleet: &Fleet) -> String {
     let platform = format!("http://{}", fleet.platform_address());
     fleet
         .run(&["table", "show", "--platform", &platform])
@@ -59,7 +59,7 @@
         .stdout
 }
 
-async fn platform_copy(fleet: &Fleet, call: &str) {
+async fn call_platform_admin(fleet: &Fleet, call: &str) {
     let path = format!("/admin/{call}");
     let call = fleet
         .process("platform")
@@ -85,7 +85,7 @@
         assert!(output.contains(&line), "{output}");
     }
     println!("{output}");
-    assert_eq!(digests(&fleet).await.len(), 1);
+    assert_eq!(table_digests(&fleet).await.len(), 1);
 }
 
 #[tokio::test]
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn a_platform_put_back_to_an_older_copy_gets_the_accepted_edits_back() {
     let fleet = start(2).await;
-    platform_copy(&fleet, "snapshot").await;
+    call_platform_admin(&fleet, "snapshot").await;
     let (exit, output) = edit(
         &fleet,
         "tile,carta,,0,1",
@@ -124,9 +124,9 @@
     .await;
     assert_eq!(exit, 0, "{output}");
     let version = fleet.version("gijon-1").await;
-    platform_copy(&fleet, "restore").await;
+    call_platform_admin(&fleet, "restore").await;
     wait_until("the platform has the edit again", async || {
-        shown(&fleet).await.contains("tile,carta,,0,2")
+        shown_table(&fleet).await.contains("tile,carta,,0,2")
     })
     .await;
     for entry in fleet.entry_names() {
@@ -137,7 +137,7 @@
 #[tokio::test]
 async fn an_edit_on_a_platform_that_went_back_and_the_lost_one_both_stand() {
     let mut fleet = start(2).await;
-    platform_copy(&fleet, "snapshot").await;
+    call_platform_admin(&fleet, "snapshot").await;
     let (exit, output) = edit(
         &fleet,
         "tile,carta,,0,1",
@@ -146,7 +146,7 @@
     )
     .await;
     assert_eq!(exit, 0, "{output}");
-    platform_copy(&fleet, "restore").await;
+    call_platform_admin(&fleet, "restore").await;
     // Past the command line, which would wait for the write-back first.
     let fork = fleet
         .commit_table(&TABLE.replace("report,redactor,sondeo,5", "report,redactor,sondeo,6"))
@@ -155,12 +155,12 @@
     fleet.restart_entry("ferrol-2").await;
     fleet.wait_version(fork).await;
     wait_until("the platform has both edits", async || {
-        let shown = shown(&fleet).await;
-        shown.contains("tile,carta,,0,2") && shown.contains("report,redactor,sondeo,6")
+        let shown_table = shown_table(&fleet).await;
+        shown_table.contains("tile,carta,,0,2") && shown_table.contains("report,redactor,sondeo,6")
     })
     .await;
     wait_until("all instances have one table", async || {
-        digests(&fleet).await.len() == 1
+        table_digests(&fleet).await.len() == 1
     })
     .await;
 }
--- a/crates/trestlewalk/tests/table_support/mod.rs
+++ b/crates/trestlewalk/tests/table_support/mod.rs
@@ -14,7 +14,7 @@
 
 /// What an entry instance says of its table.
 #[derive(Clone)]
-enum Entry {
+enum EntryTable {
     /// Whatever the platform has.
     Follows(HttpPlatform, &'static str),
     /// One version for good.
@@ -70,13 +70,14 @@
 
     /// An instance that has the platform's table at once.
     pub(crate) fn entry(mut self, zone: &'static str) -> Self {
-        let entry = Entry::Follows(self.client(), zone);
+        let entry = EntryTable::Follows(self.client(), zone);
         self.instances.push(self.start(entry));
         self
     }
 
     pub(crate) fn stuck_entry(mut self, zone: &'static str, version: u64) -> Self {
-        self.instances.push(self.start(Entry::Stuck(version, zone)));
+        self.instances
+            .push(self.start(EntryTable::Stuck(version, zone)));
         self
     }
 
@@ -170,11 +171,11 @@
     }
 
     /// Writes `table show` to a file, changes its text, and gives the file's text.
-    pub(crate) fn take(&self, name: &str, from: &str, to: &str) -> String {
+    pub(crate) fn edit_shown(&self, name: &str, from: &str, to: &str) -> String {
         let text = self.run(&["show"]).exit(0).output;
-        let changed = text.replace(from, to);
-        self.write(name, &changed);
-        changed
+        let edited = text.replace(from, to);
+        self.write(name, &edited);
+        edited
     }
 
     pub(crate) fn version(&self) -> u64 {
@@ -188,8 +189,10 @@
         HttpPlatform::builder().address(address).build().unwrap()
     }
 
-    fn start(&self, entry: Entry) -> SocketAddr {
-        let router = Router::new().route("/table", get(tell)).with_state(entry);
+    fn start(&self, entry: EntryTable) -> SocketAddr {
+        let router = Router::new()
+            .route("/table", get(table_status))
+            .with_state(entry);
         let listener = self
             .runtime
             .block_on(TcpListener::bind("127.0.0.1:0"))
@@ -201,13 +204,13 @@
     }
 }
 
-async fn tell(State(entry): State<Entry>) -> Json<TableStatus> {
+async fn table_status(State(entry): State<EntryTable>) -> Json<TableStatus> {
     let (version, zone) = match entry {
-        Entry::Follows(platform, zone) => {
+        EntryTable::Follows(platform, zone) => {
             let head = TableRepository::new(platform).head().await.unwrap();
             (head.map_or(0, |head| head.version), zone)
         }
-        Entry::Stuck(version, zone) => (version, zone),
+        EntryTable::Stuck(version, zone) => (version, zone),
     };
     Json(TableStatus {
         cut_off_since: None,
--- a/crates/trestlewalk/tests/zones.rs
+++ b/crates/trestlewalk/tests/zones.rs
@@ -10,14 +10,14 @@
 #[tokio::test]
 async fn both_sides_of_a_cut_notice_it_and_its_end() {
     let fleet = start().await;
-    fleet.cut_zones("gijon", "ferrol");
+    fleet.partition_zones("gijon", "ferrol");
     for entry in ["gijon-1", "ferrol-1"] {
-        wait_cut(&fleet, entry, true).await;
+        wait_partition_noticed(&fleet, entry, true).await;
     }
-    fleet.mend_zones("gijon", "ferrol");
+    fleet.heal_zones("gijon", "ferrol");
     for entry in ["gijon-1", "ferrol-1"] {
-        wait_cut(&fleet, entry, false).await;
-        wait_heard(&fleet, entry, ENTRIES * ZONES.len()).await;
+        wait_partition_noticed(&fleet, entry, false).await;
+        wait_members(&fleet, entry, ENTRIES * ZONES.len()).await;
     }
 }
 
@@ -50,20 +50,23 @@
     fleet.put_table(TABLE).await;
     for entry in fleet.entry_names() {
         fleet.wait_ready(&entry).await;
-        wait_heard(&fleet, &entry, ENTRIES * ZONES.len()).await;
+        wait_members(&fleet, &entry, ENTRIES * ZONES.len()).await;
     }
     fleet
 }
 
-async fn wait_cut(fleet: &Fleet, entry: &str, cut: bool) {
-    wait_until(&format!("{entry} tells of the cut: {cut}"), async || {
-        let dump = fleet.dump(entry).await;
-        dump["peer"]["members"]["zones"][0]["cut"] == cut
-    })
+async fn wait_partition_noticed(fleet: &Fleet, entry: &str, is_partitioned: bool) {
+    wait_until(
+        &format!("{entry} tells of the cut: {is_partitioned}"),
+        async || {
+            let dump = fleet.dump(entry).await;
+            dump["peer"]["members"]["zones"][0]["cut"] == is_partitioned
+        },
+    )
     .await;
 }
 
-async fn wait_heard(fleet: &Fleet, entry: &str, count: usize) {
+async fn wait_members(fleet: &Fleet, entry: &str, count: usize) {
     wait_until(&format!("{entry} hears {count}"), async || {
         let dump = fleet.dump(entry).await;
         let heard = dump["peer"]["members"]["heard"].as_array();
