--- a/crates/trestlewalk/tests/bad_calls.rs
+++ b/crates/trestlewalk/tests/bad_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that can't be taken get a clear error with a numbered result.
+//! Invalid calls get a clear error with a numbered result code.
 
 mod support;
 
@@ -108,12 +108,12 @@
         .unwrap();
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(body.as_bytes()).await.unwrap();
-    wait_until("a place is held", async || {
+    wait_until("a decode place is used", async || {
         fleet.counters("gijon-decode-1").await["places_used"] == 1
     })
     .await;
     stream.shutdown().await.unwrap();
-    wait_until("the place is free", async || {
+    wait_until("the decode place is free", async || {
         fleet.counters("gijon-decode-1").await["places_used"] == 0
     })
     .await;
--- a/crates/trestlewalk/tests/check.rs
+++ b/crates/trestlewalk/tests/check.rs
@@ -1,10 +1,10 @@
-//! `check`, and bad input of every kind.
+//! `trestlewalk check` with valid and invalid settings and tables.
 
 mod support;
 
 use support::Test;
 
-/// Settings with the fields that have no default.
+/// Settings with only the required fields.
 const MINIMAL_SETTINGS: &str = "\
 instance: gijon-1
 zone: gijon
--- a/crates/trestlewalk/tests/close.rs
+++ b/crates/trestlewalk/tests/close.rs
@@ -100,7 +100,7 @@
     assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
-/// Tells the instance to close, and waits until it says that it is closing.
+/// Sends SIGTERM and waits until the instance reports that it is closing.
 async fn close(fleet: &Fleet) {
     fleet.terminate(ENTRY);
     wait_until("the instance is closing", async || {
@@ -111,17 +111,17 @@
     .await;
 }
 
-/// A call that was sent and is held on its way to the service, until [`release`].
+/// Sends a call that the relay in front of the service holds until [`release`].
 async fn held_call(fleet: &Fleet) -> JoinHandle<Result<CallReply, String>> {
     let relay = fleet.upstream_relay(PLAIN);
     relay.set(RelayMode::Silent);
     let call = fleet.entry(ENTRY).get("/services/carta/tile").work("tile");
     let call = tokio::spawn(call.try_send());
-    wait_until("the call is on its way", async || relay.held() > 0).await;
+    wait_until("the relay holds the call", async || relay.held() > 0).await;
     call
 }
 
-/// A stream whose first event came.
+/// Opens a stream and reads its first event.
 async fn open_stream(fleet: &Fleet) -> SseReply {
     let body = json!({ "prompt": "soundings", "max_tokens": TOKENS, "stream": true });
     let call = fleet.entry(ENTRY).post("/v1/completions").work("assist");
@@ -135,7 +135,7 @@
     fleet.upstream_relay(PLAIN).set(RelayMode::Open);
 }
 
-/// A fleet with a table, whose instance knows the service.
+/// Starts a fleet and waits until its table is in force and the service answers.
 async fn start(plan: FleetPlan) -> Fleet {
     let fleet = plan.start().await;
     fleet.put_table(TABLE).await;
--- a/crates/trestlewalk/tests/command_line.rs
+++ b/crates/trestlewalk/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line itself, and the subcommands that need no fleet.
+//! The command line and the subcommands that need no fleet.
 
 mod support;
 
@@ -204,7 +204,7 @@
         .run();
 }
 
-/// Takes one connection, reads a whole request and answers; joining it gives the request.
+/// Serves one connection: reads a request and sends `answer`. Joining the thread returns the request.
 fn answer_once(answer: &str) -> (String, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -241,7 +241,7 @@
         .unwrap()
 }
 
-/// A loopback address at which nothing listens.
+/// A loopback address on which nothing listens.
 fn dead_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
--- a/crates/trestlewalk/tests/docs.rs
+++ b/crates/trestlewalk/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages under `docs` say what the code does.
+//! The pages under `docs` match the code.
 
 mod support;
 
@@ -106,7 +106,7 @@
     }
 }
 
-/// The defaults, with one item in each list.
+/// The default settings with one item in each list.
 fn all_fields() -> Value {
     let mut settings = EntrySettings::default();
     settings
@@ -119,7 +119,7 @@
     serde_json::to_value(settings).unwrap()
 }
 
-/// Notes each field with its value; of the items of a list, one that gives the field stands for all.
+/// Collects the path and value of each field; all items of a list share one path, and a set value replaces `null`.
 fn flatten(path: &str, value: &Value, fields: &mut BTreeMap<String, String>) {
     match value {
         Value::Array(items) => {
--- a/crates/trestlewalk/tests/fleet.rs
+++ b/crates/trestlewalk/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of processes that failure tests are built on.
+//! Tests of the fleet builder itself: processes, the platform's list and relays.
 
 mod support;
 
--- a/crates/trestlewalk/tests/limits_zones.rs
+++ b/crates/trestlewalk/tests/limits_zones.rs
@@ -1,4 +1,4 @@
-//! A row's limit over availability zones.
+//! Division of a row's limit among availability zones.
 
 mod support;
 
@@ -22,7 +22,7 @@
         fleet.wait_ready(&entry).await;
     }
     wait_until(
-        "one zone answers, the other refuses by the limit",
+        "one zone answers and the other refuses because of the limit",
         async || {
             let mut codes = Vec::new();
             for entry in fleet.entry_names() {
--- a/crates/trestlewalk/tests/members_allocator.rs
+++ b/crates/trestlewalk/tests/members_allocator.rs
@@ -1,5 +1,5 @@
-//! The allocator of a cell killed and frozen under load: how soon the cell serves again, what is lost, and by how much
-//! a row's limit is overshot.
+//! Kills and freezes the allocator of a cell under load and measures how soon the cell serves again, which calls are
+//! lost and by how much a row's limit is exceeded.
 
 mod support;
 
@@ -14,8 +14,8 @@
 const ENTRIES: usize = 3;
 /// The limit of the row that is called.
 const LIMIT: u64 = 4;
-/// While a cell changes its allocator, the old one's grants run on and the new one may grant as many before it has
-/// heard of them.
+/// After a change of allocator the grants of the old one still run, and the new one may grant as many before it
+/// receives reports of them.
 const OVERSHOOT_BOUND: u64 = 2 * LIMIT;
 const PATIENT: &str = "report";
 const TOKENS: u32 = 16;
@@ -50,13 +50,13 @@
     load.remove(&allocator);
     fleet.pause(&allocator).await;
     let served = time_to_serve(&fleet, &other).await;
-    wait_until("the frozen one is held for gone", async || {
+    wait_until("the frozen allocator is taken for failed", async || {
         let metric = fleet.metric(&other, "member_gone_total", &[]).await;
         metric.unwrap_or(0.0) >= 1.0
     })
     .await;
     fleet.resume(&allocator);
-    wait_until("it takes a new life", async || {
+    wait_until("it restarts with a greater incarnation", async || {
         incarnation(&fleet, &allocator).await > incarnation_before
     })
     .await;
@@ -77,12 +77,12 @@
     );
     assert!(
         peak_before <= LIMIT,
-        "{peak_before} ran at once without any change"
+        "{peak_before} ran at once before the change of allocator"
     );
     assert!(peak_after <= OVERSHOOT_BOUND, "{peak_after} ran at once");
 }
 
-/// No prompt was decoded twice.
+/// Checks that no prompt was decoded twice.
 async fn check_no_double_decode(fleet: &Fleet) {
     let counters = fleet.counters(DECODE).await;
     let runs = counters["decode_runs_by_prompt"].as_object().unwrap();
@@ -132,7 +132,7 @@
     fleet
 }
 
-/// How long a request takes that is sent now.
+/// Sends a request and returns how long its answer takes.
 async fn time_to_serve(fleet: &Fleet, entry: &str) -> String {
     let started = Instant::now();
     let prompt = long_prompt(900_000, 20);
@@ -142,10 +142,10 @@
     format!("{:?}", started.elapsed())
 }
 
-/// Waits until every instance knows that all serve: until then the allocator may change once more.
+/// Waits until every instance sees all instances serving, because the allocator may change until then.
 async fn wait_all_serving(fleet: &Fleet) {
     for entry in fleet.entry_names() {
-        let what = format!("{entry} hears that all serve");
+        let what = format!("{entry} sees all instances serving");
         wait_until(&what, async || {
             serving_count(fleet, &entry).await == ENTRIES
         })
@@ -153,7 +153,7 @@
     }
 }
 
-/// How many members take requests, as an entry instance hears.
+/// Number of members in state `serving`, as an entry instance sees them.
 async fn serving_count(fleet: &Fleet, entry: &str) -> usize {
     let dump = fleet.dump(entry).await;
     let heard = dump["peer"]["members"]["heard"].as_array().unwrap();
--- a/crates/trestlewalk/tests/members_outage.rs
+++ b/crates/trestlewalk/tests/members_outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the platform: instances started and replaced during one, its return, and zones cut off.
+//! Platform outages: instances started and replaced during an outage, the recovery, and zones cut off.
 
 mod support;
 
@@ -9,9 +9,9 @@
     trestlewalk::admin::ReadyReply,
 };
 
-/// Reads that one instance may make within a second of the platform's return: its list, and head and row as a poller.
+/// Bound on the reads of one instance within a second of the recovery: its list, and head and row as a poller.
 const MAX_READS_PER_INSTANCE: u64 = 5;
-/// Reads for each instance after which the watch over the platform's return ends: several seconds of polls.
+/// Reads per instance after which counting ends; they take several seconds of polls.
 const WATCHED_READS_PER_INSTANCE: u64 = 12;
 /// The window in which reads are counted.
 const WINDOW: Duration = Duration::from_secs(1);
@@ -47,7 +47,7 @@
         ready.reasons.get("table").map(|text| &**text),
         Some("no table yet")
     );
-    wait_until("it says that the platform is silent", async || {
+    wait_until("it reports that the platform is silent", async || {
         is_cut_off(&fleet, "gijon-1").await
     })
     .await;
@@ -115,7 +115,7 @@
     let fleet = start(&ZONES, 2).await;
     fleet.isolate_zone("gijon");
     for entry in ["gijon-1", "gijon-2"] {
-        let what = format!("{entry} says that it is cut off");
+        let what = format!("{entry} reports that it is cut off");
         wait_until(&what, async || is_cut_off(&fleet, entry).await).await;
         check_served(&fleet, entry).await;
     }
@@ -131,7 +131,7 @@
         started.elapsed()
     );
     for entry in ["gijon-1", "gijon-2"] {
-        let what = format!("{entry} is cut off no more");
+        let what = format!("{entry} is no longer cut off");
         wait_until(&what, async || !is_cut_off(&fleet, entry).await).await;
         check_served(&fleet, entry).await;
     }
@@ -142,14 +142,14 @@
     reply.json::<Value>()["cut_off_since"] != json!(null)
 }
 
-/// Sets the ways of all entry instances to the platform.
+/// Sets the mode of the platform relays of all entry instances.
 fn set_platform_mode(fleet: &Fleet, mode: RelayMode) {
     for entry in fleet.entry_names() {
         fleet.platform_relay(&entry).set(mode);
     }
 }
 
-/// The most reads that the platform counted within a window, until it has counted so many more.
+/// Waits until the platform has counted `count` more reads and returns the greatest number of reads within one window.
 async fn peak_reads(fleet: &Fleet, count: u64) -> u64 {
     let reads_before = reads(fleet).await;
     let mut samples = vec![(Instant::now(), reads_before)];
@@ -193,7 +193,7 @@
 }
 
 async fn wait_members(fleet: &Fleet, entry: &str, count: usize) {
-    wait_until(&format!("{entry} hears {count}"), async || {
+    wait_until(&format!("{entry} hears {count} members"), async || {
         let dump = fleet.dump(entry).await;
         let heard = dump["peer"]["members"]["heard"].as_array();
         heard.is_some_and(|heard| heard.len() == count)
--- a/crates/trestlewalk/tests/members_replaced.rs
+++ b/crates/trestlewalk/tests/members_replaced.rs
@@ -1,4 +1,4 @@
-//! All entry instances of an availability zone replaced one after the other under load.
+//! A rolling replacement of all entry instances of an availability zone under load loses no request.
 
 mod support;
 
@@ -32,7 +32,7 @@
             load.wait_answered(CALLERS).await;
         }
         fleet.terminate(&old);
-        wait_until("the old one is not ready", async || {
+        wait_until("the old instance is not ready", async || {
             let reply = fleet.admin(&old, "/ready").try_send().await;
             reply.is_ok_and(|reply| reply.status.as_u16() == 503)
         })
--- a/crates/trestlewalk/tests/members_table.rs
+++ b/crates/trestlewalk/tests/members_table.rs
@@ -1,4 +1,4 @@
-//! The spread of the table among members of which some do not poll the platform.
+//! Propagation of the table among members, some of which do not poll the platform.
 
 mod support;
 
@@ -20,7 +20,7 @@
     fleet
         .put_table(&TABLE.replace("tile,carta,,0,1", "tile,carta,,0,2"))
         .await;
-    // From here on the holder reads nothing of the platform itself.
+    // From here on the holder can't read the platform itself.
     fleet.platform_relay(&holder).set(RelayMode::Silent);
     fleet.pause(&holder).await;
     let mut others = fleet.entry_names();
@@ -55,15 +55,15 @@
 async fn an_instance_without_polls_knows_whether_the_platform_answers_the_others() {
     let fleet = start().await;
     let entry = non_polling_entry(&fleet);
-    // Its own way to the platform is cut: what it knows comes from its peers.
+    // Its own connection to the platform is blocked, so all it knows comes from its peers.
     fleet.platform_relay(&entry).set(RelayMode::Silent);
-    wait_until("it is no poller", async || {
+    wait_until("it is not a poller", async || {
         platform_dump(&fleet, &entry).await["poller"] == false
     })
     .await;
     for _ in 0..3 {
         let mut before = silent_ms(&fleet, &entry).await;
-        wait_until("a word comes by way of a peer", async || {
+        wait_until("a peer reports an answer of the platform", async || {
             let silent = silent_ms(&fleet, &entry).await;
             std::mem::replace(&mut before, silent) > silent
         })
@@ -71,7 +71,7 @@
     }
     fleet.set_faults("platform", json!({ "down": true })).await;
     for name in fleet.entry_names() {
-        let what = format!("{name} says that it is cut off");
+        let what = format!("{name} reports that it is cut off");
         wait_until(&what, async || cut_off_since(&fleet, &name).await.is_some()).await;
         assert!(
             fleet
@@ -83,7 +83,7 @@
     }
     fleet.set_faults("platform", json!({ "down": false })).await;
     for name in fleet.entry_names() {
-        let what = format!("{name} says that it is cut off no more");
+        let what = format!("{name} reports that it is no longer cut off");
         wait_until(&what, async || cut_off_since(&fleet, &name).await.is_none()).await;
         assert!(fleet.log(&name).contains("the platform is heard again"));
     }
@@ -114,7 +114,7 @@
     assert!(reply.status.is_success(), "{path}: {}", reply.text());
 }
 
-/// The entry instance that does not poll while the two others live.
+/// The entry instance that does not poll while the two others are alive: the lowest score by rendezvous hashing.
 fn non_polling_entry(fleet: &Fleet) -> String {
     let names = fleet.entry_names().into_iter();
     let entry = names.min_by_key(|name| (rendezvous_score(ZONE, name), name.clone()));
@@ -143,7 +143,7 @@
 }
 
 async fn wait_members(fleet: &Fleet, entry: &str) {
-    wait_until(&format!("{entry} hears all"), async || {
+    wait_until(&format!("{entry} hears all members"), async || {
         let dump = fleet.dump(entry).await;
         let heard = dump["peer"]["members"]["heard"].as_array();
         heard.is_some_and(|heard| heard.len() == ENTRIES)
--- a/crates/trestlewalk/tests/promise_answers.rs
+++ b/crates/trestlewalk/tests/promise_answers.rs
@@ -1,4 +1,5 @@
-//! Each caller gets the whole answer to its own request, or an error; never a part, a repeat or another's tokens.
+//! Each caller gets the complete answer to its own request or an error, and never a truncated answer presented as
+//! complete, duplicated tokens or tokens of another request.
 
 mod support;
 
@@ -16,7 +17,7 @@
 const ENTRY: &str = "gijon-1";
 const ONCE: &str = "single";
 const PATIENT: &str = "report";
-/// A decode engine that joins later.
+/// A decode engine that is started during a test.
 const SPARE_ENGINE: &str = "gijon-decode-3";
 const PREFILL_ENGINES: [&str; 2] = ["gijon-prefill-1", "gijon-prefill-2"];
 
@@ -46,7 +47,7 @@
     counts
 }
 
-/// The decode engine that holds streams; waits until one does.
+/// Waits until a decode engine has generated more than 20 tokens and returns it.
 async fn busy_engine(fleet: &Fleet) -> &'static str {
     let mut busy = None;
     wait_until("a decode engine is busy", async || {
@@ -116,7 +117,7 @@
     };
     let (counts, ()) = tokio::join!(mix.run(&fleet), resets);
     println!("answers: reset in mid-stream: {counts:?}");
-    // A decode call whose answer had not begun may be lost with its connection.
+    // A decode call whose answer has not begun may be lost with its connection.
     assert!(counts.codes.iter().all(|code| *code >= 3000), "{counts:?}");
     assert!(counts.complete >= 12, "{counts:?}");
 }
@@ -133,7 +134,7 @@
         .into_iter()
         .find(|other| *other != engine)
         .unwrap();
-    wait_until("another attempt", async || {
+    wait_until("the other engine runs another attempt", async || {
         fleet.counter_sum(other, "decode_runs").await == 1
     })
     .await;
@@ -174,7 +175,7 @@
     }
     events.extend(stream.all_events().await);
     let code = check_stream(&events, &expected);
-    assert_eq!(code, 3003, "a stream that began is cut");
+    assert_eq!(code, 3003, "a stream that had begun ends with an error");
     assert_eq!(check_json(&once.await.unwrap(), &expected), 3003);
     let reply = repeatable.await.unwrap();
     assert_eq!(check_json(&reply, &expected), 1000, "{}", reply.text());
@@ -188,7 +189,7 @@
     let endpoint = fleet.entry(ENTRY);
     let repeatable = tokio::spawn(endpoint.completion(PATIENT, &prompt, 8, false).send());
     let once = tokio::spawn(endpoint.completion(ONCE, &prompt, 8, false).send());
-    wait_until("both KV caches wait", async || {
+    wait_until("both KV caches wait at the prefill engines", async || {
         let mut held = 0;
         for engine in PREFILL_ENGINES {
             held += fleet.held_streams(engine).await;
--- a/crates/trestlewalk/tests/promise_close.rs
+++ b/crates/trestlewalk/tests/promise_close.rs
@@ -1,4 +1,4 @@
-//! A graceful close cuts nothing off; what a forced one cuts off is counted.
+//! A graceful close lets running and queued requests finish; a forced close counts the requests that it cuts off.
 
 mod support;
 
@@ -15,14 +15,14 @@
 
 const CLOSING_CODE: u16 = 2008;
 const CUT_CODE: u16 = 3006;
-/// The exit code of results 3xxx.
+/// The exit code of result codes 3xxx.
 const CUT_EXIT_STATUS: i32 = 30;
 const DECODE: &str = "gijon-decode-1";
 const ENGINES: [&str; 2] = ["gijon-prefill-1", DECODE];
 const PATIENT: &str = "report";
 const TOKENS: u32 = 200;
 
-/// Two decode places for all, so that most requests wait.
+/// A fleet with two decode places, so that most requests are queued.
 fn plan() -> FleetPlan {
     FleetPlan::new()
         .entries(3)
@@ -33,7 +33,8 @@
         .engine_set("decode_slope_us=100")
 }
 
-/// Starts requests at an entry instance, streamed and whole in turns; each task checks its answer and gives the code.
+/// Starts requests at an entry instance, alternately streamed and not; each task checks its answer and returns the
+/// code.
 fn start_requests(fleet: &Fleet, entry: &str, numbers: std::ops::Range<usize>) -> JoinSet<u64> {
     let endpoint = fleet.entry(entry);
     let mut tasks = JoinSet::new();
@@ -57,7 +58,7 @@
 }
 
 async fn wait_mixed(fleet: &Fleet, entry: &str) {
-    wait_until("some decode and some wait", async || {
+    wait_until("some requests decode and some are queued", async || {
         let dump = fleet.dump(entry).await;
         let requests = &dump["flow"]["requests"];
         requests["decoding"].as_u64() > Some(0) && requests["queued"].as_u64() > Some(1)
@@ -66,7 +67,7 @@
 }
 
 async fn wait_closing(fleet: &Fleet, entry: &str) {
-    wait_until("it closes", async || {
+    wait_until("the instance is closing", async || {
         let reply = fleet.admin(entry, "/ready").try_send().await;
         reply.is_ok_and(|reply| reply.text().contains("closing"))
     })
@@ -108,7 +109,7 @@
     assert_eq!(
         send_short_request(fleet, &other).await.unwrap().code(),
         1000,
-        "the others go on"
+        "the other instances keep serving"
     );
     fleet.wait_idle(&ENGINES).await;
 }
@@ -170,11 +171,14 @@
     let second = endpoint.completion(PATIENT, "stays too", TOKENS, false);
     let second = tokio::spawn(second.send());
     let third = tokio::spawn(endpoint.completion(PATIENT, "waits", TOKENS, false).send());
-    wait_until("two hold the places, one waits", async || {
-        let dump = fleet.dump("gijon-1").await;
-        let requests = &dump["flow"]["requests"];
-        requests["transferring"] == 2 && requests["queued"] == 1
-    })
+    wait_until(
+        "two requests hold the decode places and one is queued",
+        async || {
+            let dump = fleet.dump("gijon-1").await;
+            let requests = &dump["flow"]["requests"];
+            requests["transferring"] == 2 && requests["queued"] == 1
+        },
+    )
     .await;
     fleet.terminate("gijon-1");
     let mut codes = Vec::new();
--- a/crates/trestlewalk/tests/promise_engine_gone.rs
+++ b/crates/trestlewalk/tests/promise_engine_gone.rs
@@ -1,4 +1,4 @@
-//! A request whose decode engine is held for gone while it is called is answered all the same.
+//! A request is answered although its decode engine is taken for failed during the call to it.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 const DECODE: &str = "gijon-decode-1";
 const ENTRY: &str = "gijon-1";
-/// Longer than an engine that gives no load report counts as there.
+/// Longer than the time after which an engine without load reports is taken for failed.
 const ENGINE_SILENCE: Duration = Duration::from_secs(8);
 
 async fn start() -> Fleet {
@@ -24,7 +24,8 @@
     Fleet::serving(plan).await
 }
 
-// Guards against a request that its allocator forgot with the engine, and that waited for a decode place for ever.
+// Guards against a request that waits forever for a decode place: the allocator dropped the request together with the
+// engine, and the engine then refused the call.
 #[tokio::test]
 async fn a_request_that_an_engine_refuses_after_it_was_held_for_gone_is_answered() {
     for (at, work) in ["single", "report"].into_iter().enumerate() {
--- a/crates/trestlewalk/tests/promise_leaving.rs
+++ b/crates/trestlewalk/tests/promise_leaving.rs
@@ -1,4 +1,5 @@
-//! An upstream that is leaving gets no new work after a few seconds, whoever says that it leaves.
+//! A leaving upstream gets no new work after a few seconds, whether the platform's list or the engine itself reports
+//! it.
 
 mod support;
 
@@ -26,12 +27,12 @@
     Fleet::serving(plan).await
 }
 
-/// Waits until every entry instance takes the upstreams for leaving. How long that took.
+/// Waits until every entry instance marks the upstreams as leaving and returns how long that took.
 async fn wait_known_leaving(fleet: &Fleet, upstreams: &[&str]) -> Duration {
     let started = Instant::now();
     for entry in fleet.entry_names() {
         for upstream in upstreams {
-            let what = format!("{entry} knows that {upstream} leaves");
+            let what = format!("{entry} marks {upstream} as leaving");
             wait_until(&what, async || {
                 let dump = fleet.dump(&entry).await;
                 dump["flow"]["upstreams"][*upstream]["leaving"].is_string()
@@ -42,14 +43,14 @@
     started.elapsed()
 }
 
-/// What an upstream was asked to do so far: runs and refusals.
+/// Counts of all runs and refusals of an upstream so far.
 async fn work_counters(fleet: &Fleet, upstream: &str) -> Value {
     let counters = fleet.counters(upstream).await;
     let fields = ["decode_runs", "prefill_runs", "refused", "runs"];
     fields.map(|field| counters[field].clone()).into()
 }
 
-/// Sends work of all kinds through all entry instances; all of it has to be answered.
+/// Sends plain and model requests through all entry instances and checks that all are answered.
 async fn send_work(fleet: &Fleet) {
     let mut tasks = JoinSet::new();
     for number in 0..REQUESTS {
@@ -63,7 +64,7 @@
     assert_eq!(tasks.join_all().await, [1000; REQUESTS]);
 }
 
-/// Whether a round of work of all kinds leaves the upstreams alone.
+/// Sends a round of requests; whether none reached the upstreams.
 async fn receive_no_work(fleet: &Fleet, upstreams: &[&str]) -> bool {
     let mut before = Vec::new();
     for upstream in upstreams {
@@ -78,13 +79,14 @@
     true
 }
 
-/// The allocator hears of a mark with the next load reports, so that the first round may still reach the upstreams; once
-/// one does not, none does.
+/// Checks that the upstreams get no more work once one round has not reached them. Earlier rounds may, because the
+/// allocator receives a mark only with the next load reports.
 async fn check_no_new_work(fleet: &Fleet, upstreams: &[&str]) {
     let started = Instant::now();
-    wait_until("a round that leaves them alone", async || {
-        receive_no_work(fleet, upstreams).await
-    })
+    wait_until(
+        "a round that does not reach the leaving upstreams",
+        async || receive_no_work(fleet, upstreams).await,
+    )
     .await;
     println!(
         "leaving: a whole round without new work {:?} after that",
@@ -147,7 +149,10 @@
     let fleet = start().await;
     let mix = RequestMix::new("report", REQUESTS, 300);
     let leaving = async {
-        wait_until("it works", async || fleet.held_streams(DECODE).await > 0).await;
+        wait_until("the engine holds a stream", async || {
+            fleet.held_streams(DECODE).await > 0
+        })
+        .await;
         for upstream in LEAVING_UPSTREAMS {
             fleet
                 .set_listed_state(upstream, InstanceState::Leaving)
@@ -160,7 +165,7 @@
     for upstream in LEAVING_UPSTREAMS {
         fleet.set_listed_state(upstream, InstanceState::Live).await;
     }
-    wait_until("it works again", async || {
+    wait_until("the engine gets work again", async || {
         let before = work_counters(&fleet, DECODE).await;
         send_work(&fleet).await;
         work_counters(&fleet, DECODE).await != before
--- a/crates/trestlewalk/tests/promise_limits.rs
+++ b/crates/trestlewalk/tests/promise_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of plain rows hold over all entry instances.
+//! The limit of a plain row holds across all entry instances.
 
 mod support;
 
@@ -29,7 +29,7 @@
     fleet.put_table(ROWS).await;
     for entry in fleet.entry_names() {
         fleet.wait_ready(&entry).await;
-        wait_until("all members are up", async || {
+        wait_until("the limit is divided among three members", async || {
             let dump = fleet.dump(&entry).await;
             dump["flow"]["limit_members"] == 3
         })
@@ -38,7 +38,8 @@
     fleet
 }
 
-/// Sends as many requests to each entry instance at once. How many got which code; each refusal names when to come back.
+/// Sends `per_entry` concurrent requests to each entry instance and counts the result codes. Each refusal must carry
+/// `retry-after`.
 async fn send(fleet: &Fleet, work: &'static str, per_entry: usize) -> BTreeMap<u16, usize> {
     let mut tasks = JoinSet::new();
     for entry in fleet.entry_names() {
--- a/crates/trestlewalk/tests/promise_memory.rs
+++ b/crates/trestlewalk/tests/promise_memory.rs
@@ -1,6 +1,6 @@
-//! Engine memory is never held for a caller that is gone, however far its request has come.
+//! Engine memory is freed after a caller disconnects in any phase of its request.
 //!
-//! The stand-ins keep streams whose connection is gone, so that nothing but the router's own cancel frees them.
+//! The stand-ins keep streams whose connection is closed, so that only a cancel from the router frees them.
 
 mod support;
 
@@ -20,7 +20,7 @@
 const ENTRY: &str = "gijon-1";
 const PREFILL: &str = "gijon-prefill-1";
 const PATIENT: &str = "report";
-/// More tokens than any test waits for.
+/// More tokens than a stream generates during any test.
 const UNREACHED_TOKENS: u32 = 4000;
 const ROUNDS: usize = 8;
 
@@ -34,7 +34,7 @@
         .engine_set("keep_on_disconnect=true")
 }
 
-/// A caller that waits for its answer; aborting it closes its connection.
+/// Starts a caller that waits for its answer; aborting the task closes its connection.
 fn start_caller(fleet: &Fleet, entry: &str, number: usize, tokens: usize) -> JoinHandle<()> {
     let prompt = long_prompt(number, tokens);
     let call = fleet
@@ -60,7 +60,7 @@
     wait_until(&what, async || fleet.in_phase(entry, phase).await == count).await;
 }
 
-/// Drops a caller that is in a phase, several times, and prints how long the engines held on.
+/// Disconnects a caller in a phase, [`ROUNDS`] times, and prints how long the engines took to free its streams.
 async fn measure_disconnects(fleet: &Fleet, phase: &str, tokens: usize) {
     let mut samples = Vec::new();
     for round in 0..ROUNDS {
@@ -108,7 +108,7 @@
     for round in 0..ROUNDS {
         let caller = start_caller(&fleet, ENTRY, round, 50);
         let refused = fleet.counters(DECODE).await["refused"]["full"].as_u64();
-        wait_until("a refusal with the KV cache read", async || {
+        wait_until("a refusal while the KV cache waits", async || {
             let now = fleet.counters(DECODE).await["refused"]["full"].as_u64();
             now > refused && fleet.held_streams(PREFILL).await == 1
         })
@@ -159,11 +159,14 @@
         wait_phase(&fleet, ENTRY, phase, 1).await;
         caller.abort();
         wait_phase(&fleet, ENTRY, phase, 0).await;
-        // A decode call that comes late may find its KV cache cancelled already.
-        wait_until("the late call is taken, and ended", async || {
-            let counters = fleet.counters(engine).await;
-            counters["cancelled"] == 1 || counters["refused"]["evicted"] == 1
-        })
+        // A late decode call may find its KV cache already cancelled.
+        wait_until(
+            "the late call is accepted and cancelled, or refused",
+            async || {
+                let counters = fleet.counters(engine).await;
+                counters["cancelled"] == 1 || counters["refused"]["evicted"] == 1
+            },
+        )
         .await;
         fleet.wait_idle(&ENGINES).await;
         fleet.set_faults(engine, json!({})).await;
@@ -174,7 +177,7 @@
 #[tokio::test]
 async fn a_call_that_is_held_up_on_its_way_leaves_nothing_behind() {
     let fleet = Fleet::serving(plan()).await;
-    // Before its first answer the allocator may not know the engine yet, and would refuse.
+    // The allocator may not know the engine before a first answer, and would refuse the request.
     check_short_request(&fleet, ENTRY).await;
     fleet.upstream_relay(DECODE).set(RelayMode::Silent);
     let caller = start_caller(&fleet, ENTRY, 0, 50);
@@ -200,7 +203,7 @@
     fleet.wait_idle(&ENGINES).await;
 }
 
-/// A short request is answered whole: nothing is stuck.
+/// Checks that a short request is answered, so nothing is stuck.
 async fn check_short_request(fleet: &Fleet, entry: &str) {
     let call = fleet
         .entry(entry)
--- a/crates/trestlewalk/tests/promise_memory_dead.rs
+++ b/crates/trestlewalk/tests/promise_memory_dead.rs
@@ -1,4 +1,4 @@
-//! Engine memory is freed when the entry instance that held it is dead or frozen, with the allocator too.
+//! Engine memory is freed after the entry instance that held it, or the allocator as well, is killed or frozen.
 
 mod support;
 
@@ -16,7 +16,7 @@
 const ENGINES: [&str; 2] = [PREFILL, DECODE];
 const PATIENT: &str = "report";
 const PREFILL: &str = "gijon-prefill-1";
-/// Tokens that take longer to read than any test runs.
+/// Length of a prompt whose prefill takes longer than any test.
 const LONG_PROMPT_TOKENS: usize = 20_000;
 
 async fn start() -> Fleet {
@@ -53,7 +53,7 @@
     let caller = tokio::spawn(async move {
         let _ = call.try_send().await;
     });
-    wait_until("the prompt is being read", async || {
+    wait_until("the prompt is being prefilled", async || {
         fleet.held_streams(PREFILL).await == 1
     })
     .await;
@@ -92,7 +92,7 @@
     let other = open_stream(&fleet, &others[0], 1).await;
     fleet.kill(&allocator).await;
     let started = std::time::Instant::now();
-    wait_until("the dead one's stream is freed", async || {
+    wait_until("the stream of the killed allocator is freed", async || {
         fleet.held_streams(DECODE).await == 1
     })
     .await;
--- a/crates/trestlewalk/tests/promise_not_run.rs
+++ b/crates/trestlewalk/tests/promise_not_run.rs
@@ -1,4 +1,5 @@
-//! "Not run" is true, and what may not be repeated runs at most once: plain services.
+//! Plain services: a request that is answered as not run did not run, and one that must not be repeated runs at most
+//! once.
 
 mod support;
 
@@ -14,7 +15,7 @@
 const REPLICAS: [&str; 2] = ["gijon-plain-1", "gijon-plain-2"];
 const BATCH: usize = 40;
 
-/// The code of each request by its key; 0 when the caller's connection was lost.
+/// The result code of each request by its run key; 0 when the caller's connection was lost.
 type Codes = BTreeMap<String, u16>;
 
 async fn start(delay_ms: u32) -> Fleet {
@@ -31,7 +32,7 @@
     fleet
 }
 
-/// Sends a batch at once over all entry instances.
+/// Sends a concurrent batch over all entry instances.
 async fn send_batch(fleet: &Fleet, work: &'static str, batch: &str) -> Codes {
     let entries = fleet.entry_names();
     let mut tasks = JoinSet::new();
@@ -61,7 +62,7 @@
     runs
 }
 
-/// Sends a batch of calls without a body, which may be sent again.
+/// Sends a sequential batch of calls without a body, which may be retried.
 async fn send_gets(fleet: &Fleet, batch: &str) -> Codes {
     let entries = fleet.entry_names();
     let mut codes = Codes::new();
@@ -75,7 +76,7 @@
     codes
 }
 
-/// Compares every code with what the replicas counted.
+/// Compares every result code with the runs that the replicas counted.
 async fn check_codes(fleet: &Fleet, what: &str, work: &str, codes: &Codes) {
     let runs = runs(fleet, &REPLICAS).await;
     let mut tally: BTreeMap<(u16, u64), u32> = BTreeMap::new();
@@ -176,7 +177,7 @@
     let mut fleet = start(400).await;
     let sending = send_batch(&fleet, ONCE, "killed");
     let killing = async {
-        wait_until("the first replica works", async || {
+        wait_until("the first replica runs calls", async || {
             fleet.counters(REPLICAS[0]).await["runs"].as_u64() > Some(5)
         })
         .await;
@@ -206,7 +207,10 @@
             .header("x-run-key", &key);
         tasks.spawn(async move { (key, call.try_send().await.map_or(0, |reply| reply.code())) });
     }
-    wait_until("some run", async || runs(&fleet, &REPLICAS).await.len() > 5).await;
+    wait_until("some calls run", async || {
+        runs(&fleet, &REPLICAS).await.len() > 5
+    })
+    .await;
     fleet.kill("gijon-1").await;
     let codes: Codes = tasks.join_all().await.into_iter().collect();
     check_codes(&fleet, "entry killed", ONCE, &codes).await;
--- a/crates/trestlewalk/tests/promise_not_run_model.rs
+++ b/crates/trestlewalk/tests/promise_not_run_model.rs
@@ -1,4 +1,5 @@
-//! "Not run" is true, and what may not be repeated runs at most once: model engines.
+//! Model engines: a request that is answered as not run did not run, and one that must not be repeated runs at most
+//! once.
 
 mod support;
 
@@ -31,7 +32,7 @@
     Fleet::serving(plan).await
 }
 
-/// The code of each request by its number, in a stream or whole; 0 when the caller's connection was lost.
+/// The result code of each request by its number; 0 when the caller's connection was lost.
 async fn send_batch(fleet: &Fleet, work: &str, first: usize) -> BTreeMap<usize, u16> {
     let entries = fleet.entry_names();
     let mut tasks = JoinSet::new();
@@ -47,7 +48,7 @@
     tasks.join_all().await.into_iter().collect()
 }
 
-/// Decode runs of one prompt over all engines.
+/// Number of decode runs of one prompt over all engines.
 async fn decode_runs(fleet: &Fleet, number: usize) -> u64 {
     let digits = prompt_digits(&long_prompt(number, 20));
     let mut runs = 0;
@@ -60,7 +61,7 @@
     runs
 }
 
-/// The digits of a prompt's hash: the beginning of every token of its answer.
+/// The digits of a prompt's hash, with which every token of its answer begins.
 fn prompt_digits(prompt: &str) -> String {
     let token = fake::expected_token(prompt, 0).to_string();
     token.split('-').next().unwrap().to_owned()
@@ -74,7 +75,7 @@
     runs
 }
 
-/// Compares a batch's codes with the engines' counters.
+/// Compares the result codes of a batch with the counters of the engines.
 async fn check_codes(
     fleet: &Fleet,
     what: &str,
@@ -103,10 +104,10 @@
     let max_prefills = (codes.len() - not_run) as u64;
     assert!(
         work != ONCE || prefills <= max_prefills,
-        "{what}: {prefills} readings of {max_prefills}"
+        "{what}: {prefills} prefills, expected at most {max_prefills}"
     );
     println!(
-        "once: {what}, {work}: (code, decode runs) = requests: {tally:?}, {prefills} readings"
+        "once: {what}, {work}: (code, decode runs) = requests: {tally:?}, {prefills} prefills"
     );
 }
 
@@ -213,7 +214,7 @@
     reply.all_events().await;
     assert!(
         reply.is_truncated,
-        "the caller sees that the stream was cut"
+        "the caller sees that the stream was truncated"
     );
     let engines = [DECODE_ENGINES, PREFILL_ENGINES].concat();
     fleet.wait_idle(&engines).await;
@@ -234,7 +235,7 @@
         assert_eq!(reply.code(), 2004, "{}", reply.text());
         assert!(reply.headers.contains_key("retry-after"));
     }
-    wait_until("nothing is held", async || {
+    wait_until("the instance holds no request", async || {
         fleet.dump("gijon-1").await["flow"]["requests"] == json!({})
     })
     .await;
--- a/crates/trestlewalk/tests/promise_once.rs
+++ b/crates/trestlewalk/tests/promise_once.rs
@@ -1,4 +1,4 @@
-//! At most once by ticket, across separate entry instances.
+//! A ticket runs a request at most once across separate entry instances.
 
 mod support;
 
@@ -27,7 +27,7 @@
     relay.set(RelayMode::Silent);
     let first = tokio::spawn(at("gijon-2").try_send());
     let second = tokio::spawn(at("gijon-3").try_send());
-    wait_until("the run and its repetition", async || {
+    wait_until("the call runs and its repetition is attached", async || {
         let dump = fleet.ticket_dump(ORIGIN).await;
         dump["happenings"]["attached"] == 1 && relay.held() > 0
     })
@@ -214,7 +214,7 @@
     let call = fleet.entry(OTHER).post("/v1/completions").work("single");
     let call = call.header(TICKET_HEADER, &ticket).json(&body);
     let call = tokio::spawn(call.try_send());
-    wait_until("the request decodes", async || {
+    wait_until("the request is decoding", async || {
         fleet.counters("gijon-decode-1").await["places_used"] == 1
     })
     .await;
@@ -261,7 +261,7 @@
     let relay = fleet.upstream_relay(PLAIN);
     relay.set(RelayMode::Silent);
     let first = tokio::spawn(fleet.confirm(OTHER, "first").try_send());
-    wait_until("the first call is on its way", async || relay.held() > 0).await;
+    wait_until("the relay holds the first call", async || relay.held() > 0).await;
     let second = fleet
         .confirm(OTHER, "second")
         .header(TICKET_HEADER, &ticket);
@@ -299,12 +299,12 @@
     assert_eq!(reply.code(), 2002);
 }
 
-/// Waits until a ticket that was minted before this call, and is good for `lifetime`, has ended.
+/// Waits until a ticket with this lifetime that was minted before this call has expired.
 async fn wait_expired(lifetime: Duration) {
-    // The ticket's end is rounded to whole milliseconds of its origin's age.
+    // A ticket's expiry is rounded to whole milliseconds of its origin's age.
     const ROUNDING: Duration = Duration::from_millis(2);
     let minted = Instant::now();
-    wait_until("the ticket's end", async || {
+    wait_until("the ticket expires", async || {
         minted.elapsed() > lifetime + ROUNDING
     })
     .await;
--- a/crates/trestlewalk/tests/promise_once_close.rs
+++ b/crates/trestlewalk/tests/promise_once_close.rs
@@ -1,4 +1,4 @@
-//! Tickets of an instance that closes gracefully, and their successor.
+//! Hand-over of the tickets of an instance that closes gracefully to its successor.
 
 mod support;
 
@@ -82,9 +82,12 @@
     relay.set(RelayMode::Silent);
     let call = confirm(&fleet, ORIGIN, "running", &running);
     let call = tokio::spawn(call.try_send());
-    wait_until("the run", async || relay.held() > 0).await;
+    wait_until("the relay holds the running call", async || {
+        relay.held() > 0
+    })
+    .await;
     fleet.terminate(ORIGIN);
-    wait_until("the hand-over", async || {
+    wait_until("the tickets are handed over", async || {
         let dump = fleet.ticket_dump(ORIGIN).await;
         dump["happenings"]["lives_handed_over"] == 1
     })
@@ -93,17 +96,20 @@
     let repeated = tokio::spawn(repeated.try_send());
     let used = confirm(&fleet, ORIGIN, "unused", &unused);
     let used = tokio::spawn(used.try_send());
-    wait_until("the unused ticket is at the successor", async || {
-        let dump = fleet.ticket_dump(ORIGIN).await;
-        dump["happenings"]["forwarded"] == 1
-    })
+    wait_until(
+        "the unused ticket is forwarded to the successor",
+        async || {
+            let dump = fleet.ticket_dump(ORIGIN).await;
+            dump["happenings"]["forwarded"] == 1
+        },
+    )
     .await;
     relay.set(RelayMode::Open);
     let reply = call.await.unwrap().unwrap();
     assert_eq!(reply.code(), 1000, "{}", reply.text());
     let used = used.await.unwrap().unwrap();
     assert_eq!(used.code(), 1000, "{}", used.text());
-    // By way of the successor, the outcome of what runs here is not known before it ended.
+    // The successor does not know the outcome of a call that still runs at the origin.
     let repeated = repeated.await.unwrap().unwrap();
     assert!(
         [1000, 3004].contains(&repeated.code()),
@@ -144,7 +150,7 @@
         }
     }
     let [holder] = holders[..] else {
-        panic!("one successor: {holders:?}");
+        panic!("expected one successor that holds the tickets: {holders:?}");
     };
     fleet.terminate(holder);
     assert_eq!(fleet.wait_exit(holder).await.code(), Some(0));
--- a/crates/trestlewalk/tests/promise_once_dead.rs
+++ b/crates/trestlewalk/tests/promise_once_dead.rs
@@ -1,4 +1,4 @@
-//! At most once while entry instances die, freeze or can't reach each other.
+//! Tickets and keys run a request at most once while entry instances are killed, frozen or partitioned.
 
 mod support;
 
@@ -96,7 +96,7 @@
     .await;
     fleet.resume(ORIGIN);
     let reply = queued.await.unwrap().unwrap();
-    // Its prompt may have been read before the freeze.
+    // Its prompt may have been prefilled before the freeze.
     assert!([3008, 4001].contains(&reply.code()), "{}", reply.text());
     assert_eq!(call().send().await.code(), reply.code());
     let runs = &fleet.counters(DECODE).await["decode_runs"];
@@ -113,7 +113,7 @@
     let relay = fleet.upstream_relay(PLAIN);
     relay.set(RelayMode::Silent);
     let first = tokio::spawn(fleet.confirm(ORIGIN, "first").try_send());
-    wait_until("the first call is on its way", async || relay.held() > 0).await;
+    wait_until("the relay holds the first call", async || relay.held() > 0).await;
     let ticket = fleet.mint_for(ORIGIN, LIFETIME_MS).await;
     let minted = Instant::now();
     let call = || fleet.confirm(ORIGIN, "late").header(TICKET_HEADER, &ticket);
@@ -219,17 +219,17 @@
     assert_eq!(fleet.runs("slot").await, 0);
 }
 
-/// A call that the service has run, and whose answer is held on its way back.
+/// Sends a call that the service runs and whose answer the relay holds.
 async fn run_and_hold(fleet: &Fleet, call: HttpCall) -> JoinHandle<Result<CallReply, String>> {
     let relay = fleet.upstream_relay(PLAIN);
     fleet.set_faults(PLAIN, json!({ "delay_ms": 400 })).await;
     let call = tokio::spawn(call.try_send());
-    wait_until("the service runs it", async || {
+    wait_until("the service runs the call", async || {
         fleet.counters(PLAIN).await["in_progress"] == 1
     })
     .await;
     relay.set(RelayMode::Silent);
-    wait_until("the answer is held", async || {
+    wait_until("the relay holds the answer", async || {
         relay.held() > 0 && fleet.counters(PLAIN).await["in_progress"] == 0
     })
     .await;
--- a/crates/trestlewalk/tests/promise_once_key.rs
+++ b/crates/trestlewalk/tests/promise_once_key.rs
@@ -1,4 +1,4 @@
-//! At most once by a caller's own key, across separate entry instances and with a failing platform.
+//! An idempotency key runs a request at most once across separate entry instances, also while the platform fails.
 
 mod support;
 
@@ -42,9 +42,12 @@
         tokio::spawn(call.try_send())
     };
     let first = call("gijon-1");
-    wait_until("the run", async || relay.held() > 0).await;
+    wait_until("the relay holds the running call", async || {
+        relay.held() > 0
+    })
+    .await;
     let second = call("gijon-2");
-    wait_until("the repetition waits", async || {
+    wait_until("the repetition is attached", async || {
         let dump = fleet.ticket_dump("gijon-1").await;
         dump["happenings"]["attached"] == 1
     })
@@ -91,7 +94,7 @@
 #[tokio::test]
 async fn a_claim_that_was_written_and_not_confirmed_never_runs_and_gives_way() {
     let fleet = start().await;
-    // The write takes effect, its reply is lost, and then nothing is heard of the platform.
+    // The write is committed, its reply is lost, and the platform is unreachable afterwards.
     let relay = fleet.platform_relay("gijon-1");
     fleet
         .set_faults("platform", json!({ "reply_delay_ms": 600_000 }))
--- a/crates/trestlewalk/tests/serve.rs
+++ b/crates/trestlewalk/tests/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: the start, the admin server, signals.
+//! `trestlewalk serve`: startup, the admin server and signals.
 
 mod support;
 
--- a/crates/trestlewalk/tests/settings_fuzz.rs
+++ b/crates/trestlewalk/tests/settings_fuzz.rs
@@ -1,4 +1,4 @@
-//! Settings of any content are read or refused, never followed into a panic, and faults name lines that are there.
+//! Settings of any content are read or refused without a panic, and faults name existing lines.
 
 use {
     proptest::{prelude::*, sample::Index, test_runner::RngSeed},
@@ -10,7 +10,7 @@
 const EXAMPLE: &str = "../../settings/gijon-1.yaml";
 const SEED: u64 = 20_261_202;
 
-/// One change of a line of the example.
+/// One mutation of a line of the example settings.
 #[derive(Clone, Debug)]
 enum LineChange {
     Truncate(Index),
--- a/crates/trestlewalk/tests/support/answer_check.rs
+++ b/crates/trestlewalk/tests/support/answer_check.rs
@@ -1,4 +1,4 @@
-//! Sends many requests of all styles at once and compares every byte of what comes back.
+//! Sends many concurrent completions and chats, streamed and not, and compares every byte of the answers.
 
 use {
     super::{
@@ -11,28 +11,28 @@
     tokio::task::JoinSet,
 };
 
-/// What came of many requests, each compared with what was expected.
+/// Outcomes of many requests whose answers were compared with the expected text.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerCounts {
-    /// The codes of those that got no answer.
+    /// Result codes of the requests without a complete answer.
     pub codes: Vec<u64>,
-    /// Those that got the whole answer.
+    /// Requests with a complete answer.
     pub complete: usize,
 }
 
-/// Requests of one row, in all styles, at all entry instances.
+/// Requests of one row, completions and chats, streamed and not, spread over all entry instances.
 #[derive(Clone, Debug)]
 pub struct RequestMix {
-    /// How many.
+    /// Number of requests.
     pub count: usize,
-    /// The tokens of each answer.
+    /// Token limit of each answer.
     pub max_tokens: u32,
-    /// The row.
+    /// Name of the row in the table.
     pub work: String,
 }
 
 impl RequestMix {
-    /// So many requests of a row.
+    /// A mix of `count` requests of a row.
     pub fn new(work: &str, count: usize, max_tokens: u32) -> Self {
         Self {
             count,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends all of them at once and compares all answers.
+    /// Sends all requests at once and checks all answers.
     pub async fn run(&self, fleet: &Fleet) -> AnswerCounts {
         let entries = fleet.entry_names();
         let mut tasks = JoinSet::new();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Checks a whole answer: the expected text, or an error without any text. The code.
+/// Checks an answer that was not streamed: the expected text, or an error without any text. Returns the result code.
 pub fn check_json(reply: &CallReply, expected: &str) -> u64 {
     let body: Value = reply.json();
     if reply.code() != 1000 {
@@ -106,21 +106,25 @@
     let text = choice["text"]
         .as_str()
         .or(choice["message"]["content"].as_str());
-    assert_eq!(text, Some(expected), "the whole answer");
+    assert_eq!(text, Some(expected), "the text of the answer");
     1000
 }
 
-/// Checks a streamed answer: the expected text and the end marker, or the beginning of the text and an error at the end.
-/// The code.
+/// Checks a streamed answer: the expected text and the end marker, or a prefix of the text and a final error. Returns
+/// the result code.
 pub fn check_stream(events: &[String], expected: &str) -> u64 {
     let text = streamed_text(events);
     if events.last().is_some_and(|last| last == DONE) {
-        assert_eq!(text, expected, "the whole stream");
+        assert_eq!(text, expected, "the text of the stream");
         return 1000;
     }
     assert!(!events.iter().any(|event| event == DONE), "{events:?}");
     assert!(expected.starts_with(&text), "{text:?} of {expected:?}");
     let code = error_code(events);
-    assert!(code > 1000, "a stream without an end: {:?}", events.last());
+    assert!(
+        code > 1000,
+        "a stream without an end marker or error: {:?}",
+        events.last()
+    );
     code
 }
--- a/crates/trestlewalk/tests/support/cli_test.rs
+++ b/crates/trestlewalk/tests/support/cli_test.rs
@@ -6,10 +6,10 @@
     tempfile::TempDir,
 };
 
-/// What a run printed, and how it ended.
+/// Output and exit code of a run.
 #[derive(Debug)]
 pub struct CliOutput {
-    /// The folder of the run, which goes with this; none for a run beside a fleet.
+    /// The working folder, deleted on drop; `None` for a run in the folder of a fleet.
     pub folder: Option<TempDir>,
     /// The exit code.
     pub status: i32,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A run of the binary in a folder of its own, and what is expected of it.
+/// A run of the binary in its own folder, and the expected output.
 #[derive(Debug)]
 #[must_use]
 pub struct Test {
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Puts a file into the folder.
+    /// Writes a file into the folder.
     pub fn file(self, name: &str, content: impl AsRef<[u8]>) -> Self {
         let path = self.folder.path().join(name);
         fs::create_dir_all(path.parent().unwrap()).unwrap();
@@ -55,7 +55,7 @@
         self
     }
 
-    /// A run without arguments that is to succeed.
+    /// A run without arguments that is expected to succeed.
     pub fn new() -> Self {
         Self {
             args: Vec::new(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Runs the binary, compares, and gives what it printed.
+    /// Runs the binary, checks the expectations and returns the output.
     pub fn run(self) -> CliOutput {
         let output = Command::new(BINARY)
             .args(&self.args)
--- a/crates/trestlewalk/tests/support/fleet.rs
+++ b/crates/trestlewalk/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Separate processes that make up a whole system.
+//! A system of separate processes.
 
 use {
     super::{
@@ -15,18 +15,18 @@
     tokio::process::Command,
 };
 
-/// One entry instance and the ways to and from it.
+/// One entry instance and the relays to and from it.
 #[derive(Debug)]
 pub(super) struct FleetEntry {
-    /// Other instances reach it through this.
+    /// Relays datagrams from other instances.
     pub(super) peers: UdpRelay,
-    /// It reaches the platform through this.
+    /// Relays its connections to the platform.
     pub(super) platform: TcpRelay,
     pub(super) process: FleetProcess,
     pub(super) zone: String,
 }
 
-/// One upstream and the way to it.
+/// One upstream and the relay in front of it.
 #[derive(Debug)]
 pub(super) struct FleetUpstream {
     pub(super) process: FleetProcess,
@@ -50,12 +50,12 @@
         self.process(entry).get("admin", path)
     }
 
-    /// What the plug-ins of an entry instance dump.
+    /// The state dump of an entry instance.
     pub async fn dump(&self, entry: &str) -> Value {
         self.admin(entry, "/dump").send().await.json()
     }
 
-    /// The calls of callers at one entry instance.
+    /// The caller endpoint of an entry instance.
     pub fn entry(&self, name: &str) -> CallerEndpoint {
         CallerEndpoint {
             address: self.process(name).address("callers"),
@@ -91,20 +91,20 @@
         self.process_mut(name).kill().await;
     }
 
-    /// Changes what the platform's list says of an instance.
+    /// Changes the state of an instance in the platform's list.
     pub async fn set_listed_state(&self, name: &str, state: InstanceState) {
         let mut record = self.record(name);
         record.state = state;
         self.list_instance(&record).await;
     }
 
-    /// What a process wrote to standard error.
+    /// The log of a process.
     pub fn log(&self, name: &str) -> String {
         self.process(name).log()
     }
 
     /// The value of a metric of an entry instance, summed over the samples that have all of `labels`, each as
-    /// `name="value"`; none when there is no such sample.
+    /// `name="value"`; `None` when no sample matches.
     pub async fn metric(&self, entry: &str, name: &str, labels: &[&str]) -> Option<f64> {
         let text = self.admin(entry, "/metrics").send().await.text();
         let mut sum = None;
@@ -122,17 +122,17 @@
         sum
     }
 
-    /// Stops a process with SIGSTOP, and waits until it stands still.
+    /// Stops a process with SIGSTOP and waits until the kernel reports it stopped.
     pub async fn pause(&self, name: &str) {
         self.process(name).pause().await;
     }
 
-    /// The address of the platform itself, past all relays.
+    /// The address of the platform itself, bypassing all relays.
     pub fn platform_address(&self) -> SocketAddr {
         self.platform.address("address")
     }
 
-    /// The way from an entry instance to the platform.
+    /// The relay between an entry instance and the platform.
     pub fn platform_relay(&self, entry: &str) -> &TcpRelay {
         &self.fleet_entry(entry).platform
     }
@@ -148,12 +148,12 @@
         &self.fleet_entry(name).process
     }
 
-    /// Lets a stopped process run again with SIGCONT.
+    /// Resumes a stopped process with SIGCONT.
     pub fn resume(&self, name: &str) {
         self.process(name).signal(Signal::CONT);
     }
 
-    /// Runs the binary once, beside the fleet.
+    /// Runs the binary once in the folder of the fleet.
     pub async fn run(&self, args: &[&str]) -> CliOutput {
         let mut command = Command::new(BINARY);
         command.args(args).current_dir(self.folder.path());
@@ -186,12 +186,12 @@
         fleet
     }
 
-    /// Tells a process to close with SIGTERM.
+    /// Requests a graceful close with SIGTERM.
     pub fn terminate(&self, name: &str) {
         self.process(name).signal(Signal::TERM);
     }
 
-    /// Takes an instance out of the platform's list.
+    /// Removes an instance from the platform's list.
     pub async fn unlist(&self, name: &str) {
         let path = format!("/instances/{name}");
         let call = HttpCall::new(Method::DELETE, self.platform_address(), &path);
@@ -199,7 +199,7 @@
         assert!(reply.status.is_success(), "{name}: {}", reply.text());
     }
 
-    /// The way to an upstream.
+    /// The relay in front of an upstream.
     pub fn upstream_relay(&self, name: &str) -> &TcpRelay {
         match self.upstreams.get(name) {
             Some(upstream) => &upstream.relay,
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Waits until an entry instance says that it is ready.
+    /// Waits until an entry instance reports that it is ready.
     pub async fn wait_ready(&self, entry: &str) {
         super::wait_until(&format!("{entry} is ready"), async || {
             let reply = self.admin(entry, "/ready").try_send().await;
@@ -216,7 +216,7 @@
         .await;
     }
 
-    /// The folder of the files and logs.
+    /// The folder with settings files and logs.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -271,10 +271,10 @@
     }
 }
 
-/// Calls of callers at one entry instance.
+/// Builds calls to the caller address of one entry instance.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerEndpoint {
-    /// Where the instance answers callers.
+    /// The address for callers.
     pub address: SocketAddr,
 }
 
--- a/crates/trestlewalk/tests/support/fleet_plan.rs
+++ b/crates/trestlewalk/tests/support/fleet_plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of.
+//! The composition of a fleet.
 
 use super::fleet::Fleet;
 
@@ -33,7 +33,7 @@
 }
 
 impl FleetPlan {
-    /// Starts so many decode engines in each availability zone.
+    /// Sets the number of decode engines in each availability zone.
     pub fn decode(mut self, count: usize) -> Self {
         self.decode = count;
         self
@@ -45,7 +45,7 @@
         self
     }
 
-    /// Starts so many entry instances in each availability zone.
+    /// Sets the number of entry instances in each availability zone.
     pub fn entries(mut self, count: usize) -> Self {
         self.entries = count;
         self
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Starts so many replicas of the plain service in each availability zone.
+    /// Sets the number of plain replicas in each availability zone.
     pub fn plain(mut self, count: usize) -> Self {
         self.plain = count;
         self
@@ -87,7 +87,7 @@
         self
     }
 
-    /// Starts so many prefill engines in each availability zone.
+    /// Sets the number of prefill engines in each availability zone.
     pub fn prefill(mut self, count: usize) -> Self {
         self.prefill = count;
         self
@@ -99,12 +99,12 @@
         self
     }
 
-    /// Starts all processes, and waits until they listen.
+    /// Starts all processes and waits until they listen.
     pub async fn start(self) -> Fleet {
         Fleet::start(self).await
     }
 
-    /// Takes other availability zones.
+    /// Replaces the availability zones.
     pub fn zones(mut self, zones: &[&str]) -> Self {
         self.zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
         self
--- a/crates/trestlewalk/tests/support/fleet_process.rs
+++ b/crates/trestlewalk/tests/support/fleet_process.rs
@@ -35,7 +35,7 @@
 }
 
 impl FleetProcess {
-    /// An address of its ready line.
+    /// An address from the ready line.
     pub fn address(&self, field: &str) -> SocketAddr {
         let text = self.ready[field].as_str();
         text.and_then(|text| text.parse().ok())
@@ -48,34 +48,34 @@
         wait_for(&what, self.child.wait()).await.unwrap()
     }
 
-    /// A GET call to one of its addresses.
+    /// A GET call to the address in a field of the ready line.
     pub fn get(&self, field: &str, path: &str) -> HttpCall {
         HttpCall::new(Method::GET, self.address(field), path)
     }
 
-    /// Ends the process with SIGKILL, and waits until it is gone.
+    /// Ends the process with SIGKILL and waits until it has exited.
     pub async fn kill(&mut self) {
         self.child.kill().await.unwrap();
     }
 
-    /// What the process wrote to standard error.
+    /// The log: standard error, and standard output after the ready line.
     pub fn log(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Stops the process with SIGSTOP, and waits until it stands still.
+    /// Stops the process with SIGSTOP and waits until the kernel reports it stopped.
     pub async fn pause(&self) {
         self.signal(Signal::STOP);
         let what = format!("{} is stopped", self.name);
         wait_until(&what, async || self.state() == Some(STOPPED_STATE)).await;
     }
 
-    /// A POST call to one of its addresses.
+    /// A POST call to the address in a field of the ready line.
     pub fn post(&self, field: &str, path: &str) -> HttpCall {
         HttpCall::new(Method::POST, self.address(field), path)
     }
 
-    /// The line that the process printed when it listened.
+    /// The line that the process prints once it listens.
     pub fn ready_line(&self) -> &Value {
         &self.ready
     }
@@ -87,7 +87,7 @@
         kill_process(pid, signal).unwrap();
     }
 
-    /// Starts the binary with `args`, and waits for its ready line. Its log goes to a file in `folder`.
+    /// Starts the binary with `args` and waits for its ready line. The log goes to a file in `folder`.
     pub async fn start(name: &str, args: &[String], folder: &Path) -> Self {
         let log = folder.join(format!("{name}.log"));
         let mut child = Command::new(BINARY)
@@ -128,7 +128,7 @@
 }
 
 impl FleetProcess {
-    /// The state that the kernel gives after the name in `stat`.
+    /// The process state: the first letter after the name in `/proc/PID/stat`.
     fn state(&self) -> Option<char> {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()?)).ok()?;
         let (_, after_name) = stat.rsplit_once(')')?;
--- a/crates/trestlewalk/tests/support/fleet_start.rs
+++ b/crates/trestlewalk/tests/support/fleet_start.rs
@@ -17,23 +17,23 @@
     },
 };
 
-/// The target of a relay until the process that it stands before is there.
+/// The target of a peer relay until its instance has printed its address.
 const PLACEHOLDER_TARGET: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 
 impl Fleet {
-    /// Starts a new life of an entry instance that ended or was killed.
+    /// Restarts an entry instance that ended or was killed.
     pub async fn restart_entry(&mut self, name: &str) {
         let zone = self.fleet_entry(name).zone.clone();
         self.start_entry(name, &zone).await;
     }
 
-    /// Starts an entry instance, or a new life of one, and puts it into the platform's list.
+    /// Starts or restarts an entry instance and adds it to the platform's list.
     pub async fn start_entry(&mut self, name: &str, zone: &str) {
         self.start_entry_with(name, zone, RelayMode::Open, &[])
             .await;
     }
 
-    /// Starts an entry instance whose way to the platform is in a mode from the start, and whose settings name peers.
+    /// Starts an entry instance whose platform relay is in `mode` from the start and whose settings name `known_peers`.
     pub async fn start_entry_with(
         &mut self,
         name: &str,
@@ -69,7 +69,7 @@
         self.list_instance(&self.record(name)).await;
     }
 
-    /// Starts an upstream, and puts it into the platform's list.
+    /// Starts an upstream and adds it to the platform's list.
     pub async fn start_upstream(&mut self, name: &str, zone: &str, kind: InstanceKind) {
         let args = self.upstream_args(name, kind);
         let process = FleetProcess::start(name, &args, self.folder.path()).await;
--- a/crates/trestlewalk/tests/support/fleet_table.rs
+++ b/crates/trestlewalk/tests/support/fleet_table.rs
@@ -19,14 +19,14 @@
 ";
 
 impl Fleet {
-    /// Applies a table at the platform, and waits until it is in force at every entry instance.
+    /// Applies a table at the platform, waits until it is in force at every entry instance and returns its version.
     pub async fn put_table(&self, csv: &str) -> u64 {
         let version = self.commit_table(csv).await;
         self.wait_version(version).await;
         version
     }
 
-    /// Applies a table at the platform. Its version.
+    /// Applies a table at the platform and returns its version.
     pub async fn commit_table(&self, csv: &str) -> u64 {
         let file = read_csv("table.csv", csv.as_bytes()).unwrap_or_else(|error| panic!("{error}"));
         let platform = HttpPlatform::builder()
--- a/crates/trestlewalk/tests/support/fleet_zones.rs
+++ b/crates/trestlewalk/tests/support/fleet_zones.rs
@@ -6,13 +6,13 @@
 };
 
 impl Fleet {
-    /// Lets nothing pass between the entry instances of two availability zones.
+    /// Blocks all datagrams between the entry instances of two availability zones.
     pub fn partition_zones(&self, left: &str, right: &str) {
         self.for_each_link(left, right, |relay, sender| relay.block(sender));
         self.for_each_link(right, left, |relay, sender| relay.block(sender));
     }
 
-    /// Cuts an availability zone off from all others and from the platform.
+    /// Partitions an availability zone from all others and from the platform.
     pub fn isolate_zone(&self, zone: &str) {
         self.set_platform_mode(zone, RelayMode::Silent);
         for other in self.other_zones(zone) {
@@ -20,13 +20,13 @@
         }
     }
 
-    /// Joins two availability zones again.
+    /// Ends the partition between two availability zones.
     pub fn heal_zones(&self, left: &str, right: &str) {
         self.for_each_link(left, right, |relay, sender| relay.unblock(sender));
         self.for_each_link(right, left, |relay, sender| relay.unblock(sender));
     }
 
-    /// Joins an isolated availability zone to all others and to the platform.
+    /// Reconnects an isolated availability zone to all others and to the platform.
     pub fn rejoin_zone(&self, zone: &str) {
         self.set_platform_mode(zone, RelayMode::Open);
         for other in self.other_zones(zone) {
--- a/crates/trestlewalk/tests/support/http_call.rs
+++ b/crates/trestlewalk/tests/support/http_call.rs
@@ -18,7 +18,7 @@
 /// The header that names the kind of work.
 pub const WORK_HEADER: &str = "trestlewalk-work";
 
-/// A whole answer.
+/// An answer whose body was read to the end.
 #[derive(Debug)]
 pub struct CallReply {
     /// The body.
@@ -30,7 +30,7 @@
 }
 
 impl CallReply {
-    /// The numbered result code, 0 without one.
+    /// The numbered result code; 0 when the header is missing.
     pub fn code(&self) -> u16 {
         result_code(&self.headers)
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// A call that is being built. Each has its own connection, which closes when the answer is read or dropped.
+/// Builds one call. Each call has its own connection, which closes when the answer is read or dropped.
 #[derive(Debug)]
 #[must_use]
 pub struct HttpCall {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Sends the call and reads the whole answer; panics when none comes.
+    /// Sends the call and reads the whole answer; panics when the call fails.
     pub async fn send(self) -> CallReply {
         let what = format!("{} http://{}{}", self.method, self.address, self.path);
         match self.try_send().await {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends the call and reads the whole answer.
+    /// Sends the call and reads the whole answer. An error that contains `Error(Connect` means that nothing was sent.
     pub async fn try_send(self) -> Result<CallReply, String> {
         let what = format!("{} {}", self.method, self.path);
         wait_for(&what, async {
@@ -124,7 +124,7 @@
         .await
     }
 
-    /// Names the kind of work.
+    /// Sets the header that names the kind of work.
     pub fn work(self, work: &str) -> Self {
         self.header(WORK_HEADER, work)
     }
@@ -146,7 +146,7 @@
     }
 }
 
-/// The numbered result code among headers, 0 without one.
+/// The numbered result code in headers; 0 when the header is missing.
 pub fn result_code(headers: &HeaderMap) -> u16 {
     let Some(value) = headers.get(RESULT_HEADER) else {
         return 0;
--- a/crates/trestlewalk/tests/support/member_load.rs
+++ b/crates/trestlewalk/tests/support/member_load.rs
@@ -1,4 +1,4 @@
-//! Callers that go on calling the members of a fleet while those come and go.
+//! Callers that keep calling the members of a fleet while members join and leave.
 
 use {
     super::{CallReply, Fleet, HttpCall, fleet::CallerEndpoint},
@@ -12,28 +12,28 @@
     tokio::task::JoinHandle,
 };
 
-/// The code of a whole answer.
+/// The result code of a complete answer.
 const ANSWERED: u16 = 1000;
-/// The codes of a request that did not run.
+/// The result codes of requests that did not run.
 const NOT_RUN: std::ops::Range<u16> = 2000..3000;
-/// What an error says when no connection was made, so that nothing was sent.
+/// The text of an error when no connection was made, so that nothing was sent.
 const NEVER_CONNECTED: &str = "Error(Connect";
 
-/// What became of the calls.
+/// Outcomes of the calls.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Calls with the whole answer.
+    /// Calls with a complete answer.
     pub answered: usize,
-    /// Calls with another end, by entry instance.
+    /// Errors of all other calls, by entry instance.
     pub lost: BTreeMap<String, Vec<String>>,
-    /// Calls that were told that they did not run.
+    /// Calls refused with a code that says that they did not run.
     pub not_run: usize,
-    /// Calls that found nobody to connect to.
+    /// Calls that could not connect to a member.
     pub unconnected: usize,
 }
 
 impl LoadReport {
-    /// The lost calls at all instances but one.
+    /// Errors of the lost calls at all instances except one.
     pub fn lost_except(&self, entry: &str) -> Vec<&String> {
         let others = self.lost.iter().filter(|(name, _)| *name != entry);
         others.flat_map(|(_, errors)| errors).collect()
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the callers share: the members that a balancer would send them to.
+/// State shared by the callers; `members` stands in for a load balancer's targets.
 #[derive(Debug, Default)]
 struct LoadState {
     is_over: AtomicBool,
@@ -77,18 +77,18 @@
 }
 
 impl MemberLoad {
-    /// Sends calls to one more member.
+    /// Adds a member to the targets.
     pub fn add(&self, fleet: &Fleet, entry: &str) {
         let member = (entry.to_owned(), fleet.entry(entry));
         self.state.members.lock().unwrap().push(member);
     }
 
-    /// How many calls were answered.
+    /// Calls answered so far.
     pub fn answered(&self) -> usize {
         self.state.report.lock().unwrap().answered
     }
 
-    /// Lets the running calls end; what became of all.
+    /// Waits for the running calls and returns the outcomes of all calls.
     pub async fn close(self) -> LoadReport {
         self.state.is_over.store(true, Ordering::SeqCst);
         for caller in self.callers {
@@ -97,13 +97,13 @@
         self.state.report.lock().unwrap().clone()
     }
 
-    /// Sends no more calls to a member.
+    /// Removes a member from the targets.
     pub fn remove(&self, entry: &str) {
         let mut members = self.state.members.lock().unwrap();
         members.retain(|(name, _)| name != entry);
     }
 
-    /// Starts so many callers of all members of a fleet; `make` makes a call from its number.
+    /// Starts concurrent callers that call all members of a fleet; `make` builds a call from its number.
     pub fn start(
         fleet: &Fleet,
         callers: usize,
@@ -123,7 +123,7 @@
         load
     }
 
-    /// Waits until so many more calls were answered.
+    /// Waits until `count` more calls are answered.
     pub async fn wait_answered(&self, count: usize) {
         let target = self.answered() + count;
         super::wait_until("more calls are answered", async || {
@@ -142,7 +142,7 @@
         let is_answered = result.is_ok();
         state.report.lock().unwrap().record(entry, result);
         if !is_answered {
-            // A balancer looks for another member before it tries again.
+            // Yields after a failure, as a load balancer picks another member before it retries.
             tokio::task::yield_now().await;
         }
     }
--- a/crates/trestlewalk/tests/support/mod.rs
+++ b/crates/trestlewalk/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the real binary are built from.
+//! Builders for tests of the real binary.
 //!
 //! [`Test`] runs the binary once:
 //!
@@ -7,7 +7,7 @@
 //! ```
 //!
 //! [`FleetPlan`] starts separate processes on free loopback ports: the platform, engines, plain services and entry
-//! instances, each in front of a relay that a test can cut or slow. All are killed when the [`Fleet`] is dropped, and a
+//! instances, each behind a relay that a test can block or slow. All are killed when the [`Fleet`] is dropped, and a
 //! test that panics prints the end of their logs.
 //!
 //! ```ignore
@@ -15,7 +15,7 @@
 //! fleet.put_table(TABLE).await;
 //! fleet.wait_ready("gijon-1").await;
 //! let reply = fleet.entry("gijon-1").get("/services/carta/tile").send().await;
-//! fleet.pause("gijon-1").await;                // SIGSTOP; resume, terminate and kill are there too.
+//! fleet.pause("gijon-1").await;                // SIGSTOP; see also resume, terminate and kill.
 //! fleet.partition_zones("gijon", "ferrol");          // heal_zones reconnects them.
 //! fleet.platform_relay("gijon-1").set(RelayMode::Silent);
 //! fleet.upstream_relay("gijon-plain-1").set(RelayMode::Slow(Duration::from_millis(50)));
@@ -24,7 +24,8 @@
 //! ```
 //!
 //! Names: entry instances are `{zone}-{n}`, upstreams `{zone}-prefill-{n}`, `{zone}-decode-{n}` and `{zone}-plain-{n}`,
-//! counted from 1. Waits poll a condition and panic after [`WAIT_TIMEOUT`](wait::WAIT_TIMEOUT), which is no measure of speed.
+//! counted from 1. Waits poll a condition and panic after [`WAIT_TIMEOUT`](wait::WAIT_TIMEOUT), which is far longer
+//! than any expected duration.
 
 #![allow(
     dead_code,
--- a/crates/trestlewalk/tests/support/model_work.rs
+++ b/crates/trestlewalk/tests/support/model_work.rs
@@ -1,4 +1,4 @@
-//! Model work at a fleet: prompts, the answers expected to them, and what engines hold.
+//! Model requests to a fleet: prompts, expected answers and the streams that engines hold.
 
 use {
     super::{Fleet, FleetPlan, HttpCall, TABLE, fleet::CallerEndpoint, wait_until},
@@ -10,7 +10,7 @@
 /// The end marker of a streamed answer.
 pub const DONE: &str = "[DONE]";
 
-/// A prompt of so many tokens that no other number shares a beginning with.
+/// A prompt of `tokens` tokens whose prefix is unique to `number`.
 pub fn long_prompt(number: usize, tokens: usize) -> String {
     let mut prompt = format!("log {number:06}: ");
     let length = 4 * tokens;
@@ -21,7 +21,7 @@
     prompt
 }
 
-/// The whole answer to a prompt.
+/// The text of the complete answer to a prompt.
 pub fn expected_text(prompt: &str, max_tokens: u32) -> String {
     let length = expected_length(prompt, max_tokens, LengthSpread::default());
     (0..length)
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// The text of a streamed answer's chunks, completions and chat.
+/// The text of a streamed answer, either a completion or a chat.
 pub fn streamed_text(events: &[String]) -> String {
     let mut text = String::new();
     for event in events.iter().filter(|event| *event != DONE) {
@@ -43,7 +43,7 @@
     text
 }
 
-/// The error code of the last event, 0 when it is none.
+/// The error code of the last event; 0 when it is not an error.
 pub fn error_code(events: &[String]) -> u64 {
     let Some(last) = events.last() else {
         return 0;
@@ -52,14 +52,14 @@
     value["error"]["code"].as_u64().unwrap_or(0)
 }
 
-/// Durations with their middle and their worst, for the printed measurement.
+/// The median and the maximum of samples, for printed measurements.
 pub fn median_and_max(mut samples: Vec<Duration>) -> (Duration, Duration) {
     samples.sort();
     (samples[samples.len() / 2], samples[samples.len() - 1])
 }
 
 impl CallerEndpoint {
-    /// A completion of a row.
+    /// A call for a completion of a row.
     pub fn completion(&self, work: &str, prompt: &str, max_tokens: u32, stream: bool) -> HttpCall {
         let body = json!({ "max_tokens": max_tokens, "prompt": prompt, "stream": stream });
         self.post("/v1/completions").work(work).json(&body)
@@ -67,47 +67,47 @@
 }
 
 impl Fleet {
-    /// The instance that allocates the plan's model, as an entry instance sees it.
+    /// The allocator of the plan's model, as an entry instance sees it; empty when it knows none.
     pub async fn allocator(&self, entry: &str) -> String {
         let dump = self.dump(entry).await;
         let name = dump["flow"]["allocators"]["sondeo"].as_str();
         name.unwrap_or_default().to_owned()
     }
 
-    /// How many streams an engine holds, in any state.
+    /// Number of streams that an engine holds, in any state.
     pub async fn held_streams(&self, engine: &str) -> usize {
         let reply = self.process(engine).get("address", "/streams").send().await;
         reply.json::<Vec<Value>>().len()
     }
 
-    /// How many requests of an entry instance are in a phase.
+    /// Number of requests of an entry instance in a phase.
     pub async fn in_phase(&self, entry: &str, phase: &str) -> u64 {
         let dump = self.dump(entry).await;
         dump["flow"]["requests"][phase].as_u64().unwrap_or(0)
     }
 
-    /// A fleet in one availability zone with its table, when all of its instances are ready and agree on the allocator.
+    /// Starts a fleet with a table and waits until all of its instances are ready and agree on the allocator.
     pub async fn serving(plan: FleetPlan) -> Self {
         let fleet = plan.start().await;
         fleet.put_table(TABLE).await;
-        // An allocator that all name before all serve may be another one a moment later.
+        // The allocator may still change until every instance serves, even if all already agree on one.
         fleet.wait_all_serving().await;
         fleet.wait_allocator_agreed().await;
         fleet
     }
 
-    /// The sum of a counter that has one entry a request or prompt.
+    /// The sum of a counter that has one entry per key, such as a request or prompt.
     pub async fn counter_sum(&self, upstream: &str, counter: &str) -> u64 {
         let counters = self.counters(upstream).await;
         let map = counters[counter].as_object().unwrap();
         map.values().filter_map(Value::as_u64).sum()
     }
 
-    /// Waits until every entry instance knows of every other that it serves.
+    /// Waits until every entry instance sees all entry instances in state `serving`.
     pub async fn wait_all_serving(&self) {
         let names = self.entry_names();
         for entry in &names {
-            wait_until(&format!("{entry} knows that all serve"), async || {
+            wait_until(&format!("{entry} sees all instances serving"), async || {
                 let dump = self.dump(entry).await;
                 let heard = dump["peer"]["members"]["heard"].as_array();
                 let serving = heard.into_iter().flatten();
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Waits until all entry instances are ready and name one allocator.
+    /// Waits until all entry instances are ready and agree on one allocator.
     pub async fn wait_allocator_agreed(&self) {
         let entries = self.entry_names();
         for entry in &entries {
             self.wait_ready(entry).await;
         }
-        wait_until("one allocator", async || {
+        wait_until("all instances agree on one allocator", async || {
             let mut names = Vec::new();
             for entry in &entries {
                 names.push(self.allocator(entry).await);
@@ -137,11 +137,11 @@
         .await;
     }
 
-    /// Waits until none of the engines holds a stream. How long that took.
+    /// Waits until none of the engines holds a stream and returns how long that took.
     pub async fn wait_idle(&self, engines: &[&str]) -> Duration {
         let started = Instant::now();
         for engine in engines {
-            let what = format!("{engine} is free");
+            let what = format!("{engine} holds no stream");
             wait_until(&what, async || self.held_streams(engine).await == 0).await;
         }
         started.elapsed()
--- a/crates/trestlewalk/tests/support/relay_mode.rs
+++ b/crates/trestlewalk/tests/support/relay_mode.rs
@@ -1,4 +1,4 @@
-//! What a relay does with what passes through it.
+//! The mode of a relay and the switch that sets it.
 
 use {
     std::{
@@ -11,20 +11,21 @@
     tokio::sync::watch,
 };
 
-/// The state of the way between two processes.
+/// How a relay treats the traffic between two processes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayMode {
-    /// All passes.
+    /// Forwards everything.
     Open,
-    /// TCP: open connections are closed, and new ones at once. UDP: as `Silent`.
+    /// TCP: closes open connections, and new ones as they are accepted. UDP: drops datagrams, as `Silent` does.
     Reset,
-    /// Nothing passes, and nobody is told. TCP: what was held back passes when the way opens. UDP: it is lost.
+    /// Forwards nothing and closes nothing. TCP: bytes are held until the mode is `Open` or `Slow`. UDP: datagrams are
+    /// dropped.
     Silent,
-    /// All passes, each piece so much later.
+    /// Forwards everything, each chunk or datagram after this delay.
     Slow(Duration),
 }
 
-/// Switches a relay while it runs. Clones share one switch.
+/// Sets the mode of a running relay. Clones share one mode.
 #[derive(Clone, Debug)]
 pub struct RelaySwitch {
     held: Arc<AtomicUsize>,
@@ -32,17 +33,17 @@
 }
 
 impl RelaySwitch {
-    /// How many connections or pieces a silent relay holds back now.
+    /// Number of new connections and chunks that a silent relay currently holds.
     pub fn held(&self) -> usize {
         self.held.load(Ordering::SeqCst)
     }
 
-    /// The mode now.
+    /// The current mode.
     pub fn mode(&self) -> RelayMode {
         *self.sender.borrow()
     }
 
-    /// A switch that lets all pass.
+    /// A switch in mode `Open`.
     pub fn new() -> Self {
         Self {
             held: Arc::default(),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Waits until what came may pass; `false` when the connection is to be closed.
+    /// Waits until a connection or chunk may be forwarded; `false` when the connection has to be closed.
     pub async fn pass(&self) -> bool {
         let mut receiver = self.sender.subscribe();
         self.held.fetch_add(1, Ordering::SeqCst);
@@ -63,7 +64,7 @@
         mode != RelayMode::Reset
     }
 
-    /// Waits until connections are to be closed.
+    /// Waits until the mode is `Reset`.
     pub async fn wait_reset(&self) {
         let mut receiver = self.sender.subscribe();
         if receiver
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Switches.
+    /// Sets the mode.
     pub fn set(&self, mode: RelayMode) {
         self.sender.send_replace(mode);
     }
--- a/crates/trestlewalk/tests/support/sse_reply.rs
+++ b/crates/trestlewalk/tests/support/sse_reply.rs
@@ -23,7 +23,7 @@
 }
 
 impl SseReply {
-    /// All further events.
+    /// The data of all remaining events.
     pub async fn all_events(&mut self) -> Vec<String> {
         let mut events = Vec::new();
         while let Some(event) = self.next_event().await {
@@ -32,12 +32,12 @@
         events
     }
 
-    /// The numbered result code, 0 without one.
+    /// The numbered result code; 0 when the header is missing.
     pub fn code(&self) -> u16 {
         result_code(&self.headers)
     }
 
-    /// An answer whose headers came.
+    /// An answer whose headers have arrived.
     pub fn new(response: Response<Incoming>) -> Self {
         let (parts, body) = response.into_parts();
         Self {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The data of the next event; none at the end, whole or cut.
+    /// The data of the next event; `None` at the end of the body, truncated or not.
     pub async fn next_event(&mut self) -> Option<String> {
         loop {
             if let Some(event) = self.take_event() {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What was read and is no whole event.
+    /// Text that was read and is not a complete event.
     pub fn remainder(&self) -> &str {
         &self.text
     }
--- a/crates/trestlewalk/tests/support/tcp_relay.rs
+++ b/crates/trestlewalk/tests/support/tcp_relay.rs
@@ -1,4 +1,4 @@
-//! Passes TCP connections on, until it is told not to.
+//! A TCP relay in front of one process.
 
 use {
     super::relay_mode::{RelayMode, RelaySwitch},
@@ -18,7 +18,7 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// A way to one process. It ends when it is dropped.
+/// Forwards TCP connections to one process. It stops accepting when it is dropped.
 #[derive(Debug)]
 pub struct TcpRelay {
     address: SocketAddr,
@@ -33,22 +33,22 @@
         self.address
     }
 
-    /// How many connections or pieces a silent relay holds back now.
+    /// Number of new connections and chunks that a silent relay currently holds.
     pub fn held(&self) -> usize {
         self.switch.held()
     }
 
-    /// Passes new connections on to another address.
+    /// Forwards new connections to another address.
     pub fn retarget(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
 
-    /// Switches the way.
+    /// Sets the mode.
     pub fn set(&self, mode: RelayMode) {
         self.switch.set(mode);
     }
 
-    /// Starts to pass connections on to `target`.
+    /// Starts forwarding connections to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/trestlewalk/tests/support/ticket_work.rs
+++ b/crates/trestlewalk/tests/support/ticket_work.rs
@@ -1,13 +1,13 @@
-//! Work under tickets and idempotency keys, and how often it ran.
+//! Calls with tickets and idempotency keys, and counts of how often they ran.
 
 use {
     super::{CallReply, Fleet, FleetPlan, HttpCall, TABLE, wait_until},
     serde_json::{Value, json},
 };
 
-/// The header of a ticket.
+/// The header that carries a ticket.
 pub const TICKET_HEADER: &str = "trestlewalk-ticket";
-/// The header of a caller's key.
+/// The header that carries a caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
 
 const RUN_KEY_HEADER: &str = "x-run-key";
@@ -20,20 +20,20 @@
         ticket_of(&reply)
     }
 
-    /// Mints a ticket that is good for so many milliseconds.
+    /// Mints a ticket that is valid for `millis` milliseconds.
     pub async fn mint_for(&self, entry: &str, millis: u64) -> String {
         let call = self.entry(entry).post("/v1/tickets");
         let reply = call.json(&json!({ "expires_in_ms": millis })).send().await;
         ticket_of(&reply)
     }
 
-    /// A slot confirmation, which is not repeatable.
+    /// A call of the row `confirm`, which must not be repeated; the plain service counts its runs under `run_key`.
     pub fn confirm(&self, entry: &str, run_key: &str) -> HttpCall {
         let call = self.entry(entry).post(SLOT_PATH).work("confirm");
         call.header(RUN_KEY_HEADER, run_key).body("kiln 7")
     }
 
-    /// How often the plain services of the fleet ran the work of a key.
+    /// How often the first plain replicas of all zones ran calls with a run key.
     pub async fn runs(&self, run_key: &str) -> u64 {
         let mut runs = 0;
         for zone in self.zones() {
@@ -43,16 +43,16 @@
         runs
     }
 
-    /// The tickets' part of an entry instance's dump.
+    /// The section `tickets` of an entry instance's state dump.
     pub async fn ticket_dump(&self, entry: &str) -> Value {
         self.dump(entry).await["tickets"].take()
     }
 
-    /// Waits until every entry instance hears all others.
+    /// Waits until every entry instance receives heartbeats from all others.
     pub async fn wait_members(&self) {
         let names = self.entry_names();
         for entry in &names {
-            wait_until(&format!("{entry} hears all"), async || {
+            wait_until(&format!("{entry} hears all members"), async || {
                 let dump = self.dump(entry).await;
                 let heard = dump["peer"]["members"]["heard"].as_array();
                 heard.is_some_and(|heard| heard.len() == names.len())
@@ -66,7 +66,7 @@
     }
 }
 
-/// Starts a fleet with a table in force, whose instances hear each other and know the plain service.
+/// Starts a fleet and waits until its table is in force and all instances know each other and the plain service.
 pub async fn start_ready(plan: FleetPlan) -> Fleet {
     let fleet = plan.start().await;
     fleet.put_table(TABLE).await;
--- a/crates/trestlewalk/tests/support/udp_relay.rs
+++ b/crates/trestlewalk/tests/support/udp_relay.rs
@@ -1,4 +1,4 @@
-//! Passes datagrams on, until it is told not to.
+//! A UDP relay in front of one process.
 
 use {
     super::relay_mode::{RelayMode, RelaySwitch},
@@ -12,7 +12,7 @@
 
 const DATAGRAM_BYTES: usize = 64 << 10;
 
-/// A way to one process, for whoever sends to its address. It ends when it is dropped.
+/// Forwards datagrams from any sender to one process, and replies back to their senders. It stops when it is dropped.
 #[derive(Debug)]
 pub struct UdpRelay {
     address: SocketAddr,
@@ -28,22 +28,22 @@
         self.address
     }
 
-    /// Lets nothing pass between `sender` and the target.
+    /// Drops all datagrams between `sender` and the target.
     pub fn block(&self, sender: SocketAddr) {
         self.blocked.lock().unwrap().insert(sender);
     }
 
-    /// Passes datagrams on to another address.
+    /// Forwards datagrams to another address.
     pub fn retarget(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
 
-    /// Switches the way for all senders.
+    /// Sets the mode for all senders.
     pub fn set(&self, mode: RelayMode) {
         self.switch.set(mode);
     }
 
-    /// Starts to pass datagrams on to `target`.
+    /// Starts forwarding datagrams to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         let address = socket.local_addr().unwrap();
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Lets datagrams of `sender` pass again.
+    /// Ends the block of `sender`.
     pub fn unblock(&self, sender: SocketAddr) {
         self.blocked.lock().unwrap().remove(&sender);
     }
@@ -79,7 +79,7 @@
 }
 
 impl RelayPath {
-    /// Sends one datagram, or drops it; a slow one is sent later.
+    /// Sends, drops or delays one datagram, as the mode and the blocked senders require.
     async fn send(&self, socket: &Arc<UdpSocket>, sender: SocketAddr, to: SocketAddr, data: &[u8]) {
         if self.blocked.lock().unwrap().contains(&sender) {
             return;
--- a/crates/trestlewalk/tests/table_cli.rs
+++ b/crates/trestlewalk/tests/table_cli.rs
@@ -1,4 +1,4 @@
-//! `trestlewalk table` through the real binary, against a platform and entry instances on the loopback.
+//! `trestlewalk table`: the real binary against a platform and entry instances on the loopback.
 
 mod table_support;
 
--- a/crates/trestlewalk/tests/table_driver.rs
+++ b/crates/trestlewalk/tests/table_driver.rs
@@ -1,4 +1,5 @@
-//! The driver of the table over a store in memory: what it reads, and what it tells of the platform.
+//! `TableDriver` over an in-memory store: an instance that is one edit behind reads the edit and does not scan the
+//! table.
 
 use {
     flow::CurrentTable,
@@ -26,7 +27,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Rows in memory, with a count of the scans.
+/// An in-memory row store that counts scans.
 #[derive(Clone)]
 struct CountedRows {
     rows: Arc<RankedLock<BTreeMap<Arc<str>, StoredRow>>>,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The same rows with a count of its own.
+    /// A store that shares the rows and has its own count.
     fn with_own_count(&self) -> Self {
         Self {
             rows: self.rows.clone(),
@@ -154,7 +155,10 @@
         .entry()
         .is_none_or(|entry| entry.table.version < version)
     {
-        assert!(Instant::now() < end, "waited in vain for {version}");
+        assert!(
+            Instant::now() < end,
+            "timed out waiting for version {version}"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/trestlewalk/tests/table_fleet.rs
+++ b/crates/trestlewalk/tests/table_fleet.rs
@@ -1,4 +1,4 @@
-//! An accepted edit is in force in every availability zone and never reverts: through separate processes.
+//! Separate processes: an accepted edit comes into force in every availability zone and never reverts.
 
 mod support;
 
@@ -15,7 +15,7 @@
     fleet
 }
 
-/// Runs `trestlewalk table` with the fleet's addresses; its exit code and output.
+/// Runs `trestlewalk table` with the fleet's addresses and returns the exit code and the output.
 async fn run_table(fleet: &Fleet, command: &[&str]) -> (i32, String) {
     let platform = format!("http://{}", fleet.platform_address());
     let mut instances = Vec::new();
@@ -30,7 +30,7 @@
     (output.status, format!("{}{}", output.stdout, output.stderr))
 }
 
-/// Takes a file, changes its text and applies it.
+/// Applies the shown table with `from` replaced by `to`.
 async fn edit(fleet: &Fleet, from: &str, to: &str, options: &[&str]) -> (i32, String) {
     let platform = format!("http://{}", fleet.platform_address());
     let shown_table = fleet.run(&["table", "show", "--platform", &platform]).await;
@@ -147,7 +147,7 @@
     .await;
     assert_eq!(exit, 0, "{output}");
     call_platform_admin(&fleet, "restore").await;
-    // Past the command line, which would wait for the write-back first.
+    // Commits without the command line, which would wait for the write-back first.
     let fork = fleet
         .commit_table(&TABLE.replace("report,redactor,sondeo,5", "report,redactor,sondeo,6"))
         .await;
--- a/crates/trestlewalk/tests/table_support/mod.rs
+++ b/crates/trestlewalk/tests/table_support/mod.rs
@@ -1,4 +1,4 @@
-//! One builder for tests of `trestlewalk table`: a platform and entry instances on the loopback, and the real binary.
+//! A builder for tests of `trestlewalk table`: the real binary against a platform and entry instances on the loopback.
 
 use {
     axum::{Json, Router, extract::State, routing::get},
@@ -12,12 +12,12 @@
 
 pub(crate) const HEADINGS: &str = "work,service,model,rank,weight,limit,zones,first_token,between_tokens,patience,repeat,retries,waste";
 
-/// What an entry instance says of its table.
+/// The table that an entry instance reports, and its availability zone.
 #[derive(Clone)]
 enum EntryTable {
-    /// Whatever the platform has.
+    /// Always the platform's current version.
     Follows(HttpPlatform, &'static str),
-    /// One version for good.
+    /// A fixed version that never advances.
     Stuck(u64, &'static str),
 }
 
@@ -28,7 +28,7 @@
     runtime: Runtime,
 }
 
-/// What the binary did.
+/// Output and exit code of a run.
 pub(crate) struct Outcome {
     pub(crate) error: String,
     pub(crate) exit: i32,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// An instance that has the platform's table at once.
+    /// An instance that takes over the platform's table immediately.
     pub(crate) fn entry(mut self, zone: &'static str) -> Self {
         let entry = EntryTable::Follows(self.client(), zone);
         self.instances.push(self.start(entry));
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Writes `table show` to a file, changes its text, and gives the file's text.
+    /// Writes the output of `table show` to a file with `from` replaced by `to`, and returns the text of the file.
     pub(crate) fn edit_shown(&self, name: &str, from: &str, to: &str) -> String {
         let text = self.run(&["show"]).exit(0).output;
         let edited = text.replace(from, to);
--- a/crates/trestlewalk/tests/whole_path.rs
+++ b/crates/trestlewalk/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Requests from the caller to the last token, through separate processes.
+//! End-to-end requests from the caller to the last token, through separate processes.
 
 mod support;
 
@@ -140,7 +140,7 @@
         .await;
     assert_eq!(reply.code(), 1000, "{}", reply.text());
     for engine in ["gijon-decode-1", "gijon-decode-2"] {
-        wait_until("the places are free", async || {
+        wait_until("the decode places are free", async || {
             fleet.counters(engine).await["places_used"] == 0
         })
         .await;
--- a/crates/trestlewalk/tests/zone_watch.rs
+++ b/crates/trestlewalk/tests/zone_watch.rs
@@ -1,4 +1,4 @@
-//! The watch over availability zones, without a network.
+//! Unit tests of `ZoneWatch`: in which availability zones an edit is in force, by the answers of entry instances.
 
 use {
     std::{collections::BTreeSet, net::SocketAddr, time::Duration},
--- a/crates/trestlewalk/tests/zones.rs
+++ b/crates/trestlewalk/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones that are cut off from each other and from the platform.
+//! Partitions between availability zones and between a zone and the platform.
 
 mod support;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Two availability zones that hear each other, with a table in force everywhere.
+/// Starts two availability zones whose members all know each other and have a table in force.
 async fn start() -> Fleet {
     let fleet = FleetPlan::new()
         .zones(&ZONES)
@@ -57,7 +57,7 @@
 
 async fn wait_partition_noticed(fleet: &Fleet, entry: &str, is_partitioned: bool) {
     wait_until(
-        &format!("{entry} tells of the cut: {is_partitioned}"),
+        &format!("{entry} reports cut: {is_partitioned}"),
         async || {
             let dump = fleet.dump(entry).await;
             dump["peer"]["members"]["zones"][0]["cut"] == is_partitioned
@@ -67,7 +67,7 @@
 }
 
 async fn wait_members(fleet: &Fleet, entry: &str, count: usize) {
-    wait_until(&format!("{entry} hears {count}"), async || {
+    wait_until(&format!("{entry} hears {count} members"), async || {
         let dump = fleet.dump(entry).await;
         let heard = dump["peer"]["members"]["heard"].as_array();
         heard.is_some_and(|heard| heard.len() == count)
