--- a/crates/trestlewalk/tests/close.rs
+++ b/crates/trestlewalk/tests/close.rs
@@ -25,7 +25,7 @@
     release(&fleet);
     let reply = call.await.unwrap().unwrap();
     assert_eq!((reply.status.as_u16(), reply.code()), (200, 1000));
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 #[tokio::test]
@@ -35,8 +35,8 @@
     fleet.terminate(ENTRY);
     let events = stream.all_events().await;
     assert_eq!(events.last().map(String::as_str), Some(DONE_MARKER));
-    assert!(!stream.cut);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert!(!stream.is_truncated);
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
 #[tokio::test]
@@ -54,7 +54,7 @@
     let mut fleet = start(plan).await;
     let call = held_call(&fleet).await;
     fleet.terminate(ENTRY);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(30));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(30));
     let reply = call.await.unwrap().unwrap();
     assert_eq!((reply.status.as_u16(), reply.code()), (503, 3006));
 }
@@ -69,7 +69,7 @@
     let events = stream.all_events().await;
     let last: Value = serde_json::from_str(events.last().unwrap()).unwrap();
     assert_eq!(last["error"]["code"], 3006, "{last}");
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(30));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(30));
 }
 
 #[tokio::test]
@@ -78,7 +78,7 @@
     let _call = held_call(&fleet).await;
     close(&fleet).await;
     fleet.terminate(ENTRY);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(30));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(30));
     assert!(
         fleet
             .log(ENTRY)
@@ -97,10 +97,10 @@
     fleet.terminate(ENTRY);
     release(&fleet);
     assert_eq!(call.await.unwrap().unwrap().code(), 1000);
-    assert_eq!(fleet.exit(ENTRY).await.code(), Some(0));
+    assert_eq!(fleet.wait_exit(ENTRY).await.code(), Some(0));
 }
 
-/// Tells the instance to close, and waits until it says that it is closing.
+/// Sends SIGTERM and waits until the instance reports that it is closing.
 async fn close(fleet: &Fleet) {
     fleet.terminate(ENTRY);
     wait_until("the instance is closing", async || {
@@ -111,17 +111,17 @@
     .await;
 }
 
-/// A call that was sent and is held on its way to the service, until [`release`].
+/// Sends a call that the relay in front of the service holds until [`release`].
 async fn held_call(fleet: &Fleet) -> JoinHandle<Result<CallReply, String>> {
     let relay = fleet.upstream_relay(PLAIN);
     relay.set(RelayMode::Silent);
     let call = fleet.entry(ENTRY).get("/services/carta/tile").work("tile");
     let call = tokio::spawn(call.try_send());
-    wait_until("the call is on its way", async || relay.held() > 0).await;
+    wait_until("the relay holds the call", async || relay.held() > 0).await;
     call
 }
 
-/// A stream whose first event came.
+/// Opens a stream and reads its first event.
 async fn open_stream(fleet: &Fleet) -> SseReply {
     let body = json!({ "prompt": "soundings", "max_tokens": TOKENS, "stream": true });
     let call = fleet.entry(ENTRY).post("/v1/completions").work("assist");
@@ -135,7 +135,7 @@
     fleet.upstream_relay(PLAIN).set(RelayMode::Open);
 }
 
-/// A fleet with a table, whose instance knows the service.
+/// Starts a fleet and waits until its table is in force and the service answers.
 async fn start(plan: FleetPlan) -> Fleet {
     let fleet = plan.start().await;
     fleet.put_table(TABLE).await;
--- a/crates/trestlewalk/tests/support/answer_check.rs
+++ b/crates/trestlewalk/tests/support/answer_check.rs
@@ -1,9 +1,9 @@
-//! Sends many requests of all styles at once and compares every byte of what comes back.
+//! Sends many concurrent completions and chats, streamed and not, and compares every byte of the answers.
 
 use {
     super::{
         Fleet,
-        fleet::CallerSide,
+        fleet::CallerEndpoint,
         http_call::CallReply,
         model_work::{DONE, error_code, expected_text, long_prompt, streamed_text},
     },
@@ -11,28 +11,28 @@
     tokio::task::JoinSet,
 };
 
-/// What came of many requests, each compared with what was expected.
+/// Outcomes of many requests whose answers were compared with the expected text.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerCounts {
-    /// The codes of those that got no answer.
+    /// Result codes of the requests without a complete answer.
     pub codes: Vec<u64>,
-    /// Those that got the whole answer.
-    pub whole: usize,
+    /// Requests with a complete answer.
+    pub complete: usize,
 }
 
-/// Requests of one row, in all styles, at all entry instances.
+/// Requests of one row, completions and chats, streamed and not, spread over all entry instances.
 #[derive(Clone, Debug)]
-pub struct AnswerMix {
-    /// How many.
+pub struct RequestMix {
+    /// Number of requests.
     pub count: usize,
-    /// The tokens of each answer.
+    /// Token limit of each answer.
     pub max_tokens: u32,
-    /// The row.
+    /// Name of the row in the table.
     pub work: String,
 }
 
-impl AnswerMix {
-    /// So many requests of a row.
+impl RequestMix {
+    /// A mix of `count` requests of a row.
     pub fn new(work: &str, count: usize, max_tokens: u32) -> Self {
         Self {
             count,
@@ -41,30 +41,30 @@
         }
     }
 
-    /// Sends all of them at once and compares all answers.
+    /// Sends all requests at once and checks all answers.
     pub async fn run(&self, fleet: &Fleet) -> AnswerCounts {
         let entries = fleet.entry_names();
         let mut tasks = JoinSet::new();
         for number in 0..self.count {
-            let side = fleet.entry(&entries[number % entries.len()]);
+            let endpoint = fleet.entry(&entries[number % entries.len()]);
             let mix = self.clone();
-            tasks.spawn(async move { mix.run_one(side, number).await });
+            tasks.spawn(async move { mix.run_one(endpoint, number).await });
         }
         let mut counts = AnswerCounts::default();
         while let Some(code) = tasks.join_next().await {
             match code.unwrap() {
-                1000 => counts.whole += 1,
+                1000 => counts.complete += 1,
                 code => counts.codes.push(code),
             }
         }
         counts
     }
 
-    async fn run_one(self, side: CallerSide, number: usize) -> u64 {
+    async fn run_one(self, endpoint: CallerEndpoint, number: usize) -> u64 {
         let text = long_prompt(number, 20 + number % 40);
         let stream = number / 2 % 2 == 1;
         if number.is_multiple_of(2) {
-            let call = side.completion(&self.work, &text, self.max_tokens, stream);
+            let call = endpoint.completion(&self.work, &text, self.max_tokens, stream);
             return self.check(call, &text, stream).await;
         }
         let body = json!({
@@ -72,7 +72,7 @@
             "messages": [{ "content": text, "role": "user" }],
             "stream": stream,
         });
-        let call = side
+        let call = endpoint
             .post("/v1/chat/completions")
             .work(&self.work)
             .json(&body);
@@ -83,7 +83,7 @@
     async fn check(&self, call: super::HttpCall, prompt: &str, stream: bool) -> u64 {
         let expected = expected_text(prompt, self.max_tokens);
         if !stream {
-            return check_whole(&call.send().await, &expected);
+            return check_json(&call.send().await, &expected);
         }
         let mut reply = call.stream().await;
         if reply.code() != 1000 {
@@ -94,8 +94,8 @@
     }
 }
 
-/// Checks a whole answer: the expected text, or an error without any text. The code.
-pub fn check_whole(reply: &CallReply, expected: &str) -> u64 {
+/// Checks an answer that was not streamed: the expected text, or an error without any text. Returns the result code.
+pub fn check_json(reply: &CallReply, expected: &str) -> u64 {
     let body: Value = reply.json();
     if reply.code() != 1000 {
         assert!(body["choices"].is_null(), "{body}");
@@ -106,21 +106,25 @@
     let text = choice["text"]
         .as_str()
         .or(choice["message"]["content"].as_str());
-    assert_eq!(text, Some(expected), "the whole answer");
+    assert_eq!(text, Some(expected), "the text of the answer");
     1000
 }
 
-/// Checks a streamed answer: the expected text and the end marker, or the beginning of the text and an error at the end.
-/// The code.
+/// Checks a streamed answer: the expected text and the end marker, or a prefix of the text and a final error. Returns
+/// the result code.
 pub fn check_stream(events: &[String], expected: &str) -> u64 {
     let text = streamed_text(events);
     if events.last().is_some_and(|last| last == DONE) {
-        assert_eq!(text, expected, "the whole stream");
+        assert_eq!(text, expected, "the text of the stream");
         return 1000;
     }
     assert!(!events.iter().any(|event| event == DONE), "{events:?}");
     assert!(expected.starts_with(&text), "{text:?} of {expected:?}");
     let code = error_code(events);
-    assert!(code > 1000, "a stream without an end: {:?}", events.last());
+    assert!(
+        code > 1000,
+        "a stream without an end marker or error: {:?}",
+        events.last()
+    );
     code
 }
