--- a/crates/admit/src/cell_estimates.rs
+++ b/crates/admit/src/cell_estimates.rs
@@ -1,4 +1,4 @@
-//! When a first token is to be expected.
+//! Estimates of the time to the first token.
 
 use {
     crate::{
@@ -9,14 +9,15 @@
     std::time::{Duration, Instant},
 };
 
-/// The share of answers that end within the time that counts as a request's service: a request is late when it is more
-/// likely not to end in time than to.
+/// The quantile of the output length that defines a request's service time. At the median, a request counts as late
+/// when it is more likely to miss its deadline than to meet it.
 const SERVICE_QUANTILE: f64 = 0.5;
-/// Up to this many requests ahead are placed on engines one by one; more count as a fluid.
-const PLACED_LIMIT: f64 = 64.0;
+/// Up to this many requests ahead are assigned to engines one by one. The rest is approximated as a continuous flow.
+const ASSIGNED_LIMIT: f64 = 64.0;
 
 impl CellAllocator {
-    /// What a new request of a row finds before it: better ranks, its own row, and the other rows of its rank by weight.
+    /// The requests that are prefilled before a new request of a row: those of better ranks, those of its own row, and
+    /// a share by weight of the other rows of its rank.
     pub(crate) fn queue_ahead(&self, row: usize) -> QueueAhead {
         let own = &self.rows[row];
         let mut ahead = QueueAhead::default();
@@ -24,7 +25,7 @@
             if state.queue.is_empty() || state.pool != own.pool || state.row.rank > own.row.rank {
                 continue;
             }
-            if index != row && !state.under_limit() {
+            if index != row && !state.is_under_limit() {
                 continue;
             }
             let queued = state.queue.len() as f64;
@@ -39,7 +40,7 @@
         ahead
     }
 
-    /// How long from now until the first token of a request, with some requests before it, by the forecast at hand.
+    /// The expected time to the first token of a request behind the requests in `ahead`. Uses the current forecast.
     pub(crate) fn first_token_after(
         &self,
         now: Instant,
@@ -56,21 +57,21 @@
         let target = state.row.first_token.unwrap_or_default();
         let due = (request.arrived + target).checked_sub(seconds(transfer + pool.step_seconds()));
         let due = due.unwrap_or(now);
-        let claims = pool.claims.iter().take_while(|(time, _)| *time < due);
-        let ends = claims.count() as f64 + ahead.requests + 1.0 - free;
-        let place = pool.forecast.seconds_until(ends);
+        let earlier = pool.reservations.iter().take_while(|(time, _)| *time < due);
+        let ends = earlier.count() as f64 + ahead.requests + 1.0 - free;
+        let place_seconds = pool.forecast.seconds_until(ends);
         let start = pool.start_seconds(now, ahead);
         let start = match state.row.waste <= 0.0 {
-            true => start.max(place),
+            true => start.max(place_seconds),
             false => start,
         };
-        let read = self.read_end_seconds(now, pool, request, start);
-        let ready = read.max(place);
+        let prefill_seconds = self.prefill_end_seconds(now, pool, request, start);
+        let ready = prefill_seconds.max(place_seconds);
         let wait = self.link.wait_seconds(now, ready, transfer);
         seconds(ready + wait + transfer + pool.step_seconds())
     }
 
-    /// How long a request most probably takes from its reading to its last token, at full engines.
+    /// The median time from the start of prefill to the last token, with fully loaded engines.
     pub(crate) fn service_time(&self, row: usize, request: &AdmitRequest) -> Duration {
         let state = &self.rows[row];
         let Some(pool) = self.pools.get(&state.pool) else {
@@ -78,13 +79,13 @@
         };
         let bound = f64::from(request.max_tokens);
         let length = state.sketch.quantile(SERVICE_QUANTILE, bound);
-        let read = pool.least_read_seconds(f64::from(request.prompt_tokens));
+        let prefill_seconds = pool.min_prefill_seconds(f64::from(request.prompt_tokens));
         let transfer = self.link.seconds(request.prompt_tokens);
-        seconds(read + transfer + length * pool.full_step_seconds())
+        seconds(prefill_seconds + transfer + length * pool.full_step_seconds())
     }
 
-    /// Seconds until a prompt is read whose turn comes in `start` seconds.
-    fn read_end_seconds(
+    /// Seconds until the prompt is prefilled if it reaches the head of the queue in `start` seconds.
+    fn prefill_end_seconds(
         &self,
         now: Instant,
         pool: &EnginePool,
@@ -93,18 +94,18 @@
     ) -> f64 {
         let mut best = f64::INFINITY;
         for (upstream, engine) in &pool.prefills {
-            if engine.leaving {
+            if engine.is_draining {
                 continue;
             }
-            let tokens = f64::from(request.prompt_tokens) - self.cached(upstream, request);
+            let tokens = f64::from(request.prompt_tokens) - self.cached_tokens(upstream, request);
             let from = engine.queue_seconds(now).max(start);
-            best = best.min(from + engine.read_seconds(tokens.max(1.0)));
+            best = best.min(from + engine.prefill_seconds(tokens.max(1.0)));
         }
         best
     }
 
-    /// The tokens of a prompt that an engine is thought to hold; the last one is always read.
-    pub(crate) fn cached(&self, upstream: &UpstreamId, request: &AdmitRequest) -> f64 {
+    /// The prompt tokens that an engine probably has in its cache. The last token always has to be prefilled.
+    pub(crate) fn cached_tokens(&self, upstream: &UpstreamId, request: &AdmitRequest) -> f64 {
         if request.prefix.is_empty() {
             return 0.0;
         }
@@ -115,24 +116,24 @@
 }
 
 impl EnginePool {
-    /// Seconds until the next prompt can be read once those before it were given out.
+    /// Seconds until a prefill engine can take the next prompt once those ahead were assigned.
     fn start_seconds(&self, now: Instant, ahead: QueueAhead) -> f64 {
-        let open = self.prefills.values().filter(|engine| !engine.leaving);
+        let open = self.prefills.values().filter(|engine| !engine.is_draining);
         let mut queues: Vec<f64> = open.map(|engine| engine.queue_seconds(now)).collect();
         let engines = queues.len().max(1) as f64;
-        let each = ahead.tokens / self.prefill_rate().max(f64::MIN_POSITIVE) * engines;
-        let each = each / ahead.requests.max(1.0);
-        let placed = ahead.requests.min(PLACED_LIMIT).round() as usize;
-        let fluid = (ahead.requests - PLACED_LIMIT).max(0.0) * each / engines;
-        for _ in 0..placed {
-            if let Some(least) = queues
+        let seconds_each = ahead.tokens / self.prefill_rate().max(f64::MIN_POSITIVE) * engines;
+        let seconds_each = seconds_each / ahead.requests.max(1.0);
+        let assigned = ahead.requests.min(ASSIGNED_LIMIT).round() as usize;
+        let fluid = (ahead.requests - ASSIGNED_LIMIT).max(0.0) * seconds_each / engines;
+        for _ in 0..assigned {
+            if let Some(shortest) = queues
                 .iter_mut()
                 .min_by(|left, right| left.total_cmp(right))
             {
-                *least += each;
+                *shortest += seconds_each;
             }
         }
-        let least = queues.into_iter().reduce(f64::min);
-        least.unwrap_or(0.0) + fluid
+        let shortest = queues.into_iter().reduce(f64::min);
+        shortest.unwrap_or(0.0) + fluid
     }
 }
--- a/crates/admit/src/held_request.rs
+++ b/crates/admit/src/held_request.rs
@@ -1,52 +1,52 @@
-//! One request that the allocator knows.
+//! A request held by the allocator.
 
 use {
     crate::{
-        admit_request::AdmitRequest, pool_key::PoolKey, queue_place::QueuePlace,
+        admit_request::AdmitRequest, pool_key::PoolKey, queue_position::QueuePosition,
         request_phase::RequestPhase,
     },
     kernel::UpstreamId,
     std::time::Instant,
 };
 
-/// A request, its phase and its place in the queue.
+/// A request with its phase, deadlines and position in the queue.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldRequest {
-    /// What its row was charged for its turn, in seconds of the whole pool.
-    pub(crate) charged: f64,
-    /// The first-token target as a time; none for patient rows.
+    /// The service charged to its row, in seconds of the whole pool.
+    pub(crate) charged_seconds: f64,
+    /// The deadline of the first token; `None` for patient rows.
     pub(crate) deadline: Option<Instant>,
-    /// By when it needs a decode place, once it is read or being read.
+    /// When it needs a decode place, once it is prefilling or prefilled.
     pub(crate) due: Instant,
-    /// When it was first granted something.
-    pub(crate) granted: Option<Instant>,
-    /// Where its KV cache lies while it is in transfer, and until when.
+    /// When it first received a grant.
+    pub(crate) granted_at: Option<Instant>,
+    /// The prefill engine that keeps the KV cache during the transfer, and when it evicts it.
     pub(crate) kv: Option<(UpstreamId, Instant)>,
-    /// When it has to be read at the latest to end within its patience; patient rows.
-    pub(crate) latest: Instant,
-    /// The end of its patience.
-    pub(crate) patience: Instant,
-    /// What it holds.
+    /// When prefill must start at the latest to finish within the patience. Used for patient rows.
+    pub(crate) latest_start: Instant,
+    /// When the patience ends.
+    pub(crate) patience_end: Instant,
+    /// The current phase and the resources held in it.
     pub(crate) phase: RequestPhase,
-    /// Where it stands in the queue of its row while it is queued.
-    pub(crate) place: QueuePlace,
+    /// The position in its row's queue while it is queued.
+    pub(crate) position: QueuePosition,
     /// The engines that serve it.
     pub(crate) pool: PoolKey,
-    /// What was asked.
+    /// The submitted request.
     pub(crate) request: AdmitRequest,
     /// The index of its row.
     pub(crate) row: usize,
-    /// When the allocator has to look at it again, whatever happens.
-    pub(crate) timer: Instant,
-    /// How many tries failed.
-    pub(crate) tries: u8,
+    /// When the allocator checks it again if no event arrives.
+    pub(crate) timer_at: Instant,
+    /// The number of failed attempts.
+    pub(crate) failed_tries: u8,
 }
 
 impl HeldRequest {
-    /// When its KV cache is evicted, if it lies at a prefill engine.
-    pub(crate) fn evicts(&self) -> Option<Instant> {
+    /// When its KV cache is evicted; `None` unless a prefill engine keeps it.
+    pub(crate) fn evicts_at(&self) -> Option<Instant> {
         match &self.phase {
-            RequestPhase::Read { evicts, .. } => Some(*evicts),
+            RequestPhase::Prefilled { evicts_at, .. } => Some(*evicts_at),
             _ => None,
         }
     }
--- a/crates/admit/src/row_state.rs
+++ b/crates/admit/src/row_state.rs
@@ -1,41 +1,41 @@
-//! What the allocator keeps for one row of the table.
+//! The allocator's state for one row of the table.
 
 use {
     crate::{
-        length_sketch::LengthSketch, pool_key::PoolKey, queue_place::QueuePlace,
+        length_sketch::LengthSketch, pool_key::PoolKey, queue_position::QueuePosition,
         rate_meter::RateMeter, request_key::RequestKey,
     },
     std::{collections::BTreeMap, time::Duration},
     table::WorkRow,
 };
 
-/// How much a new residence time weighs against the mean of the earlier ones.
+/// The weight of a new sample in the moving average of residence times.
 const RESIDENCE_WEIGHT: f64 = 0.1;
 
-/// The queue of a row, what runs, and the row's place in the turns of its rank.
+/// The queue of a row, its running requests, and its position in the fair queueing of its rank.
 #[derive(Clone, Debug)]
 pub(crate) struct RowState {
-    /// How often requests come.
+    /// The arrival rate of requests.
     pub(crate) arrivals: RateMeter,
-    /// Whether the table has the row.
-    pub(crate) known: bool,
-    /// How many may run at once in this cell.
+    /// Whether the current table contains the row.
+    pub(crate) is_listed: bool,
+    /// The maximum number of running requests in this cell.
     pub(crate) limit: u32,
-    /// The service received over the weight; the row with the least goes next.
+    /// The received service divided by the weight. The row with the lowest value is scheduled next.
     pub(crate) pass: f64,
-    /// The engines that serve it.
+    /// The engines that serve the row.
     pub(crate) pool: PoolKey,
-    /// The requests that wait.
-    pub(crate) queue: BTreeMap<QueuePlace, RequestKey>,
-    /// The prompt tokens of the requests that wait.
+    /// The waiting requests.
+    pub(crate) queue: BTreeMap<QueuePosition, RequestKey>,
+    /// The prompt tokens of the waiting requests.
     pub(crate) queued_tokens: u64,
-    /// How long a request holds something, seconds; none before the first ended.
+    /// The average time for which a request holds resources, in seconds; `None` before the first one ended.
     pub(crate) residence: Option<f64>,
-    /// The row, as the table last had it.
+    /// The row in its most recent version.
     pub(crate) row: WorkRow,
-    /// Requests that hold something.
+    /// The number of requests that hold a resource.
     pub(crate) running: u32,
-    /// The output lengths seen.
+    /// The distribution of output lengths.
     pub(crate) sketch: LengthSketch,
 }
 
@@ -43,7 +43,7 @@
     pub(crate) fn new(row: WorkRow) -> Self {
         Self {
             arrivals: RateMeter::default(),
-            known: true,
+            is_listed: true,
             limit: 0,
             pass: 0.0,
             pool: PoolKey::of_row(&row),
@@ -56,20 +56,21 @@
         }
     }
 
-    /// How long a request holds a decode place at a between-token time, seconds; 0 before any ended.
+    /// The average time, in seconds, for which a request holds a decode place if tokens are `step` seconds apart; 0 before
+    /// the first one ended.
     pub(crate) fn hold_seconds(&self, step: f64) -> f64 {
         self.sketch.mean_seen() * step
     }
 
-    /// Notes how long a request held something.
-    pub(crate) fn note_residence(&mut self, time: Duration) {
+    /// Records how long a request held resources.
+    pub(crate) fn record_residence(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
         let mean = self.residence.unwrap_or(seconds);
         self.residence = Some(mean + (seconds - mean) * RESIDENCE_WEIGHT);
     }
 
     /// Whether one more request may run.
-    pub(crate) fn under_limit(&self) -> bool {
+    pub(crate) fn is_under_limit(&self) -> bool {
         self.running < self.limit
     }
 }
--- a/crates/admit/tests/cell/row_plan.rs
+++ b/crates/admit/tests/cell/row_plan.rs
@@ -1,4 +1,4 @@
-//! Cells, their allocators and their parts of a limit.
+//! Cells, their allocators and the split of limits.
 
 use {
     crate::small_cell::patient,
@@ -43,6 +43,6 @@
             }
         }
         prop_assert_eq!(sum, limit);
-        prop_assert_eq!(plan.homes(&row).is_empty(), limit == 0);
+        prop_assert_eq!(plan.cells_with_capacity(&row).is_empty(), limit == 0);
     }
 }
--- a/crates/bench/src/path/path_world.rs
+++ b/crates/bench/src/path/path_world.rs
@@ -5,7 +5,7 @@
         bench_error::{BenchError, FakeStartSnafu, KeysSnafu, PlatformSnafu},
         path::child_entry::ChildEntry,
     },
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     fake::{EngineSettings, PlatformSettings, StandInEngine, StandInPlatform, model::EngineLinks},
     kernel::unix_time,
     plat::{
@@ -171,7 +171,7 @@
         .role(role)
         .build();
     let links = EngineLinks::new(&settings);
-    StandInEngine::start_on(settings, links)
+    StandInEngine::start_with_links(settings, links)
         .await
         .context(FakeStartSnafu)
 }
--- a/crates/claim/src/forward_table.rs
+++ b/crates/claim/src/forward_table.rs
@@ -1,48 +1,49 @@
-//! Where a request with a ticket goes.
+//! Routes requests with a ticket to its origin or successor.
 
 use {
-    crate::life_key::LifeKey,
+    crate::incarnation_key::IncarnationKey,
     std::{
         collections::BTreeMap,
         time::{Duration, Instant},
     },
 };
 
-/// Where to pass a request on to.
+/// Where to forward a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ForwardCourse {
-    /// The origin is gone: [`OriginGone`](kernel::ResultCode::OriginGone). Nothing but that is true here.
+pub enum ForwardRoute {
+    /// Neither the origin nor a successor is live: answer [`OriginGone`](kernel::ResultCode::OriginGone).
     Gone,
-    /// This instance holds the ticket's life.
+    /// This instance holds the tickets of that incarnation.
     Local,
-    /// That life holds it, or may.
-    Remote(LifeKey),
+    /// That incarnation holds the ticket, or may hold it.
+    Remote(IncarnationKey),
 }
 
 #[derive(Debug)]
 struct SuccessorRecord {
-    learnt: Instant,
-    successor: LifeKey,
+    learned_at: Instant,
+    successor: IncarnationKey,
 }
 
-/// The successors of closed lives, as far as this instance has heard.
+/// The known successors of closed incarnations.
 #[derive(Debug)]
 pub struct ForwardTable {
     retention: Duration,
-    successors: BTreeMap<LifeKey, SuccessorRecord>,
+    successors: BTreeMap<IncarnationKey, SuccessorRecord>,
 }
 
 impl ForwardTable {
-    /// Learns that a life was handed over. The first word stands: a life has one successor.
-    pub fn learn(&mut self, now: Instant, life: LifeKey, successor: LifeKey) {
+    /// Records the successor of an incarnation. The first report wins, since an incarnation has only one
+    /// successor.
+    pub fn add_successor(&mut self, now: Instant, life: IncarnationKey, successor: IncarnationKey) {
         self.sweep(now);
         self.successors.entry(life).or_insert(SuccessorRecord {
-            learnt: now,
+            learned_at: now,
             successor,
         });
     }
 
-    /// No successors; each is forgotten after `retention`, which ought to be the longest expiry of a ticket.
+    /// An empty table. Entries are dropped after `retention`, which should be the maximum expiry of a ticket.
     pub fn new(retention: Duration) -> Self {
         Self {
             retention,
@@ -50,18 +51,19 @@
         }
     }
 
-    /// Where a ticket of `life` goes. `holds` tells what this instance holds, `is_live` which lives still answer.
+    /// Where a ticket of `life` goes. `holds` tells which incarnations this instance holds, `is_live` which
+    /// still answer.
     pub fn route(
         &self,
-        life: &LifeKey,
-        holds: impl Fn(&LifeKey) -> bool,
-        is_live: impl Fn(&LifeKey) -> bool,
-    ) -> ForwardCourse {
+        life: &IncarnationKey,
+        holds: impl Fn(&IncarnationKey) -> bool,
+        is_live: impl Fn(&IncarnationKey) -> bool,
+    ) -> ForwardRoute {
         let mut at = life;
-        // Each step goes to another successor; more steps than there are would be a circle.
+        // Following more links than there are successors would mean a cycle.
         for _ in 0..=self.successors.len() {
             if holds(at) {
-                return ForwardCourse::Local;
+                return ForwardRoute::Local;
             }
             let Some(record) = self.successors.get(at) else {
                 break;
@@ -69,25 +71,25 @@
             at = &record.successor;
         }
         if holds(at) {
-            return ForwardCourse::Local;
+            return ForwardRoute::Local;
         }
         if is_live(at) {
-            return ForwardCourse::Remote(at.clone());
+            return ForwardRoute::Remote(at.clone());
         }
-        ForwardCourse::Gone
+        ForwardRoute::Gone
     }
 
-    /// The successors, by life.
-    pub fn successors(&self) -> impl Iterator<Item = (&LifeKey, &LifeKey)> {
+    /// All pairs of incarnation and successor.
+    pub fn successors(&self) -> impl Iterator<Item = (&IncarnationKey, &IncarnationKey)> {
         self.successors
             .iter()
             .map(|(life, record)| (life, &record.successor))
     }
 
-    /// Forgets what is older than the retention.
+    /// Drops entries that are older than the retention.
     pub fn sweep(&mut self, now: Instant) {
         let retention = self.retention;
         self.successors
-            .retain(|_, record| now.saturating_duration_since(record.learnt) < retention);
+            .retain(|_, record| now.saturating_duration_since(record.learned_at) < retention);
     }
 }
--- a/crates/claim/src/keyed_claim.rs
+++ b/crates/claim/src/keyed_claim.rs
@@ -1,4 +1,4 @@
-//! Turning a caller's idempotency key into a ticket.
+//! Maps a caller's idempotency key to a ticket.
 
 use {
     crate::{
@@ -13,54 +13,55 @@
 };
 
 /// How many further calls to the platform a claim may need before the request is refused.
-const DEFAULT_TRIES: u8 = 5;
+const MAX_ATTEMPTS: u8 = 5;
 
-/// What the claim hears.
+/// An input to a claim.
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
     /// The platform gave no answer; a write may have taken effect.
     NoAnswer,
-    /// The origin of the ticket that the request was passed on to refused it as not run: that ticket never runs.
+    /// The origin that the request was forwarded to refused it as not run: that ticket never runs.
     OriginRefused,
     /// The row was read.
     Read(Option<StoredRow>),
     /// The platform answered a write.
     Reply(TransactionReply),
-    /// The request came in.
+    /// The request was submitted.
     Start,
 }
 
-/// What to do for the claim.
+/// The next action for a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
-#[must_use = "a claim goes on by its action"]
+#[must_use = "a claim makes progress only by its action"]
 pub enum ClaimAction {
-    /// Commit this.
+    /// Commit this transaction.
     Commit(Transaction),
-    /// Pass the request on to the origin of this ticket. When it answers "not run", come back with
+    /// Forward the request to the origin of this ticket. If the origin answers "not run", continue with
     /// [`ClaimEvent::OriginRefused`].
     Forward(Ticket),
     /// Read this row.
     Get(Arc<str>),
-    /// Refuse this submission as not run, and seal the claim's own ticket.
+    /// Refuse this submission as not run, and record the claim's own ticket as refused.
     Refuse(ResultCode),
-    /// The key stands for the claim's own ticket: run it under its permit.
+    /// The key maps to the claim's own ticket: run it under its permit.
     Run,
 }
 
 /// One submission of a request with an idempotency key.
 ///
-/// Take the permit of its ticket before the first write: the ticket's life counts from there, and whoever finds the
-/// row attaches to this run. Each write carries the same ticket, so that one whose reply was lost is recognised.
+/// The permit of its ticket must be taken before the first write: the ticket's lifetime starts there, and
+/// instances that find the row attach to this run. Each write carries the same ticket, so that a write whose
+/// reply was lost is recognised.
 #[derive(Debug)]
 pub struct KeyedClaim {
     key: Arc<str>,
     record: ClaimRecord,
     replacement: Option<ClaimReplacement>,
     seen: Option<Ticket>,
-    tries_left: u8,
+    attempts_left: u8,
 }
 
-/// A claim that never runs again is being replaced: the epoch is read first, then the row once more.
+/// The replacement of a claim that never runs again: the epoch is read first, then the row is read again.
 #[derive(Debug)]
 struct ClaimReplacement {
     ended: Ticket,
@@ -73,18 +74,18 @@
         &self.record.ticket
     }
 
-    /// A claim of the row `key` by the request that `record` names.
+    /// A claim on the row `key` by the request in `record`.
     pub fn new(key: Arc<str>, record: ClaimRecord) -> Self {
         Self {
             key,
             record,
             replacement: None,
             seen: None,
-            tries_left: DEFAULT_TRIES,
+            attempts_left: MAX_ATTEMPTS,
         }
     }
 
-    /// Decides what comes next.
+    /// Handles one event and returns the next action.
     pub fn on_event(
         &mut self,
         clock: ClockReading,
@@ -155,7 +156,7 @@
     ) -> ClaimAction {
         let replacement = self.replacement.take();
         let Some(row) = row else {
-            return self.try_again(self.insert());
+            return self.retry(self.insert());
         };
         let Some(found) = ClaimRecord::from_value(&row.value) else {
             return ClaimAction::Refuse(ResultCode::PlatformDown);
@@ -188,20 +189,20 @@
     }
 
     fn read_row(&mut self) -> ClaimAction {
-        self.try_again(ClaimAction::Get(self.key.clone()))
+        self.retry(ClaimAction::Get(self.key.clone()))
     }
 
-    /// Puts this claim in the place of one that never runs again.
+    /// Starts to replace a claim that never runs again.
     fn replace(&mut self, ended: Ticket) -> ClaimAction {
         self.replacement = Some(ClaimReplacement { ended, epoch: None });
-        self.try_again(ClaimAction::Get(EPOCH_KEY.into()))
+        self.retry(ClaimAction::Get(EPOCH_KEY.into()))
     }
 
-    fn try_again(&mut self, action: ClaimAction) -> ClaimAction {
-        let Some(left) = self.tries_left.checked_sub(1) else {
+    fn retry(&mut self, action: ClaimAction) -> ClaimAction {
+        let Some(left) = self.attempts_left.checked_sub(1) else {
             return ClaimAction::Refuse(ResultCode::PlatformDown);
         };
-        self.tries_left = left;
+        self.attempts_left = left;
         action
     }
 }
--- a/crates/claim/src/ticket_table.rs
+++ b/crates/claim/src/ticket_table.rs
@@ -1,22 +1,22 @@
-//! The tickets that one entry instance is the origin of.
+//! The tickets of which an entry instance is the origin.
 
 use {
     crate::{
+        answer_cache::AnswerCache,
         answer_size::AnswerSize,
         claim_error::{ClaimError, MintLimitSnafu},
-        kept_answers::KeptAnswers,
-        life_key::LifeKey,
+        incarnation_key::IncarnationKey,
+        incarnation_tickets::{IncarnationTickets, UnusedTicket},
         not_run::NotRun,
         outstanding_count::OutstandingCount,
         request_outcome::RequestOutcome,
         run_permit::{RunPermit, RunTicket},
-        sent::Sent,
+        sent_request::SentRequest,
         submit_verdict::SubmitVerdict,
         ticket::{Ticket, checked_name, millis},
-        ticket_life::{TicketLife, UnusedTicket},
         ticket_settings::TicketSettings,
         ticket_state::{RequestDigest, TicketRecord, TicketState},
-        unsent::Unsent,
+        unsent_request::UnsentRequest,
     },
     kernel::{ResultCode, ZoneId, seeded_rng},
     snafu::ensure,
@@ -26,36 +26,36 @@
     },
 };
 
-/// The tickets of this life, and of those that were handed over to it.
+/// The tickets of this incarnation, and of those that were handed over to it.
 ///
-/// A minted ticket costs no record until it is used, since its text says all; a used one is remembered until its
-/// expiry and the retention have passed. The number of both is bounded where tickets are minted.
+/// A minted ticket needs no record until it is used, since its text contains everything needed. A used ticket is
+/// remembered until its expiry and the retention have passed. Minting bounds the number of both.
 #[derive(Debug)]
 pub struct TicketTable<A> {
-    pub(crate) kept: KeptAnswers<A>,
-    pub(crate) life: LifeKey,
-    pub(crate) lives: BTreeMap<LifeKey, TicketLife>,
+    pub(crate) kept: AnswerCache<A>,
+    pub(crate) life: IncarnationKey,
+    pub(crate) lives: BTreeMap<IncarnationKey, IncarnationTickets>,
     minted: u64,
     outstanding: OutstandingCount,
     pub(crate) settings: TicketSettings,
     zone: ZoneId,
 }
 
-/// How much a table holds.
+/// The current size of a table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TicketCounts {
-    /// Bytes of kept answers.
+    /// The total size of cached answers, in bytes.
     pub kept_bytes: usize,
-    /// Lives, with this one.
+    /// The number of incarnations held, including this one.
     pub lives: usize,
-    /// Tickets minted, and not yet past expiry and retention.
+    /// The number of minted tickets that are not yet past expiry and retention.
     pub outstanding: usize,
-    /// Used tickets.
+    /// The number of used tickets.
     pub records: usize,
 }
 
 impl<A: AnswerSize> TicketTable<A> {
-    /// How much the table holds.
+    /// The current size of the table.
     pub fn counts(&self) -> TicketCounts {
         TicketCounts {
             kept_bytes: self.kept.bytes(),
@@ -65,44 +65,49 @@
         }
     }
 
-    /// Records the whole answer of a run, and keeps it for replays if it is small enough.
-    pub fn finish(&mut self, run: RunTicket, sent: Sent, answer: A) -> RequestOutcome<A> {
+    /// Records the complete answer of a run, and caches it for replays if it is small enough.
+    pub fn finish(&mut self, run: RunTicket, sent: SentRequest, answer: A) -> RequestOutcome<A> {
         let known = self.set_state(&run, TicketState::Answered);
         let small = answer.size() <= self.settings.answer_limit;
         if known && small {
-            let (life, serial) = run.place();
+            let (life, serial) = run.key();
             self.kept.insert((life.clone(), serial), answer.clone());
         }
         sent.answered(answer)
     }
 
-    /// Whether this instance holds the tickets of a life.
-    pub fn holds(&self, life: &LifeKey) -> bool {
+    /// Whether this instance holds the tickets of an incarnation.
+    pub fn holds(&self, life: &IncarnationKey) -> bool {
         self.lives.contains_key(life)
     }
 
-    /// This instance's own life.
-    pub fn life(&self) -> &LifeKey {
+    /// This instance's own incarnation.
+    pub fn life(&self) -> &IncarnationKey {
         &self.life
     }
 
-    /// Records that nobody knows what became of a run.
-    pub fn lose(&mut self, run: RunTicket, sent: Sent, code: ResultCode) -> RequestOutcome<A> {
+    /// Records an unknown outcome for a run.
+    pub fn finish_unknown(
+        &mut self,
+        run: RunTicket,
+        sent: SentRequest,
+        code: ResultCode,
+    ) -> RequestOutcome<A> {
         self.set_state(&run, TicketState::Unknown(code));
         sent.unknown(code)
     }
 
-    /// Mints a ticket that is good for `lifetime`, or the longest that the settings allow.
+    /// Mints a ticket that expires after `lifetime`, or after the maximum in the settings if that is shorter.
     ///
     /// # Errors
     ///
-    /// [`ClaimError::MintLimit`] when as many are outstanding as the settings allow.
+    /// [`ClaimError::MintLimit`] when the limit of outstanding tickets is reached.
     pub fn mint(&mut self, now: Instant, lifetime: Duration) -> Result<Ticket, ClaimError> {
         self.sweep(now);
         let limit = self.settings.ticket_limit;
         ensure!(self.outstanding.total < limit, MintLimitSnafu { limit });
         let own = &self.lives[&self.life];
-        let lifetime = lifetime.min(self.settings.longest_expiry);
+        let lifetime = lifetime.min(self.settings.max_expiry);
         let expiry = Duration::from_millis(millis(own.age(now) + lifetime));
         self.minted += 1;
         let mut ticket = Ticket {
@@ -117,14 +122,14 @@
         Ok(ticket)
     }
 
-    /// A table of a life that starts now.
+    /// The table of an incarnation that starts now.
     ///
     /// # Errors
     ///
-    /// [`ClaimError::NameInvalid`] when a ticket can't carry the names.
+    /// [`ClaimError::NameInvalid`] when a ticket cannot contain the names.
     pub fn new(
         now: Instant,
-        life: LifeKey,
+        life: IncarnationKey,
         zone: ZoneId,
         settings: TicketSettings,
     ) -> Result<Self, ClaimError> {
@@ -132,9 +137,9 @@
         checked_name("zone", &zone)?;
         let seed = seeded_rng::mix(settings.secret, life.instance.as_bytes());
         let check_key = seeded_rng::mix(seed, &life.incarnation.to_le_bytes());
-        let own = TicketLife::new(now, Duration::ZERO, check_key, 0);
+        let own = IncarnationTickets::new(now, Duration::ZERO, check_key, 0);
         Ok(Self {
-            kept: KeptAnswers::new(settings.kept_limit),
+            kept: AnswerCache::new(settings.cache_limit),
             lives: BTreeMap::from([(life.clone(), own)]),
             life,
             minted: 0,
@@ -144,20 +149,26 @@
         })
     }
 
-    /// Seals a ticket as refused, and gives the answer that its request did not run.
-    pub fn refuse<T>(&mut self, permit: RunPermit, unsent: Unsent<T>, code: ResultCode) -> NotRun {
-        self.seal(permit, code);
+    /// Records a ticket as refused, and returns the answer that its request did not run.
+    pub fn refuse<T>(
+        &mut self,
+        permit: RunPermit,
+        unsent: UnsentRequest<T>,
+        code: ResultCode,
+    ) -> NotRun {
+        self.mark_refused(permit, code);
         unsent.into_not_run(code)
     }
 
-    /// Seals a ticket as refused, when its request goes on by another ticket: its caller's key stands for that one.
-    pub fn seal(&mut self, permit: RunPermit, code: ResultCode) {
+    /// Records a ticket as refused. Used when the caller's key maps to another ticket, by which the request
+    /// continues.
+    pub fn mark_refused(&mut self, permit: RunPermit, code: ResultCode) {
         if let Some(record) = self.record_mut(&permit) {
             record.state = TicketState::Refused(code);
         }
     }
 
-    /// Decides on a request that comes with a ticket.
+    /// Decides how to handle a request with a ticket.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -191,7 +202,7 @@
         }
     }
 
-    /// Drops what is past its expiry and the retention. Minting and submitting do it too.
+    /// Removes records that are past expiry and retention. Minting and submitting do this too.
     pub fn sweep(&mut self, now: Instant) {
         let retention = self.settings.retention;
         for (key, life) in &mut self.lives {
@@ -210,9 +221,9 @@
             .get_mut(&permit.serial)
     }
 
-    /// Whether the record was still there.
+    /// Sets the state of a run; returns whether its record still exists.
     fn set_state(&mut self, run: &RunTicket, state: TicketState) -> bool {
-        let (life, serial) = run.place();
+        let (life, serial) = run.key();
         let records = self.lives.get_mut(life).map(|life| &mut life.records);
         let Some(record) = records.and_then(|records| records.get_mut(&serial)) else {
             return false;
@@ -242,9 +253,9 @@
     }
 }
 
-/// The verdict on a ticket that did not run, and never will.
+/// The verdict on a ticket that did not run and never will.
 pub(crate) fn refused<A>(code: ResultCode) -> SubmitVerdict<A> {
-    SubmitVerdict::Decided(RequestOutcome::NotRun(NotRun::vouched(code)))
+    SubmitVerdict::Decided(RequestOutcome::NotRun(NotRun::from_code(code)))
 }
 
 fn forgotten<A>() -> SubmitVerdict<A> {
--- a/crates/door/src/door_server.rs
+++ b/crates/door/src/api_server.rs
@@ -1,8 +1,8 @@
-//! Listens for callers.
+//! The HTTP server for callers.
 
 use {
     crate::{
-        chat_handler, completion_handler, door_shared::DoorShared, error_answer::ErrorAnswer,
+        api_context::ApiContext, chat_handler, completion_handler, error_answer::ErrorAnswer,
         service_handler,
     },
     axum::{Router, routing},
@@ -13,46 +13,46 @@
         server::graceful::GracefulShutdown,
         service::TowerToHyperService,
     },
-    kernel::{CloseSignal, ResultCode},
+    kernel::{ResultCode, ShutdownSignal},
     std::{sync::Arc, time::Duration},
     tokio::{net::TcpListener, time},
 };
 
-/// The wait after a connection that could not be taken, such as for want of file handles.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Serves callers until it is closed.
-pub struct DoorServer<E> {
+/// Accepts the connections of callers and serves their requests.
+pub struct ApiServer<E> {
     listener: TcpListener,
     router: Router,
-    shared: Arc<DoorShared<E>>,
+    context: Arc<ApiContext<E>>,
 }
 
-impl<E: ModelEngine> DoorServer<E> {
-    /// A server of the callers that connect to `listener`.
-    pub fn new(listener: TcpListener, shared: Arc<DoorShared<E>>) -> Self {
-        let router = routes(shared.clone());
+impl<E: ModelEngine> ApiServer<E> {
+    /// Creates a server with the default routes on `listener`.
+    pub fn new(listener: TcpListener, context: Arc<ApiContext<E>>) -> Self {
+        let router = routes(context.clone());
         Self {
             listener,
             router,
-            shared,
+            context,
         }
     }
 
-    /// The handlers of callers' requests.
+    /// The current routes.
     pub fn router(&self) -> Router {
         self.router.clone()
     }
 
-    /// The same server with other routes, such as those that put tickets before the handlers.
+    /// Replaces the routes, for example with those that handle tickets first.
     pub fn with_router(mut self, router: Router) -> Self {
         self.router = router;
         self
     }
 
-    /// Serves until the signal; then takes no connection, and waits up to `limit` for those under way. `false` when the
-    /// limit ended some.
-    pub async fn run(self, signal: CloseSignal, limit: Duration) -> bool {
+    /// Serves until `signal` is raised, then stops accepting connections and waits up to `limit` for the open ones.
+    /// Returns `false` if some were still open at the limit.
+    pub async fn run(self, signal: ShutdownSignal, limit: Duration) -> bool {
         let graceful = GracefulShutdown::new();
         loop {
             let accepted = tokio::select! {
@@ -60,20 +60,20 @@
                 accepted = self.listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
-            // A socket that refuses the option still serves.
+            // The connection works without the option.
             let _ = stream.set_nodelay(true);
             let service = TowerToHyperService::new(self.router.clone());
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(self.shared.limits.header_timeout)
-                .max_buf_size(self.shared.limits.headers)
+                .header_read_timeout(self.context.limits.header_timeout)
+                .max_buf_size(self.context.limits.headers)
                 .serve_connection(TokioIo::new(stream), service);
             let watched = graceful.watch(connection);
             tokio::spawn(async move {
-                // The caller sees the error on its own side.
+                // The caller sees a connection error itself.
                 let _ = watched.await;
             });
         }
@@ -81,7 +81,7 @@
     }
 }
 
-fn routes<E: ModelEngine>(shared: Arc<DoorShared<E>>) -> Router {
+fn routes<E: ModelEngine>(context: Arc<ApiContext<E>>) -> Router {
     Router::new()
         .route(
             "/services/{service}/{*path}",
@@ -98,5 +98,5 @@
         .fallback(async || {
             ErrorAnswer::of(ResultCode::RequestInvalid).with_detail("there is nothing at this path")
         })
-        .with_state(shared)
+        .with_state(context)
 }
--- a/crates/fake/src/model/engine_driver.rs
+++ b/crates/fake/src/model/engine_driver.rs
@@ -1,18 +1,18 @@
-//! Carries out what an engine's core decides.
+//! Executes the actions of an engine's core.
 
 use {
     super::{
-        core_prefill::ExportMiss,
+        connection_guard::ConnectionGuard,
+        core_prefill::ExportError,
         engine_core::EngineCore,
         engine_event::{EngineAction, EngineCall, EngineEvent, KvImport, KvRecord},
         engine_run::{KvHandle, RunEnd, RunId, RunView},
         kv_client::KvClient,
-        run_guard::RunGuard,
         stand_in_engine::EngineLinks,
     },
-    crate::expected_answer::prompt_digits,
+    crate::expected_answer::prompt_digest,
     engine::wire::{EngineOrder, OrderRefusal},
-    kernel::CloseSignal,
+    kernel::ShutdownSignal,
     std::{
         collections::BTreeMap,
         future::Future,
@@ -41,22 +41,22 @@
     address: SocketAddr,
     client: KvClient,
     links: EngineLinks,
-    signal: CloseSignal,
+    signal: ShutdownSignal,
     state: Mutex<DriverState>,
     tracker: TaskTracker,
     wake: Notify,
 }
 
-/// One connection's view of a run.
+/// Subscription of one connection to the progress of a run.
 #[derive(Debug)]
-pub(super) struct RunReader {
+pub(super) struct RunSubscription {
     pub(super) call: EngineCall,
-    _guard: RunGuard,
+    _guard: ConnectionGuard,
     pub(super) views: watch::Receiver<RunView>,
 }
 
-impl RunReader {
-    /// Why an answer of so many tokens ends.
+impl RunSubscription {
+    /// Finish reason of a completion of `tokens` tokens.
     pub(super) fn finish_reason(&self, tokens: u32) -> Arc<str> {
         let reason = match tokens < self.call.max_tokens {
             false => "length",
@@ -66,54 +66,54 @@
     }
 }
 
-/// An engine's core with its timers and transfers; clones share it.
+/// An engine's core with its timers and transfers; clones share the state.
 #[derive(Clone, Debug)]
 pub(super) struct EngineDriver {
     shared: Arc<DriverShared>,
 }
 
 impl EngineDriver {
-    /// Where the engine answers.
+    /// Address of the engine's own interface.
     pub(super) fn address(&self) -> SocketAddr {
         self.shared.address
     }
 
-    /// Cancels the run of a request id; `false` if the engine holds nothing of it.
+    /// Cancels the run of a request id; returns `false` if it is not active.
     pub(super) fn cancel(&self, id: &str) -> bool {
         let mut state = self.lock();
-        let Some(run) = state.core.run_of(id) else {
+        let Some(run) = state.core.find_run(id) else {
             return false;
         };
-        let held = state.core.is_held(run);
+        let held = state.core.holds_resources(run);
         self.apply(&mut state, EngineEvent::Cancel(run));
         held
     }
 
-    /// Finds an exported KV cache and keeps it for a transfer that begins.
+    /// Finds an exported KV cache and extends its lifetime for a transfer that is starting.
     pub(super) fn claim_export(
         &self,
         handle: KvHandle,
-        digits: &str,
-    ) -> Result<KvRecord, ExportMiss> {
+        digest: &str,
+    ) -> Result<KvRecord, ExportError> {
         let mut state = self.lock();
-        let record = state.core.find_export(handle, digits)?;
+        let record = state.core.find_export(handle, digest)?;
         self.apply(&mut state, EngineEvent::KvClaimed(handle));
         Ok(record)
     }
 
-    /// Stops timers and transfers.
+    /// Stops timers and transfers and waits for their tasks.
     pub(super) async fn close(self) {
         self.shared.signal.raise();
         self.shared.tracker.close();
         self.shared.tracker.wait().await;
     }
 
-    /// Hands an event to the core.
+    /// Passes an event to the core and executes the resulting actions.
     pub(super) fn handle(&self, event: EngineEvent) {
         self.apply(&mut self.lock(), event);
     }
 
-    /// Starts an engine that answers at `address`.
+    /// Creates the driver and starts its timers. `address` is advertised in KV transfer parameters.
     pub(super) fn new(core: EngineCore, address: SocketAddr, links: EngineLinks) -> Self {
         let state = DriverState {
             core,
@@ -126,17 +126,17 @@
                 address,
                 client: KvClient::new(),
                 links,
-                signal: CloseSignal::new(),
+                signal: ShutdownSignal::new(),
                 state: Mutex::new(state),
                 tracker: TaskTracker::new(),
                 wake: Notify::new(),
             }),
         };
-        driver.spawn(driver.clone().keep_time());
+        driver.spawn(driver.clone().run_timers());
         driver
     }
 
-    /// Checks an order and carries it out.
+    /// Checks an order's fencing token and executes the order.
     pub(super) fn order(&self, order: EngineOrder) -> Result<(), OrderRefusal> {
         let mut state = self.lock();
         state.core.check_order(Instant::now(), &order)?;
@@ -144,10 +144,10 @@
         Ok(())
     }
 
-    /// Reads the run of a request id again; nothing if it can't be resumed.
-    pub(super) fn resume(&self, id: &str) -> Option<RunReader> {
+    /// Subscribes again to the run of a request id; `None` if it cannot be resumed.
+    pub(super) fn resume(&self, id: &str) -> Option<RunSubscription> {
         let mut state = self.lock();
-        let run = state.core.run_of(id)?;
+        let run = state.core.find_run(id)?;
         let call = state.core.call(run)?.clone();
         if call.keep_kv {
             return None;
@@ -155,11 +155,11 @@
         let views = state.views.get(&run)?.subscribe();
         self.apply(&mut state, EngineEvent::Reconnected(run));
         drop(state);
-        Some(self.reader(run, call, views))
+        Some(self.subscription(run, call, views))
     }
 
-    /// Hands a call to the core.
-    pub(super) fn submit(&self, call: EngineCall) -> RunReader {
+    /// Submits a call to the core and subscribes to its run.
+    pub(super) fn submit(&self, call: EngineCall) -> RunSubscription {
         let mut state = self.lock();
         let run = state.next_run;
         state.next_run += 1;
@@ -171,10 +171,10 @@
         };
         self.apply(&mut state, submit);
         drop(state);
-        self.reader(run, call, views)
+        self.subscription(run, call, views)
     }
 
-    /// Does something with the core.
+    /// Runs a closure on the core while its lock is held.
     pub(super) fn with<T>(&self, work: impl FnOnce(&mut EngineCore) -> T) -> T {
         work(&mut self.lock().core)
     }
@@ -183,12 +183,12 @@
         let mut actions = Vec::new();
         state.core.on_event(Instant::now(), event, &mut actions);
         for action in actions {
-            self.act(state, action);
+            self.execute(state, action);
         }
         self.shared.wake.notify_one();
     }
 
-    fn act(&self, state: &mut DriverState, action: EngineAction) {
+    fn execute(&self, state: &mut DriverState, action: EngineAction) {
         match action {
             EngineAction::ClaimKv {
                 import,
@@ -201,7 +201,7 @@
             EngineAction::LoadWeights { bytes, model } => {
                 let driver = self.clone();
                 self.spawn(async move {
-                    driver.shared.links.weights.carry(bytes).await;
+                    driver.shared.links.weights.transfer(bytes).await;
                     driver.handle(EngineEvent::ModelLoaded(model));
                 });
             }
@@ -224,12 +224,12 @@
     }
 
     async fn claim(self, import: KvImport, prompt: Arc<str>, run: RunId) {
-        let digits = prompt_digits(&prompt);
-        let answer = self.shared.client.claim(&import, &digits).await;
+        let digest = prompt_digest(&prompt);
+        let answer = self.shared.client.claim(&import, &digest).await;
         self.handle(EngineEvent::KvAnswered { answer, run });
     }
 
-    async fn keep_time(self) {
+    async fn run_timers(self) {
         loop {
             let due = self.with(|core| core.next_wake());
             let Some(due) = due else {
@@ -248,9 +248,14 @@
         state.unwrap_or_else(|poison| poison.into_inner())
     }
 
-    fn reader(&self, run: RunId, call: EngineCall, views: watch::Receiver<RunView>) -> RunReader {
-        RunReader {
-            _guard: RunGuard::new(self.clone(), run),
+    fn subscription(
+        &self,
+        run: RunId,
+        call: EngineCall,
+        views: watch::Receiver<RunView>,
+    ) -> RunSubscription {
+        RunSubscription {
+            _guard: ConnectionGuard::new(self.clone(), run),
             call,
             views,
         }
@@ -269,7 +274,7 @@
     async fn transfer(self, bytes: f64, run: RunId) {
         tokio::select! {
             () = self.shared.signal.raised() => return,
-            () = self.shared.links.transfers.carry(bytes) => {}
+            () = self.shared.links.transfers.transfer(bytes) => {}
         }
         self.lock().transfers.remove(&run);
         self.handle(EngineEvent::TransferEnded(run));
--- a/crates/fake/src/model/load_history.rs
+++ b/crates/fake/src/model/load_history.rs
@@ -1,7 +1,7 @@
-//! What an engine's load was a while ago.
+//! Past load of an engine, for stale load reports.
 
 use {
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     kernel::ModelId,
     std::{
         collections::VecDeque,
@@ -9,9 +9,9 @@
     },
 };
 
-/// The parts of a load report that change.
+/// Variable part of a load report.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct LoadMoment {
+pub(super) struct LoadSnapshot {
     pub(super) decode_used: u32,
     pub(super) leaving: bool,
     pub(super) models: Vec<ModelId>,
@@ -19,44 +19,48 @@
     pub(super) role: EngineRole,
 }
 
-/// The load by the time at which it changed, back to the lag and one change more.
+/// Load by time of change. Covers the lag and the last change before it.
 #[derive(Clone, Debug)]
 pub(super) struct LoadHistory {
     lag: Duration,
-    moments: VecDeque<(Instant, LoadMoment)>,
+    snapshots: VecDeque<(Instant, LoadSnapshot)>,
 }
 
 impl LoadHistory {
-    /// The load as it was before the lag; the oldest known one before that.
-    pub(super) fn lagging(&self, now: Instant) -> Option<&LoadMoment> {
-        for (changed, moment) in self.moments.iter().rev() {
-            if *changed + self.lag <= now {
-                return Some(moment);
+    /// Load as of `lag` ago, or the oldest recorded load if the history is shorter.
+    pub(super) fn delayed(&self, now: Instant) -> Option<&LoadSnapshot> {
+        for (changed_at, snapshot) in self.snapshots.iter().rev() {
+            if *changed_at + self.lag <= now {
+                return Some(snapshot);
             }
         }
-        self.moments.front().map(|(_, moment)| moment)
+        self.snapshots.front().map(|(_, snapshot)| snapshot)
     }
 
-    /// An empty history.
+    /// Creates an empty history.
     pub(super) fn new(lag: Duration) -> Self {
         Self {
             lag,
-            moments: VecDeque::new(),
+            snapshots: VecDeque::new(),
         }
     }
 
-    /// Takes down the load if it changed.
-    pub(super) fn record(&mut self, now: Instant, moment: LoadMoment) {
-        if self.moments.back().is_some_and(|(_, last)| *last == moment) {
+    /// Records the load if it changed.
+    pub(super) fn record(&mut self, now: Instant, snapshot: LoadSnapshot) {
+        if self
+            .snapshots
+            .back()
+            .is_some_and(|(_, last)| *last == snapshot)
+        {
             return;
         }
-        self.moments.push_back((now, moment));
+        self.snapshots.push_back((now, snapshot));
         while self
-            .moments
+            .snapshots
             .get(1)
-            .is_some_and(|(changed, _)| *changed + self.lag <= now)
+            .is_some_and(|(changed_at, _)| *changed_at + self.lag <= now)
         {
-            self.moments.pop_front();
+            self.snapshots.pop_front();
         }
     }
 }
--- a/crates/fake/src/model/rate_link.rs
+++ b/crates/fake/src/model/rate_link.rs
@@ -1,7 +1,7 @@
-//! A link of limited rate that many transfers share.
+//! Link of limited bandwidth shared by concurrent transfers.
 
 use {
-    crate::share_table::ShareTable,
+    crate::fair_share_table::FairShareTable,
     std::{
         collections::BTreeSet,
         sync::{Arc, Mutex, MutexGuard},
@@ -16,7 +16,7 @@
 struct LinkState {
     ended: BTreeSet<TransferKey>,
     next_key: TransferKey,
-    table: ShareTable<TransferKey>,
+    table: FairShareTable<TransferKey>,
 }
 
 #[derive(Debug)]
@@ -25,34 +25,34 @@
     state: Mutex<LinkState>,
 }
 
-/// A link, or a weight store; clones share its rate.
+/// A link or weight store; clones share its rate.
 #[derive(Clone, Debug)]
 pub struct RateLink {
     shared: Arc<LinkShared>,
 }
 
 impl RateLink {
-    /// Carries so many units; the call ends when they are over. Dropping it gives the transfer up.
-    pub async fn carry(&self, units: f64) {
+    /// Transfers `units` and returns when they have arrived. Dropping the future aborts the transfer.
+    pub async fn transfer(&self, units: f64) {
         let transfer = self.start(units);
         loop {
             let changed = self.shared.changed.notified();
-            let Some(next_end) = transfer.next_end() else {
+            let Some(next_completion) = transfer.next_completion() else {
                 return;
             };
             tokio::select! {
                 () = changed => {}
-                () = time::sleep_until(next_end.into()) => {}
+                () = time::sleep_until(next_completion.into()) => {}
             }
         }
     }
 
-    /// A link of so many units a second; zero or less for one without a limit.
+    /// Creates a link of `rate` units per second; zero or less means unlimited.
     pub fn new(rate: f64) -> Self {
         let state = LinkState {
             ended: BTreeSet::new(),
             next_key: 0,
-            table: ShareTable::new(rate),
+            table: FairShareTable::new(rate),
         };
         Self {
             shared: Arc::new(LinkShared {
@@ -93,14 +93,14 @@
 }
 
 impl TransferGuard<'_> {
-    /// When the next transfer of the link ends; nothing once this one has.
-    fn next_end(&self) -> Option<Instant> {
+    /// Completion time of the link's next transfer; `None` once this transfer is complete.
+    fn next_completion(&self) -> Option<Instant> {
         let mut state = self.link.lock();
         self.link.advance(Instant::now(), &mut state);
         if state.ended.contains(&self.key) {
             return None;
         }
-        state.table.next_end()
+        state.table.next_completion()
     }
 }
 
--- a/crates/fake/src/model/token_body.rs
+++ b/crates/fake/src/model/token_body.rs
@@ -1,14 +1,14 @@
-//! The SSE body of a stream.
+//! Server-sent events body of a streamed completion.
 
 use {
     super::{
-        engine_driver::RunReader,
+        engine_driver::RunSubscription,
         engine_faults::EngineFaults,
         engine_run::{RunEnd, RunView},
     },
     crate::{
-        expected_answer::{prompt_digits, prompt_tokens, token_text},
-        net::CutBody,
+        expected_answer::{prompt_digest, prompt_tokens, token_text},
+        net::ConnectionAborted,
     },
     axum::body::Body,
     bytes::Bytes,
@@ -18,50 +18,50 @@
     tokio::task,
 };
 
-/// The object that chunks and whole answers name.
+/// Value of `object` in chunks and complete responses.
 pub(super) const COMPLETION_OBJECT: &str = "text_completion";
-/// An event that nothing can read.
+/// Malformed event sent by the `garbage` fault.
 const GARBAGE_EVENT: &str = "data: {\"choices\": \u{1}<<<\n\n";
 
-/// Writes a run's tokens as they come.
+/// Writes a run's tokens as they are generated.
 #[derive(Debug)]
 pub(super) struct TokenBody {
-    digits: String,
+    digest: String,
     faults: EngineFaults,
     next: u32,
-    reader: RunReader,
+    subscription: RunSubscription,
     sent: u32,
 }
 
 enum BodyStep {
-    Cut,
+    Abort,
     Last(String),
     More(String),
 }
 
 impl TokenBody {
-    /// Writes the tokens from `offset` on.
-    pub(super) fn new(faults: EngineFaults, reader: RunReader, offset: u32) -> Self {
+    /// Creates a body that starts with the token at `offset`.
+    pub(super) fn new(faults: EngineFaults, subscription: RunSubscription, offset: u32) -> Self {
         Self {
-            digits: prompt_digits(&reader.call.prompt),
+            digest: prompt_digest(&subscription.call.prompt),
             faults,
             next: offset,
-            reader,
+            subscription,
             sent: 0,
         }
     }
 
-    /// The body itself.
+    /// Converts the writer into a response body.
     pub(super) fn into_body(self) -> Body {
         let pieces = stream::unfold(Some((self, false)), |state| async move {
-            let (mut body, cut) = state?;
-            if cut {
-                // Lets the server flush what came before the cut.
+            let (mut body, is_aborted) = state?;
+            if is_aborted {
+                // Lets the server flush the bytes before the abort.
                 task::yield_now().await;
-                return Some((Err(CutBody), None));
+                return Some((Err(ConnectionAborted), None));
             }
             match body.step().await {
-                BodyStep::Cut => Some((Ok(Bytes::new()), Some((body, true)))),
+                BodyStep::Abort => Some((Ok(Bytes::new()), Some((body, true)))),
                 BodyStep::Last(text) => Some((Ok(Bytes::from(text)), None)),
                 BodyStep::More(text) => Some((Ok(Bytes::from(text)), Some((body, false)))),
             }
@@ -74,23 +74,23 @@
             return BodyStep::Last(GARBAGE_EVENT.to_owned());
         }
         loop {
-            if self.is_at_cut() {
-                return BodyStep::Cut;
+            if self.is_at_token_limit() {
+                return BodyStep::Abort;
             }
-            let view = self.reader.views.borrow_and_update().clone();
+            let view = self.subscription.views.borrow_and_update().clone();
             if self.next < view.tokens {
                 return BodyStep::More(self.write_token(&view));
             }
             if let Some(end) = &view.end {
                 return BodyStep::Last(end_text(end));
             }
-            if self.reader.views.changed().await.is_err() {
-                return BodyStep::Cut;
+            if self.subscription.views.changed().await.is_err() {
+                return BodyStep::Abort;
             }
         }
     }
 
-    fn is_at_cut(&self) -> bool {
+    fn is_at_token_limit(&self) -> bool {
         let limit = self.faults.stop_after_tokens;
         limit.is_some_and(|limit| self.sent >= limit)
     }
@@ -109,12 +109,12 @@
 
     fn chunk(&self, view: &RunView) -> CompletionChunk {
         let is_last = self.next + 1 == view.target;
-        let call = &self.reader.call;
+        let call = &self.subscription.call;
         CompletionChunk {
             choices: vec![CompletionChoice {
-                finish_reason: is_last.then(|| self.reader.finish_reason(view.target)),
+                finish_reason: is_last.then(|| self.subscription.finish_reason(view.target)),
                 index: 0,
-                text: token_text(&self.digits, self.next),
+                text: token_text(&self.digest, self.next),
             }],
             id: call.id.clone(),
             model: call.model.clone(),
@@ -126,7 +126,7 @@
     }
 }
 
-/// The token counts of a whole answer.
+/// Token counts of a complete response.
 pub(super) fn usage(prompt: &str, view: &RunView) -> TokenUsage {
     TokenUsage {
         completion_tokens: view.target,
--- a/crates/fake/src/platform/row_table.rs
+++ b/crates/fake/src/platform/row_table.rs
@@ -1,22 +1,22 @@
-//! Rows with versions, written together under conditions.
+//! Versioned rows with conditional transactions.
 
 use {
     plat::{RowWrite, StoredRow, Transaction, TransactionReply},
     std::{collections::BTreeMap, ops::Bound, sync::Arc},
 };
 
-/// The platform's table service as a value.
+/// In-memory table of versioned rows.
 #[derive(Clone, Debug, Default)]
 pub struct RowTable {
     rows: BTreeMap<Arc<str>, StoredRow>,
 }
 
 impl RowTable {
-    /// Does all writes of a transaction if all its conditions hold, and none otherwise.
+    /// Applies all writes of a transaction if all its conditions hold, and none otherwise.
     pub fn commit(&mut self, transaction: &Transaction) -> TransactionReply {
-        if !self.allows(transaction) {
+        if !self.conditions_hold(transaction) {
             return TransactionReply::Conflict {
-                rows: self.named_rows(transaction),
+                rows: self.condition_rows(transaction),
             };
         }
         for write in &transaction.writes {
@@ -25,12 +25,12 @@
         TransactionReply::Committed
     }
 
-    /// One row.
+    /// Row of a key; `None` if it does not exist.
     pub fn get(&self, key: &str) -> Option<&StoredRow> {
         self.rows.get(key)
     }
 
-    /// The rows whose key starts with `prefix`, by key.
+    /// Rows whose key starts with `prefix`, sorted by key.
     pub fn scan(&self, prefix: &str) -> Vec<StoredRow> {
         self.rows
             .range::<str, _>((Bound::Included(prefix), Bound::Unbounded))
@@ -39,7 +39,7 @@
             .collect()
     }
 
-    fn allows(&self, transaction: &Transaction) -> bool {
+    fn conditions_hold(&self, transaction: &Transaction) -> bool {
         transaction
             .conditions
             .iter()
@@ -59,7 +59,7 @@
         self.rows.insert(write.key.clone(), row);
     }
 
-    fn named_rows(&self, transaction: &Transaction) -> Vec<StoredRow> {
+    fn condition_rows(&self, transaction: &Transaction) -> Vec<StoredRow> {
         transaction
             .conditions
             .iter()
--- a/crates/flow/src/cell_driver.rs
+++ b/crates/flow/src/cell_driver.rs
@@ -1,21 +1,21 @@
-//! Drives the allocator of one cell: gives it events and carries its decisions to whoever holds the requests.
+//! Drives the allocator of one cell: passes events to it and delivers its decisions to the holders of the requests.
 
 use {
     crate::{cell_frame::CellFrame, cell_notice::CellGrant, open_keys::OpenKeys},
     admit::{AdmitAction, AdmitEvent, AdmitPolicy, RequestKey},
-    kernel::{CloseSignal, LockRank, ModelId, RankedLock},
+    kernel::{LockRank, ModelId, RankedLock, ShutdownSignal},
     std::{sync::Arc, time::Instant},
     table::WorkTable,
     tokio::{sync::Notify, time},
 };
 
-/// Carries a decision to the entry instance that holds the request.
+/// Delivers decisions to the entry instances that hold the requests.
 pub trait GrantSink: Send + Sync + 'static {
-    /// Delivers one grant; a request that is no longer held is dropped.
+    /// Delivers one grant. A grant for a request that is no longer held is dropped.
     fn deliver(&self, model: &ModelId, key: RequestKey, grant: CellGrant);
 }
 
-/// One cell's allocator with its timer.
+/// The allocator of one cell with its timer.
 pub struct CellDriver<P, S> {
     model: ModelId,
     sink: Arc<S>,
@@ -24,11 +24,11 @@
 }
 
 struct CellState<P> {
-    /// Events of requests that came before the allocator knew its engines; `None` once it does.
-    early: Option<Vec<AdmitEvent>>,
-    open: OpenKeys,
+    /// Request events that arrived before the allocator knew its engines; `None` afterwards.
+    buffered: Option<Vec<AdmitEvent>>,
+    open_keys: OpenKeys,
     policy: P,
-    /// The table that the allocator was told last.
+    /// The table that the allocator last received.
     table: Option<Arc<WorkTable>>,
     wake_at: Option<Instant>,
 }
@@ -38,7 +38,7 @@
     P: AdmitPolicy + Send + 'static,
     S: GrantSink,
 {
-    /// A driver around the allocator of one model's cell.
+    /// Creates a driver for the allocator of a model's cell.
     pub fn new(model: ModelId, policy: P, sink: Arc<S>) -> Self {
         Self {
             model,
@@ -46,8 +46,8 @@
             state: RankedLock::new(
                 LockRank::Allocator,
                 CellState {
-                    early: Some(Vec::new()),
-                    open: OpenKeys::default(),
+                    buffered: Some(Vec::new()),
+                    open_keys: OpenKeys::default(),
                     policy,
                     table: None,
                     wake_at: None,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Whether a table differs from the one that came here before; it counts as told from then on.
-    pub fn is_news(&self, table: &Arc<WorkTable>) -> bool {
+    /// Stores the table and returns whether it differs from the previous one.
+    pub fn replace_table(&self, table: &Arc<WorkTable>) -> bool {
         let mut state = self.state.lock();
         if state.table.as_ref() == Some(table) {
             return false;
@@ -67,26 +67,26 @@
         true
     }
 
-    /// Reads the allocator's state.
+    /// Reads the state of the allocator.
     pub fn inspect<T>(&self, read: impl FnOnce(&P) -> T) -> T {
         read(&self.state.lock().policy)
     }
 
-    /// Gives one event to the allocator and delivers what it decides.
+    /// Passes one event to the allocator and delivers its decisions.
     pub fn on_event(&self, event: AdmitEvent) {
-        let actions = self.take(&mut self.state.lock(), event);
+        let actions = self.apply(&mut self.state.lock(), event);
         for action in actions {
             self.deliver(action);
         }
     }
 
-    /// Takes a frame of an entry instance.
+    /// Handles a frame from an entry instance.
     pub fn on_frame(&self, now: Instant, frame: CellFrame) {
         if let CellFrame::Holds {
             instance, serials, ..
         } = &frame
         {
-            let missing = self.state.lock().open.begin_session(instance, serials);
+            let missing = self.state.lock().open_keys.begin_session(instance, serials);
             for key in missing {
                 self.on_request(AdmitEvent::Cancel { key });
             }
@@ -95,33 +95,37 @@
         let Some(event) = frame.into_event(now) else {
             return;
         };
-        let event = self.state.lock().open.restate(event);
+        let event = self.state.lock().open_keys.reconcile(event);
         self.on_request(event);
     }
 
-    /// Gives one event of a request to the allocator. Before [`CellDriver::open`] it is kept: an allocator that knows no
-    /// engine yet would refuse what it could serve a moment later.
+    /// Passes one request event to the allocator. Events are buffered until [`CellDriver::open`], because an allocator
+    /// that knows no engine yet would refuse requests that it could serve a moment later.
     pub fn on_request(&self, event: AdmitEvent) {
         {
             let mut state = self.state.lock();
-            let CellState { early, open, .. } = &mut *state;
-            if let Some(early) = early {
-                open.note(&event);
-                early.push(event);
+            let CellState {
+                buffered,
+                open_keys,
+                ..
+            } = &mut *state;
+            if let Some(buffered) = buffered {
+                open_keys.track(&event);
+                buffered.push(event);
                 return;
             }
         }
         self.on_event(event);
     }
 
-    /// Says that the allocator was told of the engines that answer.
+    /// Passes on the buffered events, once the allocator knows the engines that answer.
     pub fn open(&self) {
         let mut actions = Vec::new();
         {
-            // An event that comes meanwhile is taken after the earlier ones.
+            // Holding the lock keeps an event that arrives meanwhile behind the buffered ones.
             let mut state = self.state.lock();
-            for event in state.early.take().unwrap_or_default() {
-                actions.extend(self.take(&mut state, event));
+            for event in state.buffered.take().unwrap_or_default() {
+                actions.extend(self.apply(&mut state, event));
             }
         }
         for action in actions {
@@ -129,8 +133,8 @@
         }
     }
 
-    /// Wakes the allocator when it asked for it, until the signal.
-    pub async fn run_timer(&self, signal: CloseSignal) {
+    /// Wakes the allocator at the times it requests, until the signal is raised.
+    pub async fn run_timer(&self, signal: ShutdownSignal) {
         loop {
             let wake_at = self.state.lock().wake_at;
             tokio::select! {
@@ -138,7 +142,7 @@
                 () = self.timer.notified() => continue,
                 () = sleep_until(wake_at) => {}
             }
-            // An event may have asked for another time since this one was due.
+            // An event may have requested another time since this one was due.
             self.state
                 .lock()
                 .wake_at
@@ -147,13 +151,13 @@
         }
     }
 
-    /// Gives one event to the allocator; its decisions are to be delivered without the lock.
-    fn take(&self, state: &mut CellState<P>, event: AdmitEvent) -> Vec<AdmitAction> {
+    /// Passes one event to the allocator. The caller delivers the decisions after releasing the lock.
+    fn apply(&self, state: &mut CellState<P>, event: AdmitEvent) -> Vec<AdmitAction> {
         let mut actions = Vec::new();
-        state.open.note(&event);
+        state.open_keys.track(&event);
         state.policy.on_event(Instant::now(), event, &mut actions);
-        close_refused(&mut state.open, &actions);
-        self.keep_wake(state, &actions);
+        close_refused(&mut state.open_keys, &actions);
+        self.schedule_wake(state, &actions);
         actions
     }
 
@@ -172,8 +176,8 @@
         self.sink.deliver(&self.model, key, grant);
     }
 
-    /// Keeps the earliest time that was asked for and is still to come.
-    fn keep_wake(&self, state: &mut CellState<P>, actions: &[AdmitAction]) {
+    /// Keeps the earliest requested time that is still in the future.
+    fn schedule_wake(&self, state: &mut CellState<P>, actions: &[AdmitAction]) {
         let now = Instant::now();
         for action in actions {
             let AdmitAction::WakeAt(at) = action else {
@@ -189,12 +193,12 @@
     }
 }
 
-fn close_refused(open: &mut OpenKeys, actions: &[AdmitAction]) {
+fn close_refused(open_keys: &mut OpenKeys, actions: &[AdmitAction]) {
     for action in actions {
         let AdmitAction::Refuse { key, .. } = action else {
             continue;
         };
-        open.close(key);
+        open_keys.close(key);
     }
 }
 
--- a/crates/flow/src/cell_hub.rs
+++ b/crates/flow/src/cell_hub.rs
@@ -1,4 +1,4 @@
-//! Takes this instance's requests to the allocators of their cells, wherever those are, and brings the grants back.
+//! Sends this instance's requests to the allocators of their cells, local or remote, and distributes the grants.
 
 use {
     crate::{
@@ -21,50 +21,50 @@
     tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender},
 };
 
-/// When to come back after a request was refused because this instance was held for gone.
+/// The retry delay after a refusal because the other instances considered this one gone.
 const RENEWED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Where the frames of one cell go.
+/// The destination of a cell's frames.
 #[derive(Clone, Debug)]
-pub struct CellSeat {
-    /// The allocator.
+pub struct CellRoute {
+    /// The instance that allocates the cell.
     pub allocator: InstanceId,
-    /// Takes the frames to it.
+    /// The channel to the allocator.
     pub frames: UnboundedSender<CellFrame>,
 }
 
-/// This instance's side of all cells.
+/// The entry instance's side of all cells.
 #[derive(Debug)]
 pub struct CellHub {
     incarnation: AtomicU64,
     instance: InstanceId,
     requests: Arc<RequestTable>,
-    seats: RankedLock<BTreeMap<ModelId, CellSeat>>,
+    routes: RankedLock<BTreeMap<ModelId, CellRoute>>,
     serial: AtomicU64,
 }
 
 impl CellHub {
-    /// A hub without seats: requests wait until their cell has one.
+    /// Creates a hub without routes. Requests wait until their cell has one.
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
             incarnation: AtomicU64::new(incarnation),
             instance,
             requests: Arc::new(RequestTable::new()),
-            seats: RankedLock::new(LockRank::Seats, BTreeMap::new()),
+            routes: RankedLock::new(LockRank::Seats, BTreeMap::new()),
             serial: AtomicU64::new(1),
         }
     }
 
-    /// The allocator of each cell.
+    /// The allocator of each cell with a route.
     pub fn allocators(&self) -> BTreeMap<ModelId, InstanceId> {
-        let seats = self.seats.lock();
-        let named = seats.iter();
-        named
-            .map(|(model, seat)| (model.clone(), seat.allocator.clone()))
+        let routes = self.routes.lock();
+        let entries = routes.iter();
+        entries
+            .map(|(model, route)| (model.clone(), route.allocator.clone()))
             .collect()
     }
 
-    /// The name that the next request gets.
+    /// Generates the key of the next request.
     pub fn next_key(&self) -> RequestKey {
         RequestKey {
             incarnation: self.incarnation.load(Ordering::Acquire),
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Tells the allocator what happened to a request.
+    /// Reports a change of a request to its allocator.
     pub fn notify(&self, key: &RequestKey, notice: CellNotice) {
-        let Some(model) = self.requests.note(key.serial, &notice) else {
+        let Some(model) = self.requests.apply_notice(key.serial, &notice) else {
             return;
         };
         self.send(CellFrame::Notice {
@@ -83,46 +83,47 @@
             model,
             notice,
         });
-        self.refuse_ended_life(key);
+        self.refuse_ended_incarnation(key);
     }
 
-    /// Takes a grant of a cell's allocator. Grants of an instance that is not the cell's allocator any more are dropped.
+    /// Handles a grant from an allocator. Grants from an instance that is no longer the cell's allocator are dropped.
     pub fn on_grant(&self, allocator: &InstanceId, frame: GrantFrame) {
         let model = &frame.model;
-        // The cell keeps its allocator until the grant is noted: a new one is told of it then.
-        let seats = self.seats.lock();
-        let Some(seat) = seats.get(model) else {
+        // The lock keeps the cell's allocator unchanged until the grant is recorded, so that a new allocator learns of
+        // it.
+        let routes = self.routes.lock();
+        let Some(route) = routes.get(model) else {
             return;
         };
-        if seat.allocator != *allocator {
+        if route.allocator != *allocator {
             return;
         }
-        let Some(answer) = self.requests.deliver(&frame.key, frame.grant) else {
+        let Some(reply) = self.requests.deliver(&frame.key, frame.grant) else {
             return;
         };
-        // A closed session is followed by another seat, to which everything is announced.
-        let _ = seat.frames.send(with_model(answer, model));
+        // If the session is closed, a new route follows and everything is announced there.
+        let _ = route.frames.send(with_model(reply, model));
     }
 
-    /// Takes the request to the end of its time at the allocator, without a word: the allocator refused it.
+    /// Removes a request without notifying the allocator, which refused it.
     pub fn forget(&self, key: &RequestKey) {
         self.requests.remove(key.serial);
     }
 
-    /// The requests that are held.
+    /// The requests held by this instance.
     pub fn requests(&self) -> &RequestTable {
         &self.requests
     }
 
     /// Refuses the requests of a cell that wait for a grant.
     pub fn refuse_cell(&self, model: &ModelId, retry_after: Duration) {
-        let is_meant = |submit: &CellSubmit| submit.model == *model;
+        let is_selected = |submit: &CellSubmit| submit.model == *model;
         self.requests
-            .refuse_waiting(is_meant, ResultCode::UpstreamMissing, retry_after);
+            .refuse_waiting(is_selected, ResultCode::UpstreamMissing, retry_after);
     }
 
-    /// Starts a new life: the allocators hold the requests of the earlier one for gone. Those that wait for a grant are
-    /// refused, and the others as soon as they would wait for one.
+    /// Starts a new incarnation, because the allocators consider the requests of the previous one gone. Requests that
+    /// wait for a grant are refused, and the others as soon as they would wait for one.
     pub fn renew(&self, incarnation: Incarnation) {
         self.incarnation.store(incarnation, Ordering::Release);
         self.requests.refuse_waiting(
@@ -132,36 +133,36 @@
         );
     }
 
-    /// Queues a further attempt of a request that is held.
+    /// Queues another attempt of a held request.
     pub fn resubmit(&self, key: &RequestKey) {
         let Some(frame) = self.requests.requeue(key.serial) else {
             return;
         };
         self.send(frame);
-        self.refuse_ended_life(key);
+        self.refuse_ended_incarnation(key);
     }
 
-    /// Gives a cell another allocator and announces to it what this instance holds.
-    pub fn seat(&self, model: &ModelId, seat: CellSeat) {
-        let frames = seat.frames.clone();
-        // What happens meanwhile is sent after the announcement that doesn't tell of it.
-        let mut seats = self.seats.lock();
-        seats.insert(model.clone(), seat);
+    /// Routes a cell to an allocator and announces the requests held here to it.
+    pub fn set_route(&self, model: &ModelId, route: CellRoute) {
+        let frames = route.frames.clone();
+        // Holding the lock orders later changes after the announcement, which does not contain them.
+        let mut routes = self.routes.lock();
+        routes.insert(model.clone(), route);
         for frame in self.requests.announcements(&self.instance, model) {
-            // A closed session is followed by another seat.
+            // If the session is closed, a new route follows.
             let _ = frames.send(frame);
         }
     }
 
-    /// The allocator of a cell.
-    pub fn seated(&self, model: &ModelId) -> Option<InstanceId> {
-        self.seats
+    /// The allocator of a cell; `None` without a route.
+    pub fn allocator(&self, model: &ModelId) -> Option<InstanceId> {
+        self.routes
             .lock()
             .get(model)
-            .map(|seat| seat.allocator.clone())
+            .map(|route| route.allocator.clone())
     }
 
-    /// Queues a request; its grants come over the channel.
+    /// Queues a request and returns the channel for its grants.
     pub fn submit(&self, key: &RequestKey, request: &ModelRequest) -> UnboundedReceiver<CellGrant> {
         let (grants, receiver) = mpsc::unbounded_channel();
         let submit = CellSubmit {
@@ -179,12 +180,12 @@
             age: request.arrived.elapsed(),
             ..submit
         }));
-        self.refuse_ended_life(key);
+        self.refuse_ended_incarnation(key);
         receiver
     }
 
-    /// Refuses a request that waits for a grant and belongs to an ended life: no allocator takes it.
-    fn refuse_ended_life(&self, key: &RequestKey) {
+    /// Refuses a request that waits for a grant and belongs to an earlier incarnation, which no allocator accepts.
+    fn refuse_ended_incarnation(&self, key: &RequestKey) {
         if key.incarnation >= self.incarnation.load(Ordering::Acquire) {
             return;
         }
@@ -196,12 +197,12 @@
     }
 
     fn send(&self, frame: CellFrame) {
-        let seats = self.seats.lock();
-        let Some(seat) = seats.get(frame.model()) else {
+        let routes = self.routes.lock();
+        let Some(route) = routes.get(frame.model()) else {
             return;
         };
-        // A closed session is followed by another seat, to which everything is announced.
-        let _ = seat.frames.send(frame);
+        // If the session is closed, a new route follows and everything is announced there.
+        let _ = route.frames.send(frame);
     }
 }
 
--- a/crates/flow/src/plain_caller.rs
+++ b/crates/flow/src/plain_caller.rs
@@ -1,9 +1,9 @@
-//! Calls to plain services: which replica, whether again, and what is true when no answer came.
+//! Calls to plain services: the choice of a replica, retries, and the result when no answer arrives.
 
 use {
     crate::{
         flow_failure::FlowFailure, plain_tries::PlainTries, run_deadline::RunDeadline,
-        upstream_board::UpstreamBoard,
+        upstream_registry::UpstreamRegistry,
     },
     bytes::Bytes,
     engine::{CallCause, CallError, HttpPool, PooledBody, SendFailure},
@@ -11,7 +11,7 @@
     hyper::body::Body,
     kernel::{LockRank, RankedLock, ResultCode, ServiceId, UpstreamId, ZoneId},
     plat::InstanceKind,
-    route::{PlainChoice, RetryBudget},
+    route::{ReplicaSelector, RetryBudget},
     std::{
         collections::{BTreeMap, BTreeSet},
         error::Error,
@@ -22,25 +22,25 @@
     tokio::time,
 };
 
-/// The header by which a plain service says that it refused a request without running it.
+/// The header by which a plain service reports that it refused a request without running it.
 pub const RAN_HEADER: HeaderName = HeaderName::from_static("x-ran");
-/// The value of [`RAN_HEADER`] on a request that did not run.
+/// The value of [`RAN_HEADER`] for a request that did not run.
 pub const RAN_NO: &str = "no";
 
-const BACK_OFF: Duration = Duration::from_millis(500);
+const REPLICA_BACKOFF: Duration = Duration::from_millis(500);
 const RETRY_RATIO: f64 = 0.1;
-const RETRIES_SAVED: u32 = 20;
+const MAX_SAVED_RETRIES: u32 = 20;
 const FAILURE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The replicas of one service as this instance sees them.
+/// The replicas of one service, as seen by this instance.
 struct ServiceState {
-    choice: PlainChoice,
+    choice: ReplicaSelector,
     known: BTreeSet<UpstreamId>,
 }
 
-/// Calls plain services. The counts of calls under way are this instance's own.
+/// Calls plain services. It counts only the calls of this instance.
 pub struct PlainCaller<B> {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     budget: RankedLock<RetryBudget>,
     first_byte: Duration,
     pool: HttpPool<B>,
@@ -49,10 +49,10 @@
     zone: ZoneId,
 }
 
-/// What became of one try.
+/// The outcome of one try.
 enum TryOutcome<B> {
     Answer(Response<PooledBody<B>>),
-    /// With the request, when it was never written.
+    /// Contains the request if it was never written.
     Failed(Option<Request<B>>, FlowFailure),
 }
 
@@ -62,18 +62,18 @@
     B: Body<Data = Bytes> + Default + Send + Unpin + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// A caller of the services in `zone`; other zones' replicas are used when the own zone has none.
+    /// Creates a caller for the services in `zone`. Replicas of other zones are used when this zone has none.
     #[builder]
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        registry: Arc<UpstreamRegistry>,
         connect: Duration,
         first_byte: Duration,
         seed: u64,
         zone: ZoneId,
     ) -> Self {
-        let budget = RetryBudget::new(RETRY_RATIO, RETRIES_SAVED);
+        let budget = RetryBudget::new(RETRY_RATIO, MAX_SAVED_RETRIES);
         Self {
-            board,
+            registry,
             budget: RankedLock::new(LockRank::Samples, budget),
             first_byte,
             pool: HttpPool::new(connect),
@@ -89,14 +89,14 @@
     B: Body<Data = Bytes> + Default + Send + Unpin + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Sends a request to a replica of the row's service. The answer's body streams.
+    /// Sends a request to a replica of the row's service and streams the body of the answer.
     ///
-    /// A request that was never written goes to another replica. One that may have run is sent again only when its row
-    /// repeats and it has no body: any other body is gone.
+    /// A request that was never written is sent to another replica. One that may have run is sent again only if its row
+    /// allows repeats and it has no body, because a body can't be read twice.
     ///
     /// # Errors
     ///
-    /// The final answer for the caller: "not run" only when no try may have run.
+    /// The final failure for the caller. It has a "not run" code only if no try may have run.
     pub async fn call(
         &self,
         row: &WorkRow,
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Ends the count of a call whose answer was delivered, or given up.
+    /// Ends the count of a call whose answer was delivered or abandoned.
     pub fn end(&self, service: &ServiceId, upstream: &UpstreamId) {
         self.with_choice(service, |choice| choice.answered(upstream));
     }
 
-    /// Calls under way by replica, for the dump.
+    /// Calls in flight by replica, for the state dump.
     pub fn outstanding(&self) -> BTreeMap<UpstreamId, u32> {
         let services = self.services.lock();
         let mut counts = BTreeMap::new();
@@ -148,35 +148,35 @@
         let state = services
             .entry(service.clone())
             .or_insert_with(|| ServiceState {
-                choice: PlainChoice::builder()
-                    .back_off(BACK_OFF)
+                choice: ReplicaSelector::builder()
+                    .back_off(REPLICA_BACKOFF)
                     .seed(self.seed)
                     .build(),
                 known: BTreeSet::new(),
             });
-        state.follow(&live);
+        state.sync_replicas(&live);
         state.choice.pick_except(Instant::now(), tried)
     }
 
-    /// The replicas that take work: those of the own zone, or all when it has none.
+    /// The replicas that accept work: those of the own zone, or all others when it has none.
     fn live_replicas(&self, service: &ServiceId) -> BTreeSet<UpstreamId> {
-        let map = self.board.snapshot();
-        let mut near = BTreeSet::new();
-        let mut far = BTreeSet::new();
+        let map = self.registry.snapshot();
+        let mut local = BTreeSet::new();
+        let mut remote = BTreeSet::new();
         for (name, entry) in map.iter() {
             let record = &entry.record;
             let is_replica =
                 record.kind == InstanceKind::Plain && record.service.as_ref() == Some(service);
-            if !is_replica || entry.leaving().is_some() {
+            if !is_replica || entry.drain_cause().is_some() {
                 continue;
             }
             if record.zone == self.zone {
-                near.insert(name.clone());
+                local.insert(name.clone());
                 continue;
             }
-            far.insert(name.clone());
+            remote.insert(name.clone());
         }
-        if near.is_empty() { far } else { near }
+        if local.is_empty() { remote } else { local }
     }
 
     async fn try_once(
@@ -186,7 +186,7 @@
         request: Request<B>,
         tries: &PlainTries<B>,
     ) -> TryOutcome<B> {
-        let Some(address) = self.board.address(upstream) else {
+        let Some(address) = self.registry.address(upstream) else {
             self.with_choice(&row.service, |choice| choice.cancelled(upstream));
             return TryOutcome::Failed(Some(request), retry_later(ResultCode::UpstreamMissing));
         };
@@ -199,7 +199,7 @@
         if run_by.is_some_and(RunDeadline::is_past) {
             return TryOutcome::Failed(None, FlowFailure::new(ResultCode::TicketExpired));
         }
-        // A connection that closed while idle can't make a request unknown that is written on a fresh one.
+        // A fresh connection avoids the unknown outcome of a pooled one that closed while idle.
         let sending = self.pool.try_send(address, request, tries.wants_fresh());
         let outcome = time::timeout(self.first_byte, sending).await;
         guard.disarm();
@@ -249,7 +249,7 @@
         self.with_choice(service, |choice| choice.failed(Instant::now(), upstream));
     }
 
-    fn with_choice(&self, service: &ServiceId, edit: impl FnOnce(&mut PlainChoice)) {
+    fn with_choice(&self, service: &ServiceId, edit: impl FnOnce(&mut ReplicaSelector)) {
         let mut services = self.services.lock();
         let Some(state) = services.get_mut(service) else {
             return;
@@ -259,22 +259,22 @@
 }
 
 impl ServiceState {
-    /// Brings the choice up to what the board shows.
-    fn follow(&mut self, live: &BTreeSet<UpstreamId>) {
+    /// Synchronises the replica choice with the registry.
+    fn sync_replicas(&mut self, live: &BTreeSet<UpstreamId>) {
         if self.known == *live {
             return;
         }
         for upstream in live.difference(&self.known) {
-            self.choice.up(upstream.clone());
+            self.choice.add(upstream.clone());
         }
         for upstream in self.known.difference(live) {
-            self.choice.leaving(upstream);
+            self.choice.mark_leaving(upstream);
         }
         self.known = live.clone();
     }
 }
 
-/// Ends the count of a call whose caller goes away before the answer's head.
+/// Ends the count of a call whose caller disconnects before the head of the answer.
 struct CallGuard<'a, B>
 where
     B: Body<Data = Bytes> + Default + Send + Unpin + 'static,
--- a/crates/flow/src/plain_limiter.rs
+++ b/crates/flow/src/plain_limiter.rs
@@ -1,9 +1,9 @@
-//! Holds the requests of plain rows to their limits.
+//! Enforces the concurrency limits of plain rows.
 
 use {
     crate::{
         flow_failure::FlowFailure,
-        limit_gate::{GateEntry, LimitGate, WaiterId},
+        limit_gate::{GateDecision, LimitGate, WaiterId},
         limit_share::ShareView,
     },
     arc_swap::ArcSwap,
@@ -17,29 +17,29 @@
     tokio::{sync::oneshot, time},
 };
 
-/// The rows with those who wait for their turn.
+/// The gate with the wake-up channels of the waiting requests.
 #[derive(Debug, Default)]
 struct LimiterState {
     gate: LimitGate,
     waiters: BTreeMap<WaiterId, oneshot::Sender<()>>,
 }
 
-/// The limits of plain rows at this instance.
+/// The concurrency limits of plain rows on this instance.
 #[derive(Debug)]
 pub struct PlainLimiter {
     shares: ArcSwap<ShareView>,
     state: RankedLock<LimiterState>,
 }
 
-/// The right of one request to run; given back when dropped.
+/// A permit to run one request, returned when dropped.
 #[derive(Debug)]
-pub struct LimitPass {
+pub struct LimitPermit {
     held: Option<(Arc<PlainLimiter>, WorkId)>,
     since: Instant,
 }
 
-/// A request in the queue; leaves it when dropped.
-struct QueuePlace {
+/// A waiting request, removed from the queue when dropped.
+struct QueueEntry {
     is_over: bool,
     limiter: Arc<PlainLimiter>,
     waiter: WaiterId,
@@ -47,28 +47,29 @@
 }
 
 impl PlainLimiter {
-    /// Lets one request of a row in: at once, or, for a row without a target for its first byte, when its turn comes.
+    /// Admits one request of a row. A row without a first-byte target waits for its turn; one with a target is refused
+    /// when the limit is reached.
     ///
     /// # Errors
     ///
-    /// The final answer for the caller.
-    pub async fn enter(self: &Arc<Self>, row: &WorkRow) -> Result<LimitPass, FlowFailure> {
+    /// The final failure for the caller.
+    pub async fn enter(self: &Arc<Self>, row: &WorkRow) -> Result<LimitPermit, FlowFailure> {
         let Some(limit) = self.shares.load().limit(row) else {
-            return Ok(LimitPass::unlimited());
+            return Ok(LimitPermit::unlimited());
         };
         let waits = row.first_token.is_none();
-        let (entry, turn) = self.ask(&row.work, limit, waits);
-        match entry {
-            GateEntry::Admitted => Ok(self.pass(&row.work)),
-            GateEntry::Queued(waiter) => self.wait(row, waiter, turn).await,
-            GateEntry::Refused { retry_after } => Err(FlowFailure {
+        let (decision, turn) = self.try_enter(&row.work, limit, waits);
+        match decision {
+            GateDecision::Admitted => Ok(self.permit(&row.work)),
+            GateDecision::Queued(waiter) => self.wait(row, waiter, turn).await,
+            GateDecision::Refused { retry_after } => Err(FlowFailure {
                 code: ResultCode::LimitReached,
                 retry_after: Some(retry_after),
             }),
         }
     }
 
-    /// A limiter with these shares.
+    /// Creates a limiter with these shares.
     pub fn new(shares: ShareView) -> Self {
         Self {
             shares: ArcSwap::from_pointee(shares),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes the instances that share limits now.
+    /// Replaces the instances that share limits.
     pub fn put_shares(&self, shares: ShareView) {
         if **self.shares.load() == shares {
             return;
@@ -84,46 +85,46 @@
         self.shares.store(Arc::new(shares));
     }
 
-    /// The instances that share limits now.
+    /// The instances that currently share limits.
     pub fn shares(&self) -> Arc<ShareView> {
         self.shares.load_full()
     }
 
-    /// Takes the rows' limits as they are now: those in the queue may run when theirs grew.
+    /// Updates the limits of the rows. Waiting requests run if their limit grew.
     pub fn put_rows<'a>(&self, rows: impl IntoIterator<Item = &'a WorkRow>) {
         let shares = self.shares.load();
         let mut state = self.state.lock();
         for row in rows {
             let limit = shares.limit(row).unwrap_or(u32::MAX);
-            let turns = state.gate.set_limit(&row.work, limit);
-            state.wake(turns);
+            let admitted = state.gate.set_limit(&row.work, limit);
+            state.wake(admitted);
         }
     }
 
-    fn ask(
+    fn try_enter(
         &self,
         work: &WorkId,
         limit: u32,
         waits: bool,
-    ) -> (GateEntry, Option<oneshot::Receiver<()>>) {
+    ) -> (GateDecision, Option<oneshot::Receiver<()>>) {
         let mut state = self.state.lock();
-        let entry = state.gate.enter(work, limit, waits);
-        let GateEntry::Queued(waiter) = entry else {
-            return (entry, None);
+        let decision = state.gate.enter(work, limit, waits);
+        let GateDecision::Queued(waiter) = decision else {
+            return (decision, None);
         };
         let (sender, receiver) = oneshot::channel();
         state.waiters.insert(waiter, sender);
-        (entry, Some(receiver))
+        (decision, Some(receiver))
     }
 
     fn leave(&self, work: &WorkId, ran: Duration) {
         let mut state = self.state.lock();
-        let turns = state.gate.leave(work, ran);
-        state.wake(turns);
+        let admitted = state.gate.leave(work, ran);
+        state.wake(admitted);
     }
 
-    fn pass(self: &Arc<Self>, work: &WorkId) -> LimitPass {
-        LimitPass {
+    fn permit(self: &Arc<Self>, work: &WorkId) -> LimitPermit {
+        LimitPermit {
             held: Some((self.clone(), work.clone())),
             since: Instant::now(),
         }
@@ -134,37 +135,37 @@
         row: &WorkRow,
         waiter: WaiterId,
         turn: Option<oneshot::Receiver<()>>,
-    ) -> Result<LimitPass, FlowFailure> {
-        let mut place = QueuePlace {
+    ) -> Result<LimitPermit, FlowFailure> {
+        let mut entry = QueueEntry {
             is_over: false,
             limiter: self.clone(),
             waiter,
             work: row.work.clone(),
         };
         let Some(turn) = turn else {
-            return Err(place.give_up());
+            return Err(entry.give_up());
         };
         if let Ok(Ok(())) = time::timeout(row.patience, turn).await {
-            place.is_over = true;
-            return Ok(self.pass(&row.work));
+            entry.is_over = true;
+            return Ok(self.permit(&row.work));
         }
-        Err(place.give_up())
+        Err(entry.give_up())
     }
 }
 
 impl LimiterState {
-    fn wake(&mut self, turns: Vec<WaiterId>) {
-        for waiter in turns {
+    fn wake(&mut self, admitted: Vec<WaiterId>) {
+        for waiter in admitted {
             let Some(turn) = self.waiters.remove(&waiter) else {
                 continue;
             };
-            // One that gave up meanwhile hands its turn on when its place is dropped.
+            // A waiter that gave up meanwhile passes its turn on when its entry is dropped.
             let _ = turn.send(());
         }
     }
 }
 
-impl LimitPass {
+impl LimitPermit {
     fn unlimited() -> Self {
         Self {
             held: None,
@@ -173,7 +174,7 @@
     }
 }
 
-impl Drop for LimitPass {
+impl Drop for LimitPermit {
     fn drop(&mut self) {
         let Some((limiter, work)) = self.held.take() else {
             return;
@@ -182,16 +183,16 @@
     }
 }
 
-impl QueuePlace {
-    /// Leaves the queue. When the turn had come already it goes to the next one.
+impl QueueEntry {
+    /// Leaves the queue. If the request was admitted meanwhile, its turn passes to the next one.
     fn give_up(&mut self) -> FlowFailure {
         self.is_over = true;
         let mut state = self.limiter.state.lock();
-        let had_turn = state.waiters.remove(&self.waiter).is_none();
+        let was_admitted = state.waiters.remove(&self.waiter).is_none();
         let retry_after = state.gate.give_up(&self.work, self.waiter);
-        if had_turn {
-            let turns = state.gate.leave(&self.work, Duration::ZERO);
-            state.wake(turns);
+        if was_admitted {
+            let admitted = state.gate.leave(&self.work, Duration::ZERO);
+            state.wake(admitted);
         }
         FlowFailure {
             code: ResultCode::PatienceEnded,
@@ -200,7 +201,7 @@
     }
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         if !self.is_over {
             self.give_up();
--- a/crates/peer/src/driver_task.rs
+++ b/crates/peer/src/driver_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the membership core: it feeds events in and carries decisions out.
+//! The task that owns the membership state machine: it feeds events in and executes the resulting actions.
 
 use {
     crate::{
@@ -6,8 +6,8 @@
         member_action::MemberAction,
         member_event::MemberEvent,
         member_metrics::MemberMetrics,
-        member_news::MemberNews,
         member_table::MemberTable,
+        member_update::MemberUpdate,
         member_view::MemberView,
         peer_driver::{MEMBER_TAG, TABLE_TAG},
         peer_endpoint::PeerEndpoint,
@@ -19,7 +19,7 @@
     },
     arc_swap::ArcSwap,
     bytes::Bytes,
-    kernel::{CloseSignal, Incarnation, InstanceId, TableVersion, unix_time},
+    kernel::{Incarnation, InstanceId, ShutdownSignal, TableVersion, unix_time},
     std::{
         sync::Arc,
         time::{Instant, SystemTime},
@@ -27,57 +27,57 @@
     tokio::sync::{broadcast, mpsc},
 };
 
-/// All that the task holds.
+/// The task's state and channels.
 pub(crate) struct DriverTask<S> {
     pub(crate) commands: mpsc::UnboundedReceiver<MemberEvent>,
     pub(crate) endpoint: PeerEndpoint,
     pub(crate) inbox: mpsc::Receiver<PeerIncoming>,
     pub(crate) metrics: MemberMetrics,
-    pub(crate) news: broadcast::Sender<MemberNews>,
+    pub(crate) updates: broadcast::Sender<MemberUpdate>,
     pub(crate) own_commands: mpsc::UnboundedSender<MemberEvent>,
-    pub(crate) signal: CloseSignal,
+    pub(crate) signal: ShutdownSignal,
     pub(crate) source: Arc<S>,
     pub(crate) table: MemberTable,
     pub(crate) view: Arc<ArcSwap<MemberView>>,
 }
 
 impl<S: TableSource> DriverTask<S> {
-    /// Runs until the close signal, and then tells the neighbours.
+    /// Runs until the shutdown signal, then announces the shutdown to the neighbours.
     pub(crate) async fn run(mut self) {
         loop {
             let wake = tokio::time::Instant::from_std(self.table.next_wake());
             let event = tokio::select! {
                 () = self.signal.raised() => break,
                 Some(command) = self.commands.recv() => Some(command),
-                Some(incoming) = self.inbox.recv() => self.read(incoming),
+                Some(incoming) = self.inbox.recv() => self.decode(incoming),
                 () = tokio::time::sleep_until(wake) => Some(MemberEvent::Tick),
             };
             let Some(event) = event else {
                 continue;
             };
-            self.take(event);
+            self.handle(event);
         }
-        self.say_goodbye().await;
+        self.announce_shutdown().await;
     }
 
-    fn take(&mut self, event: MemberEvent) {
+    fn handle(&mut self, event: MemberEvent) {
         let now = Instant::now();
-        let shows = !matches!(event, MemberEvent::Message { .. });
+        let changes_view = !matches!(event, MemberEvent::Message { .. });
         let mut actions = Vec::new();
         self.table.on_event(now, event, &mut actions);
-        let tells = actions
+        let notifies = actions
             .iter()
-            .any(|action| matches!(action, MemberAction::News(_)));
-        self.carry_out(actions);
-        if shows || tells {
+            .any(|action| matches!(action, MemberAction::Notify(_)));
+        self.execute(actions);
+        if changes_view || notifies {
             self.publish(now);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<MemberAction>) {
+    fn execute(&mut self, actions: Vec<MemberAction>) {
         for action in actions {
             match action {
-                MemberAction::News(news) => self.tell(news),
+                MemberAction::Notify(update) => self.notify(update),
                 MemberAction::Pull { from, version } => self.pull(from, version),
                 MemberAction::Refuse(cause) => self.endpoint.metrics().refuse(cause),
                 MemberAction::Renew { above } => self.renew(above),
@@ -91,45 +91,52 @@
         let cut = view.zones.iter().filter(|zone| zone.cut).count();
         self.metrics.heard.set(as_gauge(view.heard.len()));
         self.metrics.neighbours.set(as_gauge(view.neighbours.len()));
-        self.metrics.zones_cut.set(as_gauge(cut));
+        self.metrics.unreachable_zones.set(as_gauge(cut));
         let version = i64::try_from(view.table.version).unwrap_or(i64::MAX);
         self.metrics.table_version.set(version);
         self.view.store(Arc::new(view));
     }
 
-    fn tell(&self, news: MemberNews) {
-        match &news {
-            MemberNews::DigestDiffers { .. } => self.metrics.digest_differs.inc(),
-            MemberNews::MemberGone { instance, .. } => {
-                self.metrics.members_gone.inc();
+    fn notify(&self, update: MemberUpdate) {
+        match &update {
+            MemberUpdate::DigestDiffers { .. } => self.metrics.digest_differs.inc(),
+            MemberUpdate::MemberDead { instance, .. } => {
+                self.metrics.dead_members.inc();
                 self.endpoint.forget(instance);
-                tracing::info!(%instance, "a member is gone");
+                tracing::info!(%instance, "member is dead");
             }
-            MemberNews::MemberUp(record) => {
+            MemberUpdate::MemberUp(record) => {
                 let address = record.address;
                 let instance = record.instance.clone();
-                tracing::info!(%instance, "a member is up");
-                self.endpoint.book().set(instance, address);
+                tracing::info!(%instance, "member is up");
+                self.endpoint.addresses().set(instance, address);
             }
-            MemberNews::Superseded { by } => {
+            MemberUpdate::Superseded { by } => {
                 tracing::error!(
                     by,
-                    "another process has this instance's name and a later life"
+                    "another process uses this instance's name with a later incarnation"
                 );
             }
-            MemberNews::ZoneBack { zone } => tracing::info!(%zone, "a zone is heard again"),
-            MemberNews::ZoneCut { zone } => tracing::warn!(%zone, "a zone is cut off"),
+            MemberUpdate::ZoneReachable { zone } => {
+                tracing::info!(%zone, "availability zone is reachable again")
+            }
+            MemberUpdate::ZoneUnreachable { zone } => {
+                tracing::warn!(%zone, "availability zone is unreachable")
+            }
             _ => {}
         }
-        // Nobody has to listen.
-        let _ = self.news.send(news);
+        // An error only means that there are no subscribers.
+        let _ = self.updates.send(update);
     }
 
     fn renew(&mut self, above: Incarnation) {
         let incarnation = unix_time::micros(SystemTime::now()).max(above + 1);
         self.metrics.renewals.inc();
         self.endpoint.set_incarnation(incarnation);
-        tracing::warn!(incarnation, "the peers held this instance for gone");
+        tracing::warn!(
+            incarnation,
+            "peers declared this instance dead; starting a new incarnation"
+        );
         let _ = self.own_commands.send(MemberEvent::Renewed(incarnation));
     }
 
@@ -142,18 +149,18 @@
         }
     }
 
-    fn read(&self, incoming: PeerIncoming) -> Option<MemberEvent> {
+    fn decode(&self, incoming: PeerIncoming) -> Option<MemberEvent> {
         match incoming {
             PeerIncoming::Call { body, from, reply } => {
                 reply.send(Bytes::new());
-                self.read_body(from, &body)
+                self.decode_body(from, &body)
             }
-            PeerIncoming::Message { body, from } => self.read_body(from, &body),
+            PeerIncoming::Message { body, from } => self.decode_body(from, &body),
             PeerIncoming::Session { .. } => None,
         }
     }
 
-    fn read_body(&self, from: PeerIdentity, body: &[u8]) -> Option<MemberEvent> {
+    fn decode_body(&self, from: PeerIdentity, body: &[u8]) -> Option<MemberEvent> {
         match wire::decode(body) {
             Ok(message) => Some(MemberEvent::Message { from, message }),
             Err(_) => {
@@ -172,15 +179,15 @@
         self.endpoint.spawn(async move {
             let Some(event) = pull_table(&endpoint, &*source, &from).await else {
                 failed.inc();
-                tracing::debug!(%from, version, "a pull of the table failed");
+                tracing::debug!(%from, version, "pulling the table failed");
                 return;
             };
             let _ = commands.send(event);
         });
     }
 
-    /// Tells each neighbour that this life is over, and waits for their answers for a while.
-    async fn say_goodbye(mut self) {
+    /// Tells each neighbour that this incarnation has ended and waits for their answers, up to the call timeout.
+    async fn announce_shutdown(mut self) {
         let mut actions = Vec::new();
         let now = Instant::now();
         self.table.on_event(now, MemberEvent::Close, &mut actions);
@@ -207,13 +214,13 @@
     source: &S,
     from: &InstanceId,
 ) -> Option<MemberEvent> {
-    let content = ask_table(endpoint, from, source.pull_since()).await?;
-    let mark = source.take(from, content).await.ok()?;
-    Some(MemberEvent::Table(mark))
+    let content = request_table(endpoint, from, source.pull_since()).await?;
+    let revision = source.apply(from, content).await.ok()?;
+    Some(MemberEvent::Table(revision))
 }
 
-/// Asks a peer for the table's changes after a version; none when it has none or does not answer.
-pub(crate) async fn ask_table(
+/// Requests the table's changes after a version from a peer; `None` when it has none or does not answer.
+pub(crate) async fn request_table(
     endpoint: &PeerEndpoint,
     from: &InstanceId,
     since: TableVersion,
@@ -227,7 +234,7 @@
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Answers the peers' pulls of the table.
+/// Answers table pulls from peers.
 pub(crate) async fn serve_table<S: TableSource>(
     source: Arc<S>,
     mut inbox: mpsc::Receiver<PeerIncoming>,
--- a/crates/peer/src/rumour_queue.rs
+++ b/crates/peer/src/gossip_queue.rs
@@ -1,28 +1,28 @@
-//! News that has to be passed on a few times.
+//! Updates that are gossiped in a few heartbeats.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
 #[derive(Clone, Copy, Debug)]
-struct RumourEntry {
+struct GossipEntry {
     order: u64,
     rounds: u8,
 }
 
-/// Counts for each piece of news in how many more heartbeats it goes.
+/// Counts for each update in how many more heartbeats it is sent.
 #[derive(Clone, Debug)]
-pub struct RumourQueue<K> {
-    entries: BTreeMap<K, RumourEntry>,
+pub struct GossipQueue<K> {
+    entries: BTreeMap<K, GossipEntry>,
     pushed: u64,
     start: u8,
 }
 
-impl<K: Clone + Ord> RumourQueue<K> {
-    /// Whether there is news to pass on.
+impl<K: Clone + Ord> GossipQueue<K> {
+    /// Whether no update is pending.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An empty queue; each piece of news goes into `start` heartbeats.
+    /// Creates an empty queue; each update is sent in `start` heartbeats.
     pub fn new(start: u8) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Adds news, or starts it anew in the place that it has.
+    /// Adds an update, or restarts its count while keeping its position.
     pub fn push(&mut self, key: K) {
         self.pushed += 1;
         let order = self.pushed;
@@ -39,11 +39,11 @@
         let entry = self
             .entries
             .entry(key)
-            .or_insert(RumourEntry { order, rounds });
+            .or_insert(GossipEntry { order, rounds });
         entry.rounds = rounds;
     }
 
-    /// What goes into the next heartbeat: what was passed on least, then what waits longest; at most `limit`.
+    /// Takes at most `limit` updates for the next heartbeat: the least sent first, then the oldest.
     pub fn take(&mut self, limit: usize) -> Vec<K> {
         let mut keys: Vec<(Reverse<u8>, u64, K)> = self
             .entries
@@ -59,7 +59,7 @@
             } else {
                 let rounds = rounds - 1;
                 self.entries
-                    .insert(key.clone(), RumourEntry { order, rounds });
+                    .insert(key.clone(), GossipEntry { order, rounds });
             }
             taken.push(key);
         }
--- a/crates/peer/src/member_sync.rs
+++ b/crates/peer/src/member_sync.rs
@@ -1,31 +1,31 @@
-//! What an instance is missing: a newer table, and whole lists where digests differ.
+//! Anti-entropy: pulls newer tables, and exchanges full lists where digests differ.
 
 use {
     crate::{
         heartbeat::{Heartbeat, MemberMessage, SyncReply, SyncRequest},
         member_action::MemberAction,
-        member_news::MemberNews,
         member_table::{MemberTable, PendingPull},
+        member_update::MemberUpdate,
         peer_identity::PeerIdentity,
-        table_mark::TableMark,
+        table_revision::TableRevision,
     },
     std::time::{Duration, Instant},
 };
 
-/// Whole lists with more changes than this are not passed on as news: the neighbours compare digests themselves.
-const BULK_LIMIT: usize = 16;
-/// By how much a peer's word from the platform has to be newer than the own one.
-const PLATFORM_MARGIN: Duration = Duration::from_secs(1);
+/// Replies with more entries than this are not gossiped on: the neighbours compare digests themselves.
+const MAX_GOSSIPED_ENTRIES: usize = 16;
+/// By how much a peer's last platform contact must be newer than the own one to replace it.
+const MIN_PLATFORM_GAIN: Duration = Duration::from_secs(1);
 
 impl MemberTable {
     pub(crate) fn compare_tables(
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) {
-        let theirs = beat.table;
+        let theirs = heartbeat.table;
         self.compare_contents(now, from, theirs, actions);
         if theirs.version <= self.table.version {
             return;
@@ -46,45 +46,45 @@
             version: theirs.version,
         });
     }
-    /// Takes the age of the sender's last word from the platform. Each hop adds the time on its way, so that a word
-    /// that comes back looks newer than it is: a gain within the margin is not taken, and neither is what lay in the
-    /// inbox while this process stood still.
-    pub(crate) fn hear_platform(&mut self, now: Instant, beat: &Heartbeat) {
-        let Some(heard) = beat.platform_age.and_then(|age| now.checked_sub(age)) else {
+    /// Merges the sender's last platform contact. Its age does not include the time on the way, so a contact that comes
+    /// back over other instances looks newer than it is: a gain within the margin is ignored, and so are heartbeats that
+    /// waited in the inbox while this process was paused.
+    pub(crate) fn merge_platform_contact(&mut self, now: Instant, heartbeat: &Heartbeat) {
+        let Some(heard) = heartbeat.platform_age.and_then(|age| now.checked_sub(age)) else {
             return;
         };
-        if now.saturating_duration_since(self.next_beat) >= self.settings.suspicion_timeout {
+        if now.saturating_duration_since(self.next_heartbeat) >= self.settings.suspicion_timeout {
             return;
         }
         let is_newer = self
-            .platform_heard
-            .is_none_or(|known| heard > known + PLATFORM_MARGIN);
+            .platform_contact
+            .is_none_or(|known| heard > known + MIN_PLATFORM_GAIN);
         if is_newer {
-            self.platform_heard = Some(heard);
+            self.platform_contact = Some(heard);
         }
     }
 
-    /// Tells of a peer that has this instance's version with another content, and of the end of that.
+    /// Reports a peer that has this instance's table version with different content, and the end of that condition.
     fn compare_contents(
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        theirs: TableMark,
+        theirs: TableRevision,
         actions: &mut Vec<MemberAction>,
     ) {
         let differs = theirs.version == self.table.version && theirs != self.table;
         let watch = self.watch(now, &from.instance, from.incarnation);
         let differed = std::mem::replace(&mut watch.table_differs, differs);
         let instance = from.instance.clone();
-        let TableMark { digest, version } = theirs;
+        let TableRevision { digest, version } = theirs;
         if differs {
-            actions.push(MemberAction::News(MemberNews::DigestDiffers {
+            actions.push(MemberAction::Notify(MemberUpdate::DigestDiffers {
                 digest,
                 instance,
                 version,
             }));
         } else if differed {
-            actions.push(MemberAction::News(MemberNews::DigestSettled {
+            actions.push(MemberAction::Notify(MemberUpdate::DigestConverged {
                 digest,
                 instance,
                 version,
@@ -96,26 +96,26 @@
         &mut self,
         now: Instant,
         from: &PeerIdentity,
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         actions: &mut Vec<MemberAction>,
     ) {
-        let equal = beat.members_digest == self.records.digest()
-            && beat.marks_digest == self.marks.digest();
+        let equal = heartbeat.members_digest == self.records.digest()
+            && heartbeat.marks_digest == self.marks.digest();
         let rounds = self.settings.sync_rounds;
-        let is_first = beat.sequence == 1;
-        let is_new = self.records.len() <= 2;
+        let is_first = heartbeat.sequence == 1;
+        let is_joining = self.records.len() <= 2;
         let watch = self.watch(now, &from.instance, from.incarnation);
-        watch.differs = if equal {
+        watch.digest_mismatches = if equal {
             0
         } else {
-            watch.differs.saturating_add(1)
+            watch.digest_mismatches.saturating_add(1)
         };
-        let due = watch.differs >= rounds || (!equal && (is_first || is_new));
+        let due = watch.digest_mismatches >= rounds || (!equal && (is_first || is_joining));
         if !due || now < self.next_sync {
             return;
         }
         let watch = self.watch(now, &from.instance, from.incarnation);
-        watch.differs = 0;
+        watch.digest_mismatches = 0;
         self.next_sync = now + self.settings.heartbeat_interval;
         let request = SyncRequest {
             marks_digest: self.marks.digest(),
@@ -156,13 +156,13 @@
         reply: SyncReply,
         actions: &mut Vec<MemberAction>,
     ) {
-        let records_are_news = reply.records.len() <= BULK_LIMIT;
+        let gossip_records = reply.records.len() <= MAX_GOSSIPED_ENTRIES;
         for record in reply.records {
-            self.take_record(now, record, records_are_news, actions);
+            self.merge_record(now, record, gossip_records, actions);
         }
-        let marks_are_news = reply.marks.len() <= BULK_LIMIT;
+        let gossip_marks = reply.marks.len() <= MAX_GOSSIPED_ENTRIES;
         for mark in reply.marks {
-            self.take_mark(now, mark, marks_are_news, actions);
+            self.merge_mark(now, mark, gossip_marks, actions);
         }
     }
 }
--- a/crates/peer/src/member_table.rs
+++ b/crates/peer/src/member_table.rs
@@ -1,29 +1,30 @@
-//! The membership of one instance: a pure core that hears events and decides what to send and to tell.
+//! The membership of one instance: a state machine without I/O that maps events to actions.
 //!
-//! Every instance holds a record of every other. A record changes seldom; its changes go with the heartbeats to the
-//! neighbours, who pass them on, and digests find what was lost. The members of a zone judge only members of their own
-//! zone, and only while they hear at least half of it: so a zone that is cut off, or a rack, can't declare the rest of
-//! the system gone. Two sides of a partition hold different members for its duration; after it the greater records win.
+//! Every instance holds a record of every other. Records change rarely; changes are gossiped with the heartbeats to the
+//! neighbours, and anti-entropy by digests repairs what was lost. Members declare only members of their own zone dead,
+//! and only while at least half of the zone is alive to them: an isolated zone or rack therefore can't declare the rest
+//! of the system dead. The two sides of a partition hold different members while it lasts; afterwards the superseding
+//! records win.
 //!
-//! The files `member_beat.rs`, `member_merge.rs` and `member_sync.rs` have the parts: what time brings, and what peers bring.
+//! `member_timer.rs` has the periodic part, `member_merge.rs` and `member_sync.rs` handle the messages of peers.
 
 use {
     crate::{
         cell_summary::CellSummary,
         cell_table::{CellKey, CellTable},
-        floor_ladder::{FloorLadder, LADDER_STEPS, NO_VERSION},
+        gossip_queue::GossipQueue,
         mark_table::{MarkKey, MarkTable},
         member_action::MemberAction,
         member_event::{ListedMember, MemberEvent},
-        member_news::MemberNews,
         member_record::{MemberRecord, MemberStanding},
         member_settings::MemberSettings,
         member_state::MemberState,
+        member_update::MemberUpdate,
         member_watch::MemberWatch,
         record_table::RecordTable,
-        rumour_queue::RumourQueue,
-        table_mark::TableMark,
+        table_revision::TableRevision,
         upstream_mark::UpstreamMark,
+        version_floors::{FLOOR_STEPS, NO_FLOOR, VersionFloors},
         zone_table::ZoneTable,
     },
     kernel::{Incarnation, InstanceId, TableVersion, UpstreamId, ZoneId},
@@ -35,47 +36,47 @@
     },
 };
 
-/// A pull of the table that is under way.
+/// A table pull in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingPull {
     pub(crate) until: Instant,
     pub(crate) version: TableVersion,
 }
 
-/// The core. `on_event` is all that changes it.
+/// The state machine. Only `on_event` changes it.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    pub(crate) cell_rumours: RumourQueue<CellKey>,
+    pub(crate) cell_gossip: GossipQueue<CellKey>,
     pub(crate) cells: CellTable,
     pub(crate) contacts: BTreeSet<InstanceId>,
-    pub(crate) floors: FloorLadder,
+    pub(crate) floors: VersionFloors,
     pub(crate) instance: InstanceId,
-    pub(crate) last_beat: Instant,
-    pub(crate) mark_rumours: RumourQueue<MarkKey>,
+    pub(crate) last_heartbeat: Instant,
+    pub(crate) mark_gossip: GossipQueue<MarkKey>,
     pub(crate) mark_serial: u32,
     pub(crate) marks: MarkTable,
     pub(crate) neighbours: BTreeSet<InstanceId>,
-    pub(crate) next_beat: Instant,
+    pub(crate) next_heartbeat: Instant,
     pub(crate) next_probe: Instant,
     pub(crate) next_sync: Instant,
-    pub(crate) platform_heard: Option<Instant>,
+    pub(crate) platform_contact: Option<Instant>,
     pub(crate) probe_cursor: usize,
     pub(crate) pull: Option<PendingPull>,
-    pub(crate) record_rumours: RumourQueue<InstanceId>,
+    pub(crate) record_gossip: GossipQueue<InstanceId>,
     pub(crate) records: RecordTable,
     pub(crate) ring_stale: bool,
     pub(crate) sequence: u64,
     pub(crate) settings: MemberSettings,
     pub(crate) stale: Option<Incarnation>,
-    pub(crate) superseder_silent: Option<Instant>,
-    pub(crate) table: TableMark,
+    pub(crate) superseder_silent_since: Option<Instant>,
+    pub(crate) table: TableRevision,
     pub(crate) watches: BTreeMap<InstanceId, MemberWatch>,
     pub(crate) zone: ZoneId,
     pub(crate) zones: ZoneTable,
 }
 
 impl MemberTable {
-    /// A table that knows its own instance only, which is not ready.
+    /// Creates a table that knows only its own instance, which is not ready.
     pub fn new(
         now: Instant,
         identity: MemberRecord,
@@ -87,37 +88,37 @@
         let zone = identity.zone.clone();
         records.put(identity);
         Self {
-            cell_rumours: RumourQueue::new(1),
+            cell_gossip: GossipQueue::new(1),
             cells: CellTable::new(settings.summary_lifetime, settings.mark_limit),
             contacts,
-            floors: [NO_VERSION; LADDER_STEPS + 1],
+            floors: [NO_FLOOR; FLOOR_STEPS + 1],
             instance,
-            last_beat: now,
-            mark_rumours: RumourQueue::new(settings.rumour_rounds),
+            last_heartbeat: now,
+            mark_gossip: GossipQueue::new(settings.rumour_rounds),
             mark_serial: 0,
             marks: MarkTable::new(settings.mark_lifetime, settings.mark_limit),
             neighbours: BTreeSet::new(),
-            next_beat: now,
+            next_heartbeat: now,
             next_probe: now,
             next_sync: now,
-            platform_heard: None,
+            platform_contact: None,
             probe_cursor: 0,
             pull: None,
-            record_rumours: RumourQueue::new(settings.rumour_rounds),
+            record_gossip: GossipQueue::new(settings.rumour_rounds),
             records,
             ring_stale: true,
             sequence: 0,
             settings,
             stale: None,
-            superseder_silent: None,
-            table: TableMark::default(),
+            superseder_silent_since: None,
+            table: TableRevision::default(),
             watches: BTreeMap::new(),
             zone,
             zones: ZoneTable::default(),
         }
     }
 
-    /// The record that a new instance starts with.
+    /// The initial record of an instance.
     pub fn identity(
         instance: InstanceId,
         incarnation: Incarnation,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Takes one event and appends what it decides to `actions`. `now` never goes down.
+    /// Handles one event and appends the resulting actions to `actions`. `now` never decreases.
     pub fn on_event(&mut self, now: Instant, event: MemberEvent, actions: &mut Vec<MemberAction>) {
         match event {
             MemberEvent::Cell(summary) => self.on_cell(now, summary),
@@ -145,84 +146,86 @@
             MemberEvent::Message { from, message } => {
                 self.on_message(now, &from, message, actions);
             }
-            MemberEvent::PlatformHeard(at) => {
-                self.platform_heard = self.platform_heard.max(Some(at));
+            MemberEvent::PlatformContact(at) => {
+                self.platform_contact = self.platform_contact.max(Some(at));
             }
             MemberEvent::Renewed(incarnation) => self.on_renewed(now, incarnation, actions),
             MemberEvent::State(state) => self.on_state(now, state),
-            MemberEvent::Table(mark) => self.on_table(now, mark, actions),
+            MemberEvent::Table(revision) => self.on_table(now, revision, actions),
             MemberEvent::Tick => self.on_tick(now, actions),
         }
     }
 
-    /// The summaries of cells that count now.
+    /// The cell summaries that have not expired.
     pub fn cells(&self) -> impl Iterator<Item = &CellSummary> {
         self.cells.all()
     }
 
-    /// The members that are heard, here or by others, and not gone, suspected or cut off; this instance among them.
+    /// The members that are alive and reachable from here, including this instance.
     pub fn heard(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.live().filter(|record| {
-            record.standing == MemberStanding::Alive && !self.member_cut(&record.instance)
+            record.standing == MemberStanding::Alive && !self.is_unreachable(&record.instance)
         })
     }
 
-    /// This instance's life.
+    /// This instance's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.own().incarnation
     }
 
-    /// This instance.
+    /// This instance's name.
     pub fn instance(&self) -> &InstanceId {
         &self.instance
     }
 
-    /// Whether this instance's life is over in the others' eyes: it may not act as an allocator.
+    /// Whether the others consider this incarnation dead or superseded: it may not act as an allocator.
     pub fn is_stale(&self) -> bool {
         self.stale.is_some()
     }
 
-    /// The marks that hold, as of `now`.
+    /// The marks that have not expired, with their age at `now`.
     pub fn marks(&self, now: Instant) -> Vec<UpstreamMark> {
         self.marks.all(now)
     }
 
-    /// Whether a member can't be heard from here although it was not declared gone.
-    pub fn member_cut(&self, instance: &str) -> bool {
-        self.watches.get(instance).is_some_and(|watch| watch.cut)
+    /// Whether a member is unreachable from here although it was not declared dead.
+    pub fn is_unreachable(&self, instance: &str) -> bool {
+        self.watches
+            .get(instance)
+            .is_some_and(|watch| watch.is_unreachable)
     }
 
-    /// The members' records, this instance's own among them.
+    /// The records of all members, including this instance.
     pub fn members(&self) -> &RecordTable {
         &self.records
     }
 
-    /// Whom this instance exchanges heartbeats with.
+    /// The instances that this one exchanges heartbeats with.
     pub fn neighbours(&self) -> &BTreeSet<InstanceId> {
         &self.neighbours
     }
 
     /// When the next [`MemberEvent::Tick`] is due.
     pub fn next_wake(&self) -> Instant {
-        self.next_beat
+        self.next_heartbeat
     }
 
-    /// When the platform answered this instance, or one that told of it, by this instance's clock.
-    pub fn platform_heard(&self) -> Option<Instant> {
-        self.platform_heard
+    /// When the platform last answered this instance or a peer that reported it, by this instance's clock.
+    pub fn platform_contact(&self) -> Option<Instant> {
+        self.platform_contact
     }
 
-    /// The table that this instance has in force.
-    pub fn table(&self) -> TableMark {
+    /// The table in force at this instance.
+    pub fn table(&self) -> TableRevision {
         self.table
     }
 
-    /// The lowest table version among the serving members of this instance's own zone, as far as heard.
+    /// The lowest table version among the serving members of the own zone, as far as known here.
     pub fn zone_floor(&self) -> TableVersion {
-        self.floors[LADDER_STEPS]
+        self.floors[FLOOR_STEPS]
     }
 
-    /// The other zones as heard.
+    /// The other zones as last reported.
     pub fn zones(&self) -> &ZoneTable {
         &self.zones
     }
@@ -233,39 +236,39 @@
             .expect("the own record is put at the start and never removed")
     }
 
-    /// Changes the own record with a new revision, and lets it go out soon.
+    /// Changes the own record with a new revision and schedules it for the next heartbeat.
     pub(crate) fn change_own(&mut self, now: Instant, change: impl FnOnce(&mut MemberRecord)) {
         let mut record = self.own().clone();
         record.revision += 1;
         change(&mut record);
         self.records.put(record);
-        self.record_rumours.push(self.instance.clone());
-        self.flush_soon(now);
+        self.record_gossip.push(self.instance.clone());
+        self.schedule_flush(now);
     }
 
-    /// Brings the next heartbeat forward, so that news does not wait for it.
-    pub(crate) fn flush_soon(&mut self, now: Instant) {
-        let soon = (self.last_beat + self.settings.flush_gap).max(now);
-        self.next_beat = self.next_beat.min(soon);
+    /// Brings the next heartbeat forward, so that updates do not wait for the interval.
+    pub(crate) fn schedule_flush(&mut self, now: Instant) {
+        let soon = (self.last_heartbeat + self.settings.flush_gap).max(now);
+        self.next_heartbeat = self.next_heartbeat.min(soon);
     }
 
-    /// How long a member is silent before it is declared gone.
-    pub(crate) fn gone_after(&self) -> Duration {
+    /// How long a member may be silent before it is declared dead.
+    pub(crate) fn death_timeout(&self) -> Duration {
         self.settings.suspicion_timeout + self.settings.gone_timeout
     }
 
-    /// The version that this instance holds the zone's floor at.
+    /// The version that this instance contributes to the zone's floor.
     pub(crate) fn own_floor(&self) -> TableVersion {
         match self.own().state {
             MemberState::Serving => self.table.version,
-            MemberState::Leaving | MemberState::NotReady => NO_VERSION,
+            MemberState::Leaving | MemberState::NotReady => NO_FLOOR,
         }
     }
 
     fn on_cell(&mut self, now: Instant, summary: CellSummary) {
         let key = (summary.cell.clone(), summary.by.clone());
         if self.cells.put(now, summary) {
-            self.cell_rumours.push(key);
+            self.cell_gossip.push(key);
         }
     }
 
@@ -276,7 +279,9 @@
             }
             if member.leaving && self.records.get(&member.instance).is_some() {
                 let instance = member.instance.clone();
-                actions.push(MemberAction::News(MemberNews::MemberLeaving { instance }));
+                actions.push(MemberAction::Notify(MemberUpdate::MemberLeaving {
+                    instance,
+                }));
             }
             if self.contacts.len() >= self.settings.member_limit {
                 continue;
@@ -301,7 +306,7 @@
             serial: self.mark_serial,
             upstream,
         };
-        self.take_mark(now, mark, true, actions);
+        self.merge_mark(now, mark, true, actions);
     }
 
     fn on_renewed(
@@ -310,13 +315,13 @@
         incarnation: Incarnation,
         actions: &mut Vec<MemberAction>,
     ) {
-        let over = self.stale.unwrap_or_default().max(self.incarnation());
-        if incarnation <= over {
-            actions.push(MemberAction::Renew { above: over });
+        let dead = self.stale.unwrap_or_default().max(self.incarnation());
+        if incarnation <= dead {
+            actions.push(MemberAction::Renew { above: dead });
             return;
         }
         self.stale = None;
-        self.superseder_silent = None;
+        self.superseder_silent_since = None;
         self.mark_serial = 0;
         self.sequence = 0;
         self.change_own(now, |own| {
@@ -324,8 +329,8 @@
             own.revision = 0;
             own.standing = MemberStanding::Alive;
         });
-        let news = MemberNews::Renewed { incarnation };
-        actions.push(MemberAction::News(news));
+        let update = MemberUpdate::Renewed { incarnation };
+        actions.push(MemberAction::Notify(update));
     }
 
     fn on_state(&mut self, now: Instant, state: MemberState) {
@@ -335,19 +340,19 @@
         self.change_own(now, |own| own.state = state);
     }
 
-    fn on_table(&mut self, now: Instant, mark: TableMark, actions: &mut Vec<MemberAction>) {
-        if mark.version < self.table.version {
-            actions.push(MemberAction::News(MemberNews::VersionFell {
+    fn on_table(&mut self, now: Instant, revision: TableRevision, actions: &mut Vec<MemberAction>) {
+        if revision.version < self.table.version {
+            actions.push(MemberAction::Notify(MemberUpdate::VersionRegressed {
                 ours: self.table.version,
-                version: mark.version,
+                version: revision.version,
             }));
             return;
         }
-        let rose = mark.version > self.table.version;
-        self.table = mark;
-        if rose {
+        let is_newer = revision.version > self.table.version;
+        self.table = revision;
+        if is_newer {
             self.pull = None;
-            self.flush_soon(now);
+            self.schedule_flush(now);
         }
     }
 }
--- a/crates/peer/src/session_receiver.rs
+++ b/crates/peer/src/session_receiver.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         peer_error::{GarbledSnafu, LostSnafu, PeerError, WireVersionSnafu},
-        session_sender::{FRAME_HEAD, SessionFrame},
+        session_sender::{FRAME_HEADER_LENGTH, SessionFrame},
         wire::{self, WIRE_VERSION},
     },
     bytes::{Buf, Bytes},
@@ -14,7 +14,7 @@
 /// Receives the frames of a session in order. Dropping it tells the peer to stop sending.
 #[derive(Debug)]
 pub struct SessionReceiver {
-    // Keeps the connection open for as long as the session.
+    // Keeps the connection open while the session lives.
     _connection: Connection,
     instance: InstanceId,
     limit: usize,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Ends the session's other direction: the peer is told to stop sending.
+    /// Closes the receiving direction: the peer is told to stop sending.
     pub fn close(mut self) {
         let _ = self.stream.stop(0_u32.into());
     }
@@ -46,14 +46,14 @@
         &self.instance
     }
 
-    /// The next frame; none when the peer closed its end. Not cancel-safe: a call that is dropped half way loses the
-    /// frame's place, so a task of its own should read.
+    /// Receives the next frame; `None` when the peer closed its end. Not cancel-safe: dropping the future halfway loses the
+    /// position in the stream, so a dedicated task should receive.
     ///
     /// # Errors
     ///
     /// When the connection is lost, or a frame is over the limit or has another wire version.
     pub async fn receive(&mut self) -> Result<Option<SessionFrame>, PeerError> {
-        let limit = self.limit + FRAME_HEAD;
+        let limit = self.limit + FRAME_HEADER_LENGTH;
         let content = match wire::read_frame(&mut self.stream, limit).await {
             Ok(Some(content)) => content,
             Ok(None) => return Ok(None),
@@ -71,9 +71,9 @@
 }
 
 fn decode_frame(mut content: Bytes) -> Result<SessionFrame, PeerError> {
-    if content.len() < FRAME_HEAD {
+    if content.len() < FRAME_HEADER_LENGTH {
         return GarbledSnafu {
-            detail: "the frame is cut off",
+            detail: "the frame is truncated",
         }
         .fail();
     }
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,16 +1,16 @@
-//! What the tests of the links share.
+//! Helpers shared by the tests that use real connections.
 
 #![allow(dead_code, reason = "each test file takes the part that it needs")]
 
 use {
     kernel::InstanceId,
-    peer::{PeerBook, PeerEndpoint, PeerIncoming, PeerKeys, PeerSettings, make_test_keys},
+    peer::{AddressTable, PeerEndpoint, PeerIncoming, PeerKeys, PeerSettings, make_test_keys},
     std::{net::SocketAddr, time::Duration},
     tokio::sync::mpsc,
 };
 
-/// A wait that only a fault reaches.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// A timeout that only a failing test reaches.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -18,30 +18,30 @@
 
 pub(crate) fn make_endpoint(
     name: &str,
-    book: &PeerBook,
+    addresses: &AddressTable,
     keys: &PeerKeys,
     settings: PeerSettings,
 ) -> PeerEndpoint {
     let endpoint = PeerEndpoint::builder()
         .address(loopback())
-        .book(book.clone())
+        .addresses(addresses.clone())
         .incarnation(1)
         .instance(name.into())
         .keys(keys)
         .settings(settings)
         .build()
         .unwrap();
-    book.set(name.into(), endpoint.local_address().unwrap());
+    addresses.set(name.into(), endpoint.local_address().unwrap());
     endpoint
 }
 
-/// Two instances that know each other.
-pub(crate) fn make_pair() -> (PeerEndpoint, PeerEndpoint, PeerBook) {
+/// Two instances that know each other's addresses.
+pub(crate) fn make_pair() -> (PeerEndpoint, PeerEndpoint, AddressTable) {
     let (_, keys) = make_test_keys(&["a", "b"]).unwrap();
-    let book = PeerBook::new();
-    let first = make_endpoint("a", &book, &keys[0], PeerSettings::default());
-    let second = make_endpoint("b", &book, &keys[1], PeerSettings::default());
-    (first, second, book)
+    let addresses = AddressTable::new();
+    let first = make_endpoint("a", &addresses, &keys[0], PeerSettings::default());
+    let second = make_endpoint("b", &addresses, &keys[1], PeerSettings::default());
+    (first, second, addresses)
 }
 
 pub(crate) fn name(text: &str) -> InstanceId {
@@ -49,22 +49,22 @@
 }
 
 pub(crate) async fn next(inbox: &mut mpsc::Receiver<PeerIncoming>) -> PeerIncoming {
-    tokio::time::timeout(PATIENCE, inbox.recv())
+    tokio::time::timeout(TEST_TIMEOUT, inbox.recv())
         .await
-        .expect("something comes in")
-        .expect("the endpoint lives")
+        .expect("a message arrives in time")
+        .expect("the endpoint is open")
 }
 
-/// Gives way to the other tasks until the condition holds.
+/// Yields to the other tasks until the condition holds.
 pub(crate) async fn until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TEST_TIMEOUT, wait)
         .await
-        .expect("the condition comes to hold");
+        .expect("the condition holds in time");
 }
 
 /// Answers every call on a tag with its own body.
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,11 +1,12 @@
-//! The platform: its transactional table service, its object store and its list of instances, as traits
+//! The platform: its transactional table service, object store and instance list, as traits
 //! ([`RowStore`], [`ObjectStore`], [`InstanceList`]) and over HTTP ([`HttpPlatform`]).
 //!
-//! [`TableRepository`] keeps the operators' table in its rows, and [`insert_once`] writes a row that must be the first
-//! with its key. [`PollPlan`] decides which instances poll, and when.
+//! [`TableRepository`] stores the operators' table in its rows, and [`insert_once`] inserts a row if its key
+//! does not exist. [`PollPlan`] decides which instances poll, and when.
 
 pub mod budget_platform;
 pub mod call_budget;
+mod edit_attempts;
 pub mod edit_origin;
 pub mod edit_record;
 pub mod edit_request;
@@ -14,7 +15,6 @@
 pub mod instance_record;
 pub mod keyed_rows;
 pub mod object_store;
-mod open_tries;
 pub mod plat_error;
 pub mod poll_plan;
 pub mod row_store;
--- a/crates/plat/src/table_repository.rs
+++ b/crates/plat/src/table_repository.rs
@@ -1,12 +1,12 @@
-//! The operators' table in the platform's table service: a row a kind of work, a head row, a log of edits.
+//! The operators' table in the platform's table service: one row per kind of work, a head row and an edit log.
 
 use {
     crate::{
+        edit_attempts::EditAttempts,
         edit_origin::EditOrigin,
         edit_record::EditRecord,
         edit_request::{EditOutcome, EditRequest},
         head_row::HeadRow,
-        open_tries::OpenTries,
         plat_error::PlatError,
         row_store::{RowStore, Transaction, TransactionReply},
         stored_table::{decode_row, matches, read_snapshot, undo},
@@ -19,54 +19,54 @@
     table::{FileBase, StampedRow, StampedTable, TablePatch, WorkRow, merge_rows},
 };
 
-/// How often a snapshot is read again when an edit came between its two reads.
-const SNAPSHOT_TRIES: u32 = 8;
-/// How often a write is tried when replies are lost.
-const LOSS_TRIES: u32 = 8;
-/// How often a write is tried when others come first.
-const WRITE_TRIES: u32 = 64;
-/// The most edits that a file may be behind.
-const HISTORY_LIMIT: usize = 10_000;
-/// The most edits that a patch is gathered from.
-const PATCH_LIMIT: usize = 32;
-/// The pause after a lost reply; the n-th pause is n times as long.
-pub const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// How often a snapshot is read when an edit is committed between its two reads.
+const MAX_SNAPSHOT_READS: u32 = 8;
+/// A write is abandoned after this many lost replies.
+const MAX_LOST_REPLIES: u32 = 8;
+/// How often a write is attempted when other edits are committed first.
+const MAX_WRITE_ATTEMPTS: u32 = 64;
+/// The maximum number of edits that a file may be behind.
+const MAX_FILE_LAG: usize = 10_000;
+/// The maximum number of edits that a patch is built from.
+const MAX_PATCH_EDITS: usize = 32;
+/// The delay after a lost reply; the n-th delay is n times as long.
+pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Reads and edits the table through any [`RowStore`].
 #[derive(Clone, Debug)]
 pub struct TableRepository<S> {
-    pause: Duration,
+    retry_delay: Duration,
     store: S,
 }
 
 impl<S: RowStore> TableRepository<S> {
-    /// Merges a file into the table: one conditional transaction of the touched rows, the head and the log. A try whose
-    /// reply was lost is recognised by its edit id and never done twice.
+    /// Merges a file into the table: one conditional transaction of the changed rows, the head and the log. An
+    /// attempt whose reply was lost is recognised by its edit id and never applied twice.
     ///
     /// # Errors
     ///
-    /// [`PlatError::OutcomeUnknown`] when the last reply was lost and the platform can't be read: applying the same file
-    /// again is safe. [`PlatError::BaseUnknown`] and its kin when the file's version can't be found. Any other error
-    /// says that nothing was done.
+    /// [`PlatError::OutcomeUnknown`] when a reply was lost and the outcome cannot be read back: applying the
+    /// same file again is safe. [`PlatError::BaseUnknown`] or [`PlatError::BaseDiffers`] when the file's
+    /// version is not found. Any other error means that nothing was written.
     pub async fn commit_edit(&self, edit: &EditRequest) -> Result<EditOutcome, PlatError> {
-        let mut open = OpenTries::default();
-        while open.tries < WRITE_TRIES && open.losses < LOSS_TRIES {
-            self.pause_before(&mut open).await;
-            match self.try_edit(edit, &mut open).await {
+        let mut attempts = EditAttempts::default();
+        while attempts.count < MAX_WRITE_ATTEMPTS && attempts.lost_replies < MAX_LOST_REPLIES {
+            self.delay_before(&mut attempts).await;
+            match self.try_edit(edit, &mut attempts).await {
                 Ok(Some(outcome)) => return Ok(outcome),
                 Ok(None) => {}
-                Err(error) if error.leaves_open() => open.note_loss(&error),
-                Err(error) => return Err(open.close(error, &edit.origin)),
+                Err(error) if error.is_outcome_unknown() => attempts.record_lost_reply(&error),
+                Err(error) => return Err(attempts.close(error, &edit.origin)),
             }
         }
-        Err(open.into_error(&edit.origin))
+        Err(attempts.into_error(&edit.origin))
     }
 
-    /// The head row; none before the first edit.
+    /// The head row; `None` before the first edit.
     ///
     /// # Errors
     ///
-    /// When the platform can't be reached or its answer can't be read.
+    /// When the platform cannot be reached or its answer is malformed.
     pub async fn head(&self) -> Result<Option<HeadRow>, PlatError> {
         let row = self.store.get(HEAD_KEY).await?;
         row.as_ref().map(decode_row).transpose()
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::HistoryGap`] when the log lacks an entry, or a read's own error.
+    /// [`PlatError::HistoryGap`] when the log lacks an entry, or the error of a read.
     pub async fn history(&self, limit: usize) -> Result<Vec<EditRecord>, PlatError> {
         let mut version = self.head().await?.map_or(0, |head| head.version);
         let mut records = Vec::new();
@@ -91,13 +91,14 @@
     /// A repository over a store.
     pub fn new(store: S) -> Self {
         Self {
-            pause: RETRY_PAUSE,
+            retry_delay: RETRY_DELAY,
             store,
         }
     }
 
-    /// The rows that changed after a version, from the log of edits; all rows when the log does not lead there in a few
-    /// steps. An instance that is one edit behind reads two rows instead of the whole table.
+    /// The rows that changed after a version, from the edit log; all rows when the log does not reach that
+    /// version within a few entries. An instance that is one edit behind reads two rows instead of the whole
+    /// table.
     ///
     /// # Errors
     ///
@@ -120,14 +121,15 @@
     ///
     /// # Errors
     ///
-    /// [`PlatError::HistoryGap`] when there is none, or a read's own error.
+    /// [`PlatError::HistoryGap`] when there is none, or the error of a read.
     pub async fn record(&self, version: TableVersion) -> Result<EditRecord, PlatError> {
         let record = self.find_record(version).await?;
         record.ok_or(PlatError::HistoryGap { version })
     }
 
-    /// Writes back the accepted edits that the platform lacks, such as after it was restored from an old copy. Rows keep
-    /// their stamps; the version that this makes is greater than both. Returns the platform's version after it.
+    /// Writes back accepted edits that the platform lacks, for example after it was restored from an old copy.
+    /// Rows keep their stamps, and the new version is greater than both. Returns the platform's version
+    /// afterwards.
     ///
     /// # Errors
     ///
@@ -137,25 +139,25 @@
         held: &StampedTable,
         origin: &EditOrigin,
     ) -> Result<TableVersion, PlatError> {
-        let mut open = OpenTries::default();
-        while open.tries < WRITE_TRIES && open.losses < LOSS_TRIES {
-            self.pause_before(&mut open).await;
-            match self.try_restore(held, origin, &mut open).await {
+        let mut attempts = EditAttempts::default();
+        while attempts.count < MAX_WRITE_ATTEMPTS && attempts.lost_replies < MAX_LOST_REPLIES {
+            self.delay_before(&mut attempts).await;
+            match self.try_restore(held, origin, &mut attempts).await {
                 Ok(Some(version)) => return Ok(version),
                 Ok(None) => {}
-                Err(error) if error.leaves_open() => open.note_loss(&error),
-                Err(error) => return Err(open.close(error, origin)),
+                Err(error) if error.is_outcome_unknown() => attempts.record_lost_reply(&error),
+                Err(error) => return Err(attempts.close(error, origin)),
             }
         }
-        Err(open.into_error(origin))
+        Err(attempts.into_error(origin))
     }
 
     /// The rows at the version that a file was taken from, by undoing the edits since.
     ///
     /// # Errors
     ///
-    /// [`PlatError::BaseUnknown`] when the version is not among the edits, [`PlatError::BaseDiffers`] when it had
-    /// another content than the file says.
+    /// [`PlatError::BaseUnknown`] when the version is not in the edit log, [`PlatError::BaseDiffers`] when its
+    /// content differs from the file's base.
     pub async fn rows_at(
         &self,
         snapshot: &TableSnapshot,
@@ -163,7 +165,7 @@
     ) -> Result<BTreeMap<WorkId, WorkRow>, PlatError> {
         let mut rows = snapshot.table.live_rows();
         let mut version = snapshot.version();
-        for _ in 0..HISTORY_LIMIT {
+        for _ in 0..MAX_FILE_LAG {
             if matches(base, version, &rows) {
                 return Ok(rows);
             }
@@ -182,14 +184,14 @@
         })
     }
 
-    /// Rows and head of one version: read again until the rows add up to the head's digest.
+    /// The rows and head of one version, read again until the rows match the head's digest.
     ///
     /// # Errors
     ///
-    /// [`PlatError::Inconsistent`] when they never do, or a read's own error.
+    /// [`PlatError::Inconsistent`] when they never match, or the error of a read.
     pub async fn snapshot(&self) -> Result<TableSnapshot, PlatError> {
         let mut version = 0;
-        for _ in 0..SNAPSHOT_TRIES {
+        for _ in 0..MAX_SNAPSHOT_READS {
             let head_row = self.store.get(HEAD_KEY).await?;
             let rows = self.store.scan(ROW_PREFIX).await?;
             let snapshot = read_snapshot(head_row.as_ref(), &rows)?;
@@ -202,14 +204,17 @@
         Err(PlatError::Inconsistent { version })
     }
 
-    /// The store.
+    /// The underlying row store.
     pub fn store(&self) -> &S {
         &self.store
     }
 
-    /// The same repository with another pause after a lost reply.
-    pub fn with_pause(self, pause: Duration) -> Self {
-        Self { pause, ..self }
+    /// Sets the delay after a lost reply.
+    pub fn with_retry_delay(self, retry_delay: Duration) -> Self {
+        Self {
+            retry_delay,
+            ..self
+        }
     }
 
     async fn find_record(&self, version: TableVersion) -> Result<Option<EditRecord>, PlatError> {
@@ -217,13 +222,13 @@
         row.as_ref().map(decode_row).transpose()
     }
 
-    /// The version that an earlier try of this edit made after all.
-    async fn find_done(
+    /// The version that an earlier attempt of this edit committed although its reply was lost.
+    async fn find_committed(
         &self,
         origin: &EditOrigin,
-        open: &OpenTries,
+        attempts: &EditAttempts,
     ) -> Result<Option<TableVersion>, PlatError> {
-        for version in &open.versions {
+        for version in &attempts.versions {
             let record = self.find_record(*version).await?;
             if record.is_some_and(|record| record.id == origin.id) {
                 return Ok(Some(*version));
@@ -232,21 +237,21 @@
         Ok(None)
     }
 
-    async fn pause_before(&self, open: &mut OpenTries) {
-        if open.losses > 0 {
-            tokio::time::sleep(self.pause * open.losses).await;
+    async fn delay_before(&self, attempts: &mut EditAttempts) {
+        if attempts.lost_replies > 0 {
+            tokio::time::sleep(self.retry_delay * attempts.lost_replies).await;
         }
-        open.tries += 1;
+        attempts.count += 1;
     }
 
-    /// The rows that the edits after `since` made, up to `version`; none when the log does not lead there.
+    /// The rows changed after `since` up to `version`; `None` when the log does not reach `since`.
     async fn rows_since(
         &self,
         mut version: TableVersion,
         since: TableVersion,
     ) -> Result<Option<BTreeMap<WorkId, StampedRow>>, PlatError> {
         let mut rows = BTreeMap::new();
-        for _ in 0..PATCH_LIMIT {
+        for _ in 0..MAX_PATCH_EDITS {
             if version <= since {
                 return Ok((version == since).then_some(rows));
             }
@@ -262,7 +267,7 @@
                     stamp: version,
                     written: version,
                 };
-                // Later edits come first.
+                // Edits are visited newest first, so the first value of a row is the current one.
                 rows.entry(change.work).or_insert(stamped);
             }
             version = record.parent;
@@ -270,19 +275,19 @@
         Ok(None)
     }
 
-    /// Whether the transaction was committed.
+    /// Sends a transaction; returns whether it was committed.
     async fn send(
         &self,
         transaction: &Transaction,
         version: TableVersion,
-        open: &mut OpenTries,
+        attempts: &mut EditAttempts,
     ) -> Result<bool, PlatError> {
         match self.store.commit(transaction).await {
             Ok(TransactionReply::Committed) => Ok(true),
             Ok(TransactionReply::Conflict { .. }) => Ok(false),
             Err(error) => {
-                if error.leaves_open() {
-                    open.versions.push(version);
+                if error.is_outcome_unknown() {
+                    attempts.versions.push(version);
                 }
                 Err(error)
             }
@@ -292,10 +297,10 @@
     async fn try_edit(
         &self,
         edit: &EditRequest,
-        open: &mut OpenTries,
+        attempts: &mut EditAttempts,
     ) -> Result<Option<EditOutcome>, PlatError> {
-        if let Some(version) = self.find_done(&edit.origin, open).await? {
-            let merge = open.merge.take().unwrap_or_default();
+        if let Some(version) = self.find_committed(&edit.origin, attempts).await? {
+            let merge = attempts.merge.take().unwrap_or_default();
             return Ok(Some(EditOutcome::Committed { merge, version }));
         }
         let snapshot = self.snapshot().await?;
@@ -314,18 +319,18 @@
         table.edit(version, &merge.changes);
         let transaction = TableTransaction::new(&snapshot, &table, version);
         let transaction = transaction.build(&edit.origin, &merge.changes)?;
-        open.merge = Some(merge.clone());
-        let is_done = self.send(&transaction, version, open).await?;
-        Ok(is_done.then_some(EditOutcome::Committed { merge, version }))
+        attempts.merge = Some(merge.clone());
+        let is_committed = self.send(&transaction, version, attempts).await?;
+        Ok(is_committed.then_some(EditOutcome::Committed { merge, version }))
     }
 
     async fn try_restore(
         &self,
         held: &StampedTable,
         origin: &EditOrigin,
-        open: &mut OpenTries,
+        attempts: &mut EditAttempts,
     ) -> Result<Option<TableVersion>, PlatError> {
-        if let Some(version) = self.find_done(origin, open).await? {
+        if let Some(version) = self.find_committed(origin, attempts).await? {
             return Ok(Some(version));
         }
         let snapshot = self.snapshot().await?;
@@ -338,7 +343,7 @@
         let changes = table::diff_rows(&snapshot.table.live_rows(), &table.live_rows());
         let transaction = TableTransaction::new(&snapshot, &table, version);
         let transaction = transaction.write_back().build(origin, &changes)?;
-        let is_done = self.send(&transaction, version, open).await?;
-        Ok(is_done.then_some(version))
+        let is_committed = self.send(&transaction, version, attempts).await?;
+        Ok(is_committed.then_some(version))
     }
 }
--- a/crates/policy/tests/upstream_table.rs
+++ b/crates/policy/tests/upstream_table.rs
@@ -1,4 +1,4 @@
-//! Which upstream a call goes to, and what becomes of the list's changes.
+//! Which upstream is selected for a call, and how changes of the list are applied.
 
 use {
     kernel::{ServiceId, ZoneId},
@@ -31,7 +31,7 @@
     let query = ChoiceQuery {
         avoid: &[],
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage,
@@ -132,15 +132,15 @@
 fn one_that_leaves_or_is_gone_from_the_list_is_not_chosen() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let mut one = record("a", "near", UpstreamStage::Plain);
-    table.replace(std::slice::from_ref(&one), None, now);
-    assert!(table.takes_work(&one.id));
-    one.leaving = true;
-    table.replace(std::slice::from_ref(&one), None, now);
+    let mut record_a = record("a", "near", UpstreamStage::Plain);
+    table.replace(std::slice::from_ref(&record_a), None, now);
+    assert!(table.accepts_work(&record_a.id));
+    record_a.leaving = true;
+    table.replace(std::slice::from_ref(&record_a), None, now);
     assert_eq!(chosen(&table, UpstreamStage::Plain, now), None);
-    assert!(!table.takes_work(&one.id));
-    one.leaving = false;
-    table.replace(std::slice::from_ref(&one), None, now);
+    assert!(!table.accepts_work(&record_a.id));
+    record_a.leaving = false;
+    table.replace(std::slice::from_ref(&record_a), None, now);
     table.replace(&[], None, now);
     assert_eq!(chosen(&table, UpstreamStage::Plain, now), None);
 }
@@ -149,8 +149,8 @@
 fn what_lapsed_during_an_outage_is_kept_for_two_seconds_after_it() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let one = record("a", "near", UpstreamStage::Plain);
-    table.replace(std::slice::from_ref(&one), None, now);
+    let record_a = record("a", "near", UpstreamStage::Plain);
+    table.replace(std::slice::from_ref(&record_a), None, now);
     table.replace(&[], Some(now), now);
     assert!(chosen(&table, UpstreamStage::Plain, now).is_some());
     let soon = now + SECOND;
@@ -165,12 +165,12 @@
 fn what_lapsed_during_an_outage_is_gone_when_its_address_has_another_upstream() {
     let now = Instant::now();
     let mut table = UpstreamTable::default();
-    let one = record("a", "near", UpstreamStage::Plain);
+    let record_a = record("a", "near", UpstreamStage::Plain);
     let mut other = record("b", "near", UpstreamStage::Plain);
-    other.address = one.address;
-    table.replace(std::slice::from_ref(&one), None, now);
+    other.address = record_a.address;
+    table.replace(std::slice::from_ref(&record_a), None, now);
     table.replace(&[other], Some(now), now);
-    assert!(!table.takes_work(&one.id));
+    assert!(!table.accepts_work(&record_a.id));
 }
 
 #[test]
@@ -185,20 +185,20 @@
     let query = ChoiceQuery {
         avoid: &[],
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage: UpstreamStage::Prefill,
         zone: &zone,
     };
     let id = |table: &UpstreamTable, now| {
-        let choice = table.choose_reader(&query, 3_000, now).unwrap();
+        let choice = table.choose_prefill(&query, 3_000, now).unwrap();
         choice.upstream.id.to_string()
     };
     assert_eq!(id(&table, now), "a");
-    // A reading that took a second longer than its pace tells of a queue, which is gone a few seconds later.
-    table.note_read(&near.id, 3_000, Duration::from_millis(150), now);
-    table.note_read(&near.id, 3_000, Duration::from_millis(1_150), now);
+    // A prefill that took a second longer than expected indicates a queue, which is gone a few seconds later.
+    table.note_prefill(&near.id, 3_000, Duration::from_millis(150), now);
+    table.note_prefill(&near.id, 3_000, Duration::from_millis(1_150), now);
     assert_eq!(id(&table, now), "b");
     assert_eq!(id(&table, now + 4 * SECOND), "a");
     table.begin(&near.id, 30_000);
@@ -217,18 +217,21 @@
     };
     fail(&mut table, 0);
     assert!(
-        !table.stands_out(&records[0].id, now),
-        "one failure is the request's own"
+        !table.is_outlier(&records[0].id, now),
+        "a single failure is attributed to the request"
     );
     fail(&mut table, 0);
-    assert!(table.stands_out(&records[0].id, now));
+    assert!(table.is_outlier(&records[0].id, now));
     for index in [1, 1, 2, 2] {
         fail(&mut table, index);
     }
-    assert!(!table.stands_out(&records[0].id, now), "all fail alike");
+    assert!(
+        !table.is_outlier(&records[0].id, now),
+        "all fail equally often"
+    );
 }
 
-/// Sixteen instances, each with a view of its own, have prompts read one after the other.
+/// Sixteen instances, each with its own table, have prompts prefilled one after the other.
 #[test]
 fn instances_that_see_few_readings_do_not_all_go_to_the_same_prefill_engine() {
     const ENGINES: usize = 8;
@@ -239,7 +242,7 @@
     let records = names.map(|name| record(name, "near", UpstreamStage::Prefill));
     let service: ServiceId = "s".into();
     let zone: ZoneId = "near".into();
-    let mut readings = std::collections::BTreeMap::new();
+    let mut prefills = std::collections::BTreeMap::new();
     for instance in 0..INSTANCES {
         let mut table = UpstreamTable::default();
         table.replace(&records, None, now);
@@ -249,22 +252,22 @@
             let query = ChoiceQuery {
                 avoid: &[],
                 holders: &[],
-                linked: &BTreeSet::new(),
+                connected: &BTreeSet::new(),
                 request: &request,
                 service: &service,
                 stage: UpstreamStage::Prefill,
                 zone: &zone,
             };
-            let choice = table.choose_reader(&query, 3_000, at).unwrap();
+            let choice = table.choose_prefill(&query, 3_000, at).unwrap();
             let id = choice.upstream.id.clone();
-            table.note_read(&id, choice.ahead, Duration::from_millis(100), at);
-            *readings.entry(id).or_insert(0) += 1;
+            table.note_prefill(&id, choice.queued_tokens, Duration::from_millis(100), at);
+            *prefills.entry(id).or_insert(0) += 1;
         }
     }
     let fair = INSTANCES * ROUNDS / ENGINES;
-    let most = *readings.values().max().unwrap();
-    assert!(most <= 2 * fair, "{readings:?}");
-    assert_eq!(readings.len(), ENGINES, "{readings:?}");
+    let most = *prefills.values().max().unwrap();
+    assert!(most <= 2 * fair, "{prefills:?}");
+    assert_eq!(prefills.len(), ENGINES, "{prefills:?}");
 }
 
 #[test]
@@ -283,13 +286,13 @@
         let query = ChoiceQuery {
             avoid: &[],
             holders: &[],
-            linked: &BTreeSet::new(),
+            connected: &BTreeSet::new(),
             request: &request,
             service: &service,
             stage: UpstreamStage::Prefill,
             zone: &zone,
         };
-        let choice = table.choose_reader(&query, 3_000, at).unwrap();
+        let choice = table.choose_prefill(&query, 3_000, at).unwrap();
         assert_eq!(&*choice.upstream.id, "b", "after {:?}", at - now);
     }
 }
@@ -300,16 +303,16 @@
     let mut table = UpstreamTable::default();
     let records = ["a", "b"].map(|id| record(id, "near", UpstreamStage::Decode));
     table.replace(&records, None, now);
-    // The other one is nearly full, so the idle one looks better.
+    // The other engine is nearly full, so the idle one costs less.
     for _ in 0..10 {
         table.begin(&"b".into(), 3_000);
     }
-    let asked = |table: &UpstreamTable, now| chosen(table, UpstreamStage::Decode, now);
-    assert_eq!(asked(&table, now).as_deref(), Some("a"));
-    table.note_turned_away(&"a".into(), false, now);
-    assert_eq!(asked(&table, now).as_deref(), Some("b"));
+    let selected = |table: &UpstreamTable, now| chosen(table, UpstreamStage::Decode, now);
+    assert_eq!(selected(&table, now).as_deref(), Some("a"));
+    table.note_refusal(&"a".into(), false, now);
+    assert_eq!(selected(&table, now).as_deref(), Some("b"));
     table.note_run(&"a".into());
-    assert_eq!(asked(&table, now).as_deref(), Some("a"));
+    assert_eq!(selected(&table, now).as_deref(), Some("a"));
 }
 
 #[test]
@@ -317,9 +320,9 @@
     let now = Instant::now();
     let mut table = UpstreamTable::default();
     table.replace(&[record("a", "near", UpstreamStage::Decode)], None, now);
-    table.note_turned_away(&"a".into(), false, now);
-    let asked = chosen(&table, UpstreamStage::Decode, now);
-    assert_eq!(asked.as_deref(), Some("a"));
+    table.note_refusal(&"a".into(), false, now);
+    let selected = chosen(&table, UpstreamStage::Decode, now);
+    assert_eq!(selected.as_deref(), Some("a"));
 }
 
 #[test]
@@ -330,11 +333,11 @@
     let mut table = UpstreamTable::default();
     let records = ["a", "b"].map(|id| record(id, "near", UpstreamStage::Decode));
     table.replace(&records, None, now);
-    table.note_turned_away(&"a".into(), false, now);
+    table.note_refusal(&"a".into(), false, now);
     let query = ChoiceQuery {
         avoid: &["b".into()],
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage: UpstreamStage::Decode,
@@ -358,7 +361,7 @@
     let query = ChoiceQuery {
         avoid: &[],
         holders: std::slice::from_ref(&holder.id),
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage: UpstreamStage::Decode,
@@ -385,23 +388,23 @@
         let query = ChoiceQuery {
             avoid: &[],
             holders: std::slice::from_ref(&holder.id),
-            linked: &BTreeSet::new(),
+            connected: &BTreeSet::new(),
             request: &request,
             service: &service,
             stage: UpstreamStage::Prefill,
             zone: &zone,
         };
-        let choice = table.choose_reader(&query, 3_000, now).unwrap();
-        assert!(choice.is_held, "request {number}");
+        let choice = table.choose_prefill(&query, 3_000, now).unwrap();
+        assert!(choice.is_cached, "request {number}");
         for _ in 0..10 {
             table.begin(&holder.id, 3_000);
         }
-        let choice = table.choose_reader(&query, 3_000, now).unwrap();
+        let choice = table.choose_prefill(&query, 3_000, now).unwrap();
         assert_eq!(&*choice.upstream.id, "a", "request {number}");
     }
 }
 
-/// Ten engines of each of two zones, all idle.
+/// Ten idle engines in each of two zones.
 fn two_zones(stage: UpstreamStage, now: Instant) -> UpstreamTable {
     let mut records = Vec::new();
     for zone in ["a", "b"] {
@@ -414,7 +417,7 @@
     table
 }
 
-/// Where a request of zone `a` goes that was refused by these.
+/// The zone selected for a request in zone `a` after refusals by the given engines.
 fn chosen_after(
     table: &UpstreamTable,
     stage: UpstreamStage,
@@ -426,7 +429,7 @@
     let query = ChoiceQuery {
         avoid: &avoid,
         holders: &[],
-        linked: &BTreeSet::new(),
+        connected: &BTreeSet::new(),
         request: "r",
         service: &service,
         stage,
@@ -443,7 +446,7 @@
     assert_eq!(zone(&[]), "a");
     assert_eq!(zone(&["a-0"]), "a");
     assert_eq!(zone(&["a-0", "a-1", "a-2"]), "b");
-    // Where the other zone is as full, the own one is looked at again.
+    // After as many refusals in the other zone, the own one is tried again.
     assert_eq!(zone(&["a-0", "a-1", "a-2", "b-0", "b-1"]), "a");
 }
 
@@ -459,13 +462,13 @@
 fn an_instance_of_many_goes_to_the_idle_engines_that_it_has_a_connection_to() {
     let now = Instant::now();
     let mut table = two_zones(UpstreamStage::Decode, now);
-    let linked = BTreeSet::from(["a-3".into(), "a-7".into()]);
+    let connected = BTreeSet::from(["a-3".into(), "a-7".into()]);
     let (service, zone): (ServiceId, _) = ("s".into(), "a".into());
     let choose = |table: &UpstreamTable, request: &str| {
         let query = ChoiceQuery {
             avoid: &[],
             holders: &[],
-            linked: &linked,
+            connected: &connected,
             request,
             service: &service,
             stage: UpstreamStage::Decode,
@@ -475,12 +478,12 @@
     };
     for request in 0..20 {
         let id = choose(&table, &request.to_string());
-        assert!(linked.contains(&id), "{id}");
+        assert!(connected.contains(&id), "{id}");
     }
-    for id in &linked {
+    for id in &connected {
         table.begin(id, 3_000);
     }
-    // A call runs at each of them: another engine is as good for it, and idle.
+    // A call runs at each of them, so another, idle engine costs less.
     let id = choose(&table, "r");
-    assert!(!linked.contains(&id), "{id}");
+    assert!(!connected.contains(&id), "{id}");
 }
--- /dev/null
+++ b/crates/relay/src/connection_pool.rs
@@ -0,0 +1,294 @@
+//! A pool of connections to upstreams and to the store.
+//!
+//! A connection carries one call at a time. It is closed when a call is dropped before its answer was read to the end,
+//! and it is not reused after any irregularity in an answer.
+
+use {
+    bytes::Bytes,
+    http::Request,
+    http_body_util::Full,
+    hyper::{
+        body::Incoming,
+        client::conn::http1::{self, SendRequest},
+    },
+    hyper_util::rt::TokioIo,
+    kernel::{LockRank, RankedLock, steady_clock},
+    policy::ProbeOutcome,
+    snafu::Snafu,
+    socket2::{SockRef, TcpKeepalive},
+    std::{
+        collections::{BTreeSet, HashMap},
+        io::{self, ErrorKind},
+        net::SocketAddr,
+        time::{Duration, Instant},
+    },
+    tokio::{net::TcpStream, time},
+    tokio_util::task::AbortOnDropHandle,
+};
+
+/// How long an idle connection is kept when the server states no idle timeout: it may close the connection at any
+/// moment after that.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Subtracted from the idle timeout that a server states, to cover network latency and the granularity of its timer.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum number of idle connections per peer.
+const MAX_IDLE_PER_PEER: usize = 16;
+
+/// Identifies a peer of the pool. For upstreams it is their id, so that a restarted upstream at the same address gets
+/// new connections.
+pub type ConnectionKey = std::sync::Arc<str>;
+
+/// The timeouts of a pool.
+#[derive(Clone, Copy, Debug, bon::Builder)]
+pub struct ConnectionTimeouts {
+    /// Timeout for establishing a connection.
+    pub connect: Duration,
+    /// How long data may stay unacknowledged, or a peer silent, before the connection counts as lost.
+    pub peer_timeout: Duration,
+}
+
+/// Why a call got no answer.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub))]
+pub enum ConnectionError {
+    /// At least a part of the call was written, and no complete response head arrived.
+    #[snafu(display("the connection was lost: {detail}"))]
+    Lost {
+        /// The cause.
+        detail: String,
+    },
+    /// Nothing was written.
+    #[snafu(display("no connection: {detail}"))]
+    Unsent {
+        /// The cause.
+        detail: String,
+    },
+}
+
+/// A connection in use by one call.
+#[derive(Debug)]
+pub struct OpenConnection {
+    address: SocketAddr,
+    sender: SendRequest<Full<Bytes>>,
+    task: AbortOnDropHandle<()>,
+}
+
+#[derive(Debug)]
+struct IdleConnection {
+    connection: OpenConnection,
+    until: Instant,
+}
+
+impl IdleConnection {
+    fn is_usable(&self, address: SocketAddr, now: Instant) -> bool {
+        now < self.until
+            && self.connection.address == address
+            && self.connection.sender.is_ready()
+            && !self.connection.task.is_finished()
+    }
+}
+
+/// Idle connections by peer.
+#[derive(Debug)]
+pub struct ConnectionPool {
+    idle: RankedLock<HashMap<ConnectionKey, Vec<IdleConnection>>>,
+    times: ConnectionTimeouts,
+}
+
+impl ConnectionPool {
+    /// Returns a connection whose answer was read to the end; `idle_timeout` is the one that the server states.
+    pub fn keep(
+        &self,
+        key: &ConnectionKey,
+        connection: OpenConnection,
+        idle_timeout: Option<Duration>,
+    ) {
+        if connection.sender.is_closed() {
+            return;
+        }
+        let idle = match idle_timeout {
+            Some(idle_timeout) => idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN),
+            None => DEFAULT_IDLE_TIMEOUT,
+        };
+        if idle.is_zero() {
+            return;
+        }
+        let until = steady_clock::now() + idle;
+        let mut table = self.idle.lock();
+        let connections = table.entry(key.clone()).or_default();
+        if connections.len() < MAX_IDLE_PER_PEER {
+            connections.push(IdleConnection { connection, until });
+        }
+    }
+
+    /// The peers with an idle connection.
+    pub fn connected(&self) -> BTreeSet<ConnectionKey> {
+        let now = steady_clock::now();
+        let table = self.idle.lock();
+        let is_live =
+            |connections: &[IdleConnection]| connections.iter().any(|idle| now < idle.until);
+        let connected = table.iter().filter(|(_, connections)| is_live(connections));
+        connected.map(|(key, _)| key.clone()).collect()
+    }
+
+    /// An empty pool.
+    pub fn new(times: ConnectionTimeouts) -> Self {
+        Self {
+            idle: RankedLock::new(LockRank::Links, HashMap::new()),
+            times,
+        }
+    }
+
+    /// Checks whether a peer accepts connections. A usable idle connection is proof enough; otherwise a new connection
+    /// is made and kept.
+    pub async fn probe(&self, key: &ConnectionKey, address: SocketAddr) -> ProbeOutcome {
+        if self.has_idle(key, address) {
+            return ProbeOutcome::Accepted;
+        }
+        let stream = match self.dial(address).await {
+            Ok(stream) => stream,
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+                return ProbeOutcome::Refused;
+            }
+            Err(error) => {
+                tracing::debug!(%address, %error, "could not determine whether an upstream crashed");
+                return ProbeOutcome::NoAnswer;
+            }
+        };
+        match self.handshake(stream, address).await {
+            Ok(connection) => self.keep(key, connection, None),
+            Err(error) => tracing::debug!(%address, %error, "the HTTP handshake failed"),
+        }
+        ProbeOutcome::Accepted
+    }
+
+    /// Sends a call and waits for the head of the answer.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectionError::Unsent`] when nothing was written, [`ConnectionError::Lost`] when the call may have been
+    /// carried out.
+    pub async fn send(
+        &self,
+        key: &ConnectionKey,
+        address: SocketAddr,
+        request: Request<Full<Bytes>>,
+    ) -> Result<(http::Response<Incoming>, OpenConnection), ConnectionError> {
+        let mut request = request;
+        while let Some(mut connection) = self.take_idle(key, address) {
+            let sending = connection.sender.try_send_request(request).await;
+            match sending {
+                Ok(response) => return Ok((response, connection)),
+                Err(mut failure) => match failure.take_message() {
+                    Some(unsent) => request = unsent,
+                    None => return lost(failure.error()),
+                },
+            }
+        }
+        let mut connection = self.connect(address).await?;
+        match connection.sender.try_send_request(request).await {
+            Ok(response) => Ok((response, connection)),
+            Err(mut failure) => match failure.take_message() {
+                Some(_) => UnsentSnafu {
+                    detail: failure.error().to_string(),
+                }
+                .fail(),
+                None => lost(failure.error()),
+            },
+        }
+    }
+
+    /// Closes idle connections past their timeout.
+    pub fn sweep(&self, now: Instant) {
+        let mut table = self.idle.lock();
+        for connections in table.values_mut() {
+            connections.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+        }
+        table.retain(|_, connections| !connections.is_empty());
+    }
+
+    async fn connect(&self, address: SocketAddr) -> Result<OpenConnection, ConnectionError> {
+        let stream = self.dial(address).await.map_err(|error| {
+            UnsentSnafu {
+                detail: error.to_string(),
+            }
+            .build()
+        })?;
+        self.handshake(stream, address).await
+    }
+
+    async fn dial(&self, address: SocketAddr) -> io::Result<TcpStream> {
+        let connecting = time::timeout(self.times.connect, TcpStream::connect(address)).await;
+        let late = |_| io::Error::new(ErrorKind::TimedOut, "no connection in time");
+        connecting.map_err(late)?
+    }
+
+    async fn handshake(
+        &self,
+        stream: TcpStream,
+        address: SocketAddr,
+    ) -> Result<OpenConnection, ConnectionError> {
+        tune_socket(&stream, self.times.peer_timeout);
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|error| {
+            UnsentSnafu {
+                detail: error.to_string(),
+            }
+            .build()
+        })?;
+        let task = tokio::spawn(async move {
+            if let Err(error) = connection.await {
+                tracing::debug!(%address, %error, "a connection failed");
+            }
+        });
+        Ok(OpenConnection {
+            address,
+            sender,
+            task: AbortOnDropHandle::new(task),
+        })
+    }
+
+    /// Whether there is a usable idle connection to this peer.
+    fn has_idle(&self, key: &ConnectionKey, address: SocketAddr) -> bool {
+        let now = steady_clock::now();
+        let table = self.idle.lock();
+        let connections = table.get(key);
+        connections
+            .is_some_and(|connections| connections.iter().any(|idle| idle.is_usable(address, now)))
+    }
+
+    fn take_idle(&self, key: &ConnectionKey, address: SocketAddr) -> Option<OpenConnection> {
+        let now = steady_clock::now();
+        let mut table = self.idle.lock();
+        let connections = table.get_mut(key)?;
+        while let Some(idle) = connections.pop() {
+            if idle.is_usable(address, now) {
+                return Some(idle.connection);
+            }
+        }
+        None
+    }
+}
+
+/// Sets socket options that detect a lost peer within `peer_timeout` and send small writes without delay.
+pub fn tune_socket(stream: &TcpStream, peer_timeout: Duration) {
+    let socket = SockRef::from(stream);
+    let probes = TcpKeepalive::new()
+        .with_time(peer_timeout / 2)
+        .with_interval(peer_timeout / 4)
+        .with_retries(2);
+    let outcome = socket
+        .set_tcp_nodelay(true)
+        .and_then(|()| socket.set_tcp_user_timeout(Some(peer_timeout)))
+        .and_then(|()| socket.set_tcp_keepalive(&probes));
+    if let Err(error) = outcome {
+        tracing::debug!(%error, "could not set a socket option; a lost peer is noticed later");
+    }
+}
+
+fn lost<T>(error: &hyper::Error) -> Result<T, ConnectionError> {
+    LostSnafu {
+        detail: error.to_string(),
+    }
+    .fail()
+}
--- a/crates/relay/src/crash_plugin.rs
+++ b/crates/relay/src/crash_plugin.rs
@@ -1,4 +1,4 @@
-//! The part of the state dump on requests in quarantine.
+//! The state dump of the requests in quarantine.
 
 use {
     crate::CrashWatch,
@@ -21,7 +21,7 @@
     for row in watch.rows() {
         requests.push(json!({
             "fingerprint": row.fingerprint.to_string(),
-            "left_s": row.left.as_secs(),
+            "left_s": row.remaining.as_secs(),
             "upstreams": row.upstreams,
         }));
     }
--- a/crates/relay/src/crash_watch.rs
+++ b/crates/relay/src/crash_watch.rs
@@ -1,11 +1,12 @@
-//! Finds out which upstreams ended under the requests that ran there, and keeps those in quarantine that end them all.
+//! Detects upstreams that crash while running a request, and quarantines requests that crash one upstream after
+//! another.
 
 use {
-    crate::{CallerRequest, LinkPool, OpenCall, RelayCounts, UpstreamBoard},
+    crate::{CallerRequest, ConnectionPool, OpenCall, RelayCounts, SharedUpstreams},
     kernel::{LockRank, RankedLock, steady_clock},
     policy::{
-        AgedReport, CrashReport, CrashTable, LossStep, LossTable, LostRun, QuarantineRow,
-        UpstreamReach, UpstreamRecord,
+        AgedReport, CrashReport, CrashTable, LossAction, LossTable, LostRun, ProbeOutcome,
+        QuarantineRow, UpstreamRecord,
     },
     std::{
         sync::Arc,
@@ -14,27 +15,27 @@
     tokio::{sync::Notify, time},
 };
 
-/// When an upstream is examined after the first loss, each time after the one before. A process that ends closes its
-/// connections one after the other, the one that it listens at among them, and a busy instance sees each close late: one that
-/// takes connections at first may still be ending.
-const EXAMINE_PAUSES: [Duration; 3] = [
+/// Pauses before the checks of an upstream after a lost connection, each counted from the check before. A crashing
+/// process closes its connections one after the other, its listener among them, and a busy instance sees each close
+/// late: an upstream that still accepts connections may be crashing.
+const PROBE_PAUSES: [Duration; 3] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(500),
 ];
-/// How many reports wait for a store that is down; further ones are passed on to other instances alone.
-const MOST_UNSENT: usize = 1_000;
-/// The store takes so many rows in one transaction.
-const MOST_WRITES: usize = 100;
+/// Maximum number of reports queued while the store is down; further ones reach other instances only directly.
+const MAX_UNSENT_REPORTS: usize = 1_000;
+/// Maximum number of rows that the store accepts in one transaction.
+const MAX_ROWS_PER_WRITE: usize = 100;
 
-/// Watches the losses of one process.
+/// Tracks the lost connections of this process.
 #[derive(Debug)]
 pub struct CrashWatch {
-    board: Arc<UpstreamBoard>,
+    upstreams: Arc<SharedUpstreams>,
     counts: RelayCounts,
-    pool: Arc<LinkPool>,
+    pool: Arc<ConnectionPool>,
     state: RankedLock<CrashState>,
-    /// Rung when there are reports that nobody else has.
+    /// Notified when there are reports that no other instance has.
     unsent: Notify,
 }
 
@@ -46,12 +47,12 @@
 }
 
 impl CrashState {
-    fn keep_unsent(&mut self, reports: Vec<CrashReport>) {
-        let room = MOST_UNSENT.saturating_sub(self.unsent.len());
+    fn push_unsent(&mut self, reports: Vec<CrashReport>) {
+        let room = MAX_UNSENT_REPORTS.saturating_sub(self.unsent.len());
         if reports.len() > room {
             tracing::warn!(
                 count = reports.len() - room,
-                "reports of ended upstreams are dropped, the store takes none"
+                "dropped reports of crashed upstreams: the store takes none and the queue is full"
             );
         }
         self.unsent.extend(reports.into_iter().take(room));
@@ -59,37 +60,37 @@
 }
 
 impl CrashWatch {
-    /// A request was answered in full by an upstream, which goes on: it is no cause of ends.
+    /// Records that an upstream answered a request in full and keeps running: the request does not cause crashes.
     pub fn note_answered(&self, request: &CallerRequest) {
         let mut state = self.state.lock();
-        // Without a suspect nothing is worked out.
+        // Most often there is no suspect, and no fingerprint needs to be computed.
         if state.table.is_empty() {
             return;
         }
         let reports = state.table.clear(request.fingerprint());
         if !reports.is_empty() {
-            self.gauge(&state, steady_clock::now());
+            self.update_gauge(&state, steady_clock::now());
         }
-        self.pass_on(&mut state, reports);
+        self.queue_reports(&mut state, reports);
     }
 
-    /// How long a request stays in quarantine; none when it may run. Sent on, it would end further upstreams, and break all
-    /// that runs beside it there.
-    pub fn held(&self, request: &CallerRequest) -> Option<Duration> {
+    /// How long a request stays in quarantine; `None` when it may run. A request in quarantine would crash further
+    /// upstreams and break every request that runs beside it there.
+    pub fn quarantine_left(&self, request: &CallerRequest) -> Option<Duration> {
         let state = self.state.lock();
         if state.table.is_empty() {
             return None;
         }
         state
             .table
-            .held(&request.fingerprint(), steady_clock::now())
+            .quarantine_left(&request.fingerprint(), steady_clock::now())
     }
 
-    /// A watch that has seen nothing; a report counts for `life`.
+    /// A watch without any report. Reports expire after `life`.
     pub fn new(
-        board: Arc<UpstreamBoard>,
+        upstreams: Arc<SharedUpstreams>,
         counts: RelayCounts,
-        pool: Arc<LinkPool>,
+        pool: Arc<ConnectionPool>,
         life: Duration,
     ) -> Self {
         let state = CrashState {
@@ -98,7 +99,7 @@
             unsent: Vec::new(),
         };
         Self {
-            board,
+            upstreams,
             counts,
             pool,
             state: RankedLock::new(LockRank::Losses, state),
@@ -106,8 +107,8 @@
         }
     }
 
-    /// The connection of a call that was sent is lost; `has_answered` when something of the answer had come. Nobody waits
-    /// for what comes of it.
+    /// Records the loss of a connection after its call was sent; `has_answered` when a part of the answer had arrived.
+    /// The upstream is probed in the background.
     pub fn note_loss(
         self: &Arc<Self>,
         request: &CallerRequest,
@@ -115,8 +116,8 @@
         has_answered: bool,
     ) {
         let upstream = &call.upstream;
-        // One that leaves ends in time, whatever runs there.
-        if !self.board.lock().takes_work(&upstream.id) {
+        // A draining upstream exits sooner or later, whatever runs there.
+        if !self.upstreams.lock().accepts_work(&upstream.id) {
             self.counts.note_loss("leaving");
             return;
         }
@@ -125,14 +126,14 @@
             has_answered,
             ran: steady_clock::elapsed(call.since),
         };
-        request.story.lost(run.fingerprint);
+        request.trace.set_fingerprint(run.fingerprint);
         let mut state = self.state.lock();
         match state.losses.note(&upstream.id, run, steady_clock::now()) {
-            LossStep::Ended(report) => self.report(&mut state, vec![report]),
-            LossStep::Examine => {
-                tokio::spawn(self.clone().examine(upstream.clone()));
+            LossAction::Report(report) => self.report(&mut state, vec![report]),
+            LossAction::Probe => {
+                tokio::spawn(self.clone().probe_upstream(upstream.clone()));
             }
-            LossStep::Wait => {}
+            LossAction::AwaitProbe => {}
         }
     }
 
@@ -141,68 +142,71 @@
         self.state.lock().table.rows(steady_clock::now())
     }
 
-    /// Reports of other instances.
-    pub fn take(&self, reports: &[AgedReport], now: Instant) {
+    /// Merges the reports of other instances.
+    pub fn merge(&self, reports: &[AgedReport], now: Instant) {
         let mut state = self.state.lock();
         for AgedReport { age, report } in reports {
             let since = now.checked_sub(*age).unwrap_or(now);
-            Self::learn(&mut state, report, since, now);
+            Self::apply_report(&mut state, report, since, now);
         }
         state.table.sweep(now);
-        self.gauge(&state, now);
+        self.update_gauge(&state, now);
     }
 
-    /// Waits for reports that nobody else has, and takes them.
+    /// Waits for reports that no other instance has, and takes them from the queue.
     pub async fn take_unsent(&self) -> Vec<CrashReport> {
         loop {
             let reports = self.drain_unsent();
             if !reports.is_empty() {
                 return reports;
             }
-            self.wait_new().await;
+            self.wait_unsent().await;
         }
     }
 
-    /// Waits until something is found that nobody else knows.
-    pub async fn wait_new(&self) {
+    /// Waits until there is a report that no other instance has.
+    pub async fn wait_unsent(&self) {
         self.unsent.notified().await;
     }
 
     fn drain_unsent(&self) -> Vec<CrashReport> {
         let mut state = self.state.lock();
-        let count = state.unsent.len().min(MOST_WRITES);
+        let count = state.unsent.len().min(MAX_ROWS_PER_WRITE);
         state.unsent.drain(..count).collect()
     }
 
-    /// Reports that could not be sent are kept for the next time. That wakes nobody.
-    pub fn take_back(&self, reports: Vec<CrashReport>) {
-        self.state.lock().keep_unsent(reports);
+    /// Puts back reports that could not be sent, without notifying the sender.
+    pub fn return_unsent(&self, reports: Vec<CrashReport>) {
+        self.state.lock().push_unsent(reports);
     }
 
-    async fn examine(self: Arc<Self>, upstream: Arc<UpstreamRecord>) {
-        let mut reach = UpstreamReach::Answers;
-        for pause in EXAMINE_PAUSES {
+    async fn probe_upstream(self: Arc<Self>, upstream: Arc<UpstreamRecord>) {
+        let mut outcome = ProbeOutcome::Accepted;
+        for pause in PROBE_PAUSES {
             time::sleep(pause).await;
-            reach = self.pool.reach(&upstream.id, upstream.address).await;
-            if reach != UpstreamReach::Answers {
+            outcome = self.pool.probe(&upstream.id, upstream.address).await;
+            if outcome != ProbeOutcome::Accepted {
                 break;
             }
         }
-        self.counts.note_loss(reach.label());
+        self.counts.note_loss(outcome.label());
         let mut state = self.state.lock();
-        let reports = state.losses.examined(&upstream.id, reach);
+        let reports = state.losses.note_probe(&upstream.id, outcome);
         self.report(&mut state, reports);
     }
 
-    fn gauge(&self, state: &CrashState, now: Instant) {
+    fn update_gauge(&self, state: &CrashState, now: Instant) {
         let count = i64::try_from(state.table.rows(now).len()).unwrap_or(i64::MAX);
         self.counts.quarantined.set(count);
     }
 
-    fn learn(state: &mut CrashState, report: &CrashReport, since: Instant, now: Instant) {
-        let was_held = state.table.held(&report.fingerprint, now).is_some();
-        state.table.take(report, since, now);
-        let held = state.table.held(&report.fingerprint, now);
+    fn apply_report(state: &mut CrashState, report: &CrashReport, since: Instant, now: Instant) {
+        let was_held = state
+            .table
+            .quarantine_left(&report.fingerprint, now)
+            .is_some();
+        state.table.merge(report, since, now);
+        let held = state.table.quarantine_left(&report.fingerprint, now);
         if held.is_some() != was_held {
             tracing::warn!(
                 fingerprint = %report.fingerprint,
@@ -212,16 +216,16 @@
         }
     }
 
-    /// Has reports sent to others.
-    fn pass_on(&self, state: &mut CrashState, reports: Vec<CrashReport>) {
+    /// Queues reports for other instances.
+    fn queue_reports(&self, state: &mut CrashState, reports: Vec<CrashReport>) {
         if reports.is_empty() {
             return;
         }
-        state.keep_unsent(reports);
+        state.push_unsent(reports);
         self.unsent.notify_one();
     }
 
-    /// Upstreams ended under requests of this instance.
+    /// Records crashes of upstreams that ran requests of this instance.
     fn report(&self, state: &mut CrashState, reports: Vec<CrashReport>) {
         let now = steady_clock::now();
         for report in &reports {
@@ -231,9 +235,9 @@
                 mark = ?report.mark,
                 "an upstream ended under a request"
             );
-            Self::learn(state, report, now, now);
+            Self::apply_report(state, report, now, now);
         }
-        self.gauge(state, now);
-        self.pass_on(state, reports);
+        self.update_gauge(state, now);
+        self.queue_reports(state, reports);
     }
 }
--- a/crates/relay/src/prompt_search.rs
+++ b/crates/relay/src/prompt_search.rs
@@ -1,4 +1,4 @@
-//! Finds the engines that hold the prompt of a stream whose caller comes back for the rest.
+//! Finds the engines that hold the KV cache of a prompt, for a caller that resumes a stream.
 
 use {
     crate::{RelayCore, UpstreamDialect},
@@ -8,14 +8,16 @@
     tokio::{task::JoinSet, time},
 };
 
-/// How many engines are asked for one prompt: all of an availability zone of today. A larger zone is asked in part.
-const ASK_LIMIT: usize = 32;
-/// How long the answers are waited for: a few round trips. Reading the prompt again takes longer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(60);
-/// A list has an entry for each prompt in the memory of an engine.
-const LARGEST_LIST: usize = 256 << 10;
+/// Maximum number of engines asked for one prompt. It covers an availability zone of the usual size; larger zones are
+/// asked in part.
+const MAX_ENGINES_ASKED: usize = 32;
+/// How long to wait for the answers: a few round trips, and less than another prefill takes.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum size of a list, which has an entry for each prompt in the memory of an engine.
+const MAX_LIST_BYTES: usize = 256 << 10;
 
-/// The engines of a service that hold a part, those of the own availability zone and others as far as they were asked.
+/// The engines of a service that hold a part of a prompt, as far as they were asked; those in this availability zone
+/// are asked first.
 pub async fn find_holders<D: UpstreamDialect>(
     core: &Arc<RelayCore<D>>,
     service: &ServiceId,
@@ -26,41 +28,41 @@
         let core = core.clone();
         asking.spawn(async move { note_list(&core, &engine).await });
     }
-    let answers = time::timeout(ANSWER_LIMIT, async {
+    let answers = time::timeout(ANSWER_TIMEOUT, async {
         while asking.join_next().await.is_some() {}
     });
     if answers.await.is_err() {
         tracing::debug!(
             left = asking.len(),
-            "engines are slow to list what they hold"
+            "some engines did not list their cached prompt parts in time"
         );
     }
     core.parts.lock().holders(part, steady_clock::now())
 }
 
-/// The engines whose lists are too old, of the own availability zone first.
+/// The engines whose lists are due for a refresh, those in this availability zone first.
 fn engines_to_ask<D: UpstreamDialect>(
     core: &RelayCore<D>,
     service: &ServiceId,
 ) -> Vec<Arc<UpstreamRecord>> {
     let zone = core.settings.load().zone.clone();
-    let mut engines = core.board.lock().engines(service);
+    let mut engines = core.upstreams.lock().engines(service);
     engines.sort_by_key(|engine| engine.zone != zone);
-    engines.truncate(ASK_LIMIT);
+    engines.truncate(MAX_ENGINES_ASKED);
     let now = steady_clock::now();
     let parts = core.parts.lock();
-    engines.retain(|engine| parts.is_due(&engine.id, now));
+    engines.retain(|engine| parts.needs_refresh(&engine.id, now));
     engines
 }
 
 async fn note_list<D: UpstreamDialect>(core: &RelayCore<D>, engine: &UpstreamRecord) {
-    let call = core.dialect.list_call(engine);
-    let Some((status, body)) = core.ask(engine, call, LARGEST_LIST).await else {
+    let call = core.dialect.held_parts_call(engine);
+    let Some((status, body)) = core.ask(engine, call, MAX_LIST_BYTES).await else {
         return;
     };
-    let listed = core.dialect.list_reply(&body);
+    let listed = core.dialect.held_parts_reply(&body);
     let Some(listed) = listed.filter(|_| status.is_success()) else {
-        tracing::debug!(upstream = %engine.id, %status, "no list of what an engine holds");
+        tracing::debug!(upstream = %engine.id, %status, "an engine gave no list of cached prompt parts");
         return;
     };
     let mut parts = core.parts.lock();
