--- a/crates/relay/src/route_book.rs
+++ b/crates/relay/src/route_table.rs
@@ -1,7 +1,7 @@
-//! The operators' routes and services in one version.
+//! One version of the operators' routes and services.
 
 use {
-    crate::{CallerLimits, CustomerBook, ServiceInfo, WorkRoute},
+    crate::{CallerLimits, CustomerTable, ServiceInfo, WorkRoute},
     kernel::{ServiceId, TableVersion},
     std::{
         collections::{BTreeMap, HashMap},
@@ -9,28 +9,28 @@
     },
 };
 
-/// All routes in force, found by host and longest prefix.
+/// All routes in force, looked up by host and longest prefix.
 #[derive(Clone, Debug, Default)]
-pub struct RouteBook {
-    /// The customers; none where the operators declare none, and callers show no keys.
-    pub customers: Option<CustomerBook>,
+pub struct RouteTable {
+    /// The customers; `None` when the operators declare none and callers need no keys.
+    pub customers: Option<CustomerTable>,
     hosts: HashMap<Arc<str>, Vec<Arc<WorkRoute>>>,
-    /// What callers may send.
+    /// The limits on callers.
     pub limits: CallerLimits,
     /// The services by name.
     pub services: BTreeMap<ServiceId, Arc<ServiceInfo>>,
-    /// The version; it never goes down within one life of a process.
+    /// The version; it never decreases while a process runs.
     pub version: TableVersion,
 }
 
-impl RouteBook {
-    /// The route of a host whose prefix is the longest that begins the path.
+impl RouteTable {
+    /// The route of a host with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<WorkRoute>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// A book of routes.
+    /// A table without customers.
     pub fn new(
         version: TableVersion,
         routes: Vec<WorkRoute>,
@@ -58,17 +58,17 @@
         }
     }
 
-    /// The same book for these customers alone.
-    pub fn for_customers(self, customers: Option<CustomerBook>) -> Self {
+    /// Replaces the customers.
+    pub fn for_customers(self, customers: Option<CustomerTable>) -> Self {
         Self { customers, ..self }
     }
 
-    /// All routes, in no order.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<WorkRoute>> {
         self.hosts.values().flatten()
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
--- /dev/null
+++ b/crates/relay/src/slot_finder.rs
@@ -0,0 +1,181 @@
+//! Reserves a slot at a decode engine for a request, before its prompt is prefilled.
+//!
+//! The engines decide: an instance asks the engine that looks best by its own view, and the engine accepts or refuses.
+//! While all engines are full the request waits, at most as long as its answer can still be on time.
+
+use {
+    crate::{
+        ErrorResponse, OpenCall, RelayCore, ResourceGuard, SlotName, StreamFlow, UpstreamDialect,
+    },
+    kernel::{ResultCode, UpstreamId, steady_clock},
+    policy::{ChoiceQuery, UpstreamRecord, UpstreamStage},
+    std::{
+        sync::Arc,
+        time::{Duration, Instant},
+    },
+    tokio::time,
+};
+
+/// The answer to a reservation has only a few fields.
+const MAX_REPLY_BYTES: usize = 4 << 10;
+/// An engine answers a reservation at once; one that takes longer is skipped.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+/// The first pause after all engines refused: a decode engine finishes a request about every 300 ms.
+const FIRST_PAUSE: Duration = Duration::from_millis(40);
+/// The longest pause between rounds: a round costs only a few calls to busy engines.
+const MAX_PAUSE: Duration = Duration::from_millis(160);
+/// How many engines are asked before a pause.
+const ENGINES_PER_ROUND: usize = 4;
+
+/// A reserved slot at a decode engine.
+pub struct ReservedSlot<D: UpstreamDialect> {
+    /// Keeps the call counted as open while the slot is held.
+    pub call: OpenCall,
+    /// Releases the slot if it is not used; `None` when engines take no reservations.
+    pub guard: Option<ResourceGuard<D>>,
+    /// When the reservation expires; `None` when engines take no reservations.
+    pub reserved_until: Option<Instant>,
+    /// The name of the reservation; `None` when engines take none.
+    pub name: Option<SlotName>,
+}
+
+/// Finds a slot for one request.
+pub struct SlotFinder<'a, D: UpstreamDialect> {
+    flow: &'a StreamFlow<D>,
+    life: Option<Duration>,
+}
+
+impl<'a, D: UpstreamDialect> SlotFinder<'a, D> {
+    /// A finder for one request; `life` is how long engines of the service keep a reservation.
+    pub fn new(flow: &'a StreamFlow<D>, life: Option<Duration>) -> Self {
+        Self { flow, life }
+    }
+
+    /// Waits for a slot until `until`, but asks at least one round of engines.
+    ///
+    /// # Errors
+    ///
+    /// All engines are full, or the service has none.
+    pub async fn find(&self, until: Instant) -> Result<ReservedSlot<D>, ErrorResponse> {
+        let retry_after = self.flow.retry_after();
+        let mut pause = FIRST_PAUSE;
+        let mut is_first_round = true;
+        loop {
+            let mut avoid = self.flow.tried.clone();
+            for _ in 0..ENGINES_PER_ROUND {
+                let Some(upstream) = self.choose(&avoid) else {
+                    break;
+                };
+                avoid.push(upstream.id.clone());
+                if let Some(slot) = self.reserve(upstream).await {
+                    if is_first_round {
+                        self.core().note_search(&self.flow.service, false);
+                    }
+                    return Ok(slot);
+                }
+            }
+            if avoid.len() == self.flow.tried.len() {
+                return Err(ErrorResponse::with_retry_after(
+                    ResultCode::UpstreamMissing,
+                    retry_after,
+                ));
+            }
+            if std::mem::take(&mut is_first_round) {
+                self.core().note_search(&self.flow.service, true);
+            }
+            if steady_clock::now() + pause > until {
+                return Err(ErrorResponse::with_retry_after(
+                    ResultCode::UpstreamRefused,
+                    retry_after,
+                ));
+            }
+            time::sleep(pause).await;
+            pause = (pause * 2).min(MAX_PAUSE);
+        }
+    }
+
+    fn choose(&self, avoid: &[UpstreamId]) -> Option<Arc<UpstreamRecord>> {
+        self.core().choose(&ChoiceQuery {
+            avoid,
+            holders: &self.flow.holders,
+            connected: &self.core().pool.connected(),
+            request: &self.flow.request.head.id,
+            service: &self.flow.service,
+            stage: UpstreamStage::Decode,
+            zone: &self.core().settings.load().zone,
+        })
+    }
+
+    fn note(&self, upstream: &UpstreamRecord, outcome: &str) {
+        let trace = &self.flow.request.trace;
+        trace.note(format_args!("place {} {outcome}", upstream.id));
+    }
+
+    fn core(&self) -> &Arc<RelayCore<D>> {
+        &self.flow.core
+    }
+
+    async fn reserve(&self, upstream: Arc<UpstreamRecord>) -> Option<ReservedSlot<D>> {
+        let tokens = self.flow.tokens_at(&upstream.id);
+        let call = OpenCall::new(
+            &self.core().upstreams,
+            &self.core().counts,
+            upstream.clone(),
+            tokens,
+        );
+        let Some(life) = self.life else {
+            return Some(ReservedSlot {
+                call,
+                guard: None,
+                reserved_until: None,
+                name: None,
+            });
+        };
+        let asked_at = steady_clock::now();
+        let asking = self.ask(&upstream, tokens, life);
+        match time::timeout(REPLY_TIMEOUT, asking).await {
+            Ok(SlotReply::Reserved(name)) => {
+                self.note(&upstream, "reserved");
+                let guard = ResourceGuard::for_slot(self.core().clone(), upstream, name.clone());
+                let reserved_until = Some(asked_at + life);
+                Some(ReservedSlot {
+                    call,
+                    guard: Some(guard),
+                    reserved_until,
+                    name: Some(name),
+                })
+            }
+            Ok(SlotReply::Full) => {
+                self.note(&upstream, "full");
+                call.close(policy::CallVerdict::Full);
+                None
+            }
+            Ok(SlotReply::Failed) | Err(_) => {
+                self.note(&upstream, "no answer");
+                call.close(policy::CallVerdict::Lost);
+                None
+            }
+        }
+    }
+
+    async fn ask(&self, upstream: &UpstreamRecord, tokens: u64, life: Duration) -> SlotReply {
+        let core = self.core();
+        let request = core.dialect.reserve_call(upstream, tokens, life);
+        let Some((status, body)) = core.ask(upstream, request, MAX_REPLY_BYTES).await else {
+            return SlotReply::Failed;
+        };
+        if !status.is_success() {
+            return SlotReply::Full;
+        }
+        match core.dialect.reserve_reply(&body) {
+            Some(name) => SlotReply::Reserved(name),
+            None => SlotReply::Failed,
+        }
+    }
+}
+
+enum SlotReply {
+    Failed,
+    Full,
+    Reserved(SlotName),
+}
--- a/crates/relay/src/stage_keeper.rs
+++ b/crates/relay/src/stage_controller.rs
@@ -1,57 +1,59 @@
-//! Keeps the engines of each model service near the goal of their stages: plans, takes the lease, and gives the orders.
+//! Keeps the engines of each model service near the target ratio of stages: plans moves, takes the lease, and sends the
+//! orders.
 
 use {
     crate::{OrderDialect, OrderState, RelayCore, StageOrder, UpstreamDialect},
     bytes::Bytes,
-    engine::wire::{EngineOrder, OrderKind, route_role::EngineRole},
+    engine::wire::{EngineOrder, OrderKind, engine_role::EngineRole},
     http::{Request, StatusCode},
     http_body_util::Full,
     kernel::{InstanceId, ServiceId, UpstreamId, seeded_rng, steady_clock},
     lease::{LeaseKeeper, LeaseSettings, OrderReply, OrderSender},
     plat::RowStore,
-    policy::{StageGoal, StageMove, StagePlan, UpstreamRecord, UpstreamStage},
+    policy::{StageChange, StageGoal, StagePlanner, UpstreamRecord, UpstreamStage},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
     tokio::time,
 };
 
-/// From one look at the engines to the next. A look reads only what this instance knows already.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
-/// The instances spread their first tries over this time, so that most see another's change before their own try.
+/// Interval of the checks, which only read state that this instance already has.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// The instances spread their first attempts over this time, so that most see another's change before their own
+/// attempt.
 const STAGGER: Duration = Duration::from_secs(3);
-/// The seed of the stagger.
+/// Seed of the spread.
 const STAGGER_SEED: u64 = 2;
-/// How long an engine may take to answer an order or a question about its orders.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for an engine's answer about its orders.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The answer of an engine lists its running requests.
-const LARGEST_ANSWER: usize = 1 << 20;
-/// Orders carry the number of accepted orders that they expect, so a late one has no effect after this time at the
-/// latest; the platform's own orders may be carried out up to 12 s late.
-const LONGEST_ORDER: Duration = Duration::from_secs(12);
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// How long an order may take to arrive. An order names the count of accepted orders that it expects, so a delayed one
+/// has no effect after this time; the platform may execute its own orders up to 12 s late.
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(12);
 
-/// The settings of a [`StageKeeper`].
+/// The settings of a [`StageController`].
 #[derive(Clone, Debug, bon::Builder)]
 pub struct StageSettings {
-    /// Whether engines refuse an old fencing number.
+    /// Whether engines refuse outdated fencing tokens.
     pub checks_fence: bool,
-    /// The goal.
+    /// The target.
     pub goal: StageGoal,
-    /// The life of this process.
+    /// The incarnation of this process.
     pub holder: InstanceId,
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub lease_life: Duration,
 }
 
-/// Watches all model services of one instance.
-pub struct StageKeeper<D, S> {
+/// Controls the stages of all model services for one instance.
+pub struct StageController<D, S> {
     core: Arc<RelayCore<D>>,
-    leases: BTreeMap<ServiceId, ServiceStages<S>>,
+    stages: BTreeMap<ServiceId, ServiceStages<S>>,
     settings: StageSettings,
     store: Arc<S>,
 }
 
 struct ServiceStages<S> {
     lease: LeaseKeeper<S>,
-    plan: StagePlan,
+    planner: StagePlanner,
 }
 
 /// Sends the orders of one move.
@@ -61,47 +63,47 @@
     holder: &'a str,
 }
 
-impl<D: OrderDialect + UpstreamDialect, S: RowStore + 'static> StageKeeper<D, S> {
-    /// A keeper that has seen nothing.
+impl<D: OrderDialect + UpstreamDialect, S: RowStore + 'static> StageController<D, S> {
+    /// A controller without any lease.
     pub fn new(core: Arc<RelayCore<D>>, store: Arc<S>, settings: StageSettings) -> Self {
         Self {
             core,
-            leases: BTreeMap::new(),
+            stages: BTreeMap::new(),
             settings,
             store,
         }
     }
 
-    /// Looks at the engines again and again.
+    /// Checks the engines periodically.
     pub async fn run(mut self) {
-        let mut clock = time::interval(LOOK_PERIOD);
+        let mut clock = time::interval(CHECK_PERIOD);
         clock.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             clock.tick().await;
-            // Each try asks the store for the lease, so few instances try.
+            // Each attempt asks the store for the lease, so only the few instances that read the store make any.
             if !self.core.reader.get() {
                 continue;
             }
             for (service, engines) in self.engines() {
-                self.look(service, &engines).await;
+                self.check(service, &engines).await;
             }
         }
     }
 
-    /// The engines that new work may go to, by service.
+    /// The engines that accept new work, by service.
     fn engines(&self) -> BTreeMap<ServiceId, Vec<Arc<UpstreamRecord>>> {
         let mut services: BTreeMap<ServiceId, Vec<Arc<UpstreamRecord>>> = BTreeMap::new();
-        let Some(book) = self.core.book.load_full() else {
+        let Some(table) = self.core.routes.load_full() else {
             return services;
         };
-        let board = self.core.board.lock();
-        for entry in board.entries() {
+        let upstreams = self.core.upstreams.lock();
+        for entry in upstreams.entries() {
             let record = &entry.record;
             if record.stage == UpstreamStage::Plain || record.leaving {
                 continue;
             }
-            // Nobody asked for a service that the operators don't name, so nobody orders its engines either.
-            if !book.services.contains_key(&record.service) {
+            // Services that the operators don't declare get no requests, so their engines get no orders either.
+            if !table.services.contains_key(&record.service) {
                 continue;
             }
             let list = services.entry(record.service.clone()).or_default();
@@ -110,21 +112,21 @@
         services
     }
 
-    async fn look(&mut self, service: ServiceId, engines: &[Arc<UpstreamRecord>]) {
-        let stages = self.leases.entry(service.clone()).or_insert_with(|| {
+    async fn check(&mut self, service: ServiceId, engines: &[Arc<UpstreamRecord>]) {
+        let stages = self.stages.entry(service.clone()).or_insert_with(|| {
             let settings = &self.settings;
             let lease = LeaseSettings::builder()
                 .holder(settings.holder.clone())
                 .key(format!("stages/{service}"))
                 .life(settings.lease_life)
-                .longest_order(LONGEST_ORDER)
+                .longest_order(MAX_ORDER_DELAY)
                 .build();
             ServiceStages {
                 lease: LeaseKeeper::new(self.store.clone(), lease),
-                plan: StagePlan::new(settings.goal.clone(), stagger(&settings.holder)),
+                planner: StagePlanner::new(settings.goal.clone(), stagger(&settings.holder)),
             }
         });
-        let Some(plan) = stages.plan.decide(
+        let Some(plan) = stages.planner.decide(
             &service,
             engines,
             &self.core.pressure(&service),
@@ -132,17 +134,17 @@
         ) else {
             return;
         };
-        // Whatever comes of it, the next look waits until the list of upstreams shows the outcome.
-        stages.plan.rest(steady_clock::now());
-        carry_out(&self.core, &self.settings, &stages.lease, &plan).await;
+        // Whatever the outcome, the next check waits until the list of upstreams shows it.
+        stages.planner.start_cooldown(steady_clock::now());
+        execute_move(&self.core, &self.settings, &stages.lease, &plan).await;
     }
 }
 
-async fn carry_out<D: OrderDialect + UpstreamDialect, S: RowStore>(
+async fn execute_move<D: OrderDialect + UpstreamDialect, S: RowStore>(
     core: &RelayCore<D>,
     settings: &StageSettings,
     lease: &LeaseKeeper<S>,
-    plan: &StageMove,
+    plan: &StageChange,
 ) {
     let mut sender = StageSender {
         core,
@@ -151,19 +153,19 @@
     };
     for engine in &plan.engines {
         match sender.ask(engine).await {
-            Some(state) if !state.busy => {
+            Some(state) if !state.is_busy => {
                 sender
                     .engines
                     .insert(engine.id.clone(), (engine.clone(), state));
             }
             Some(_) => {
-                tracing::info!(upstream = %engine.id, "an order is at work already");
+                tracing::info!(upstream = %engine.id, "the engine is already executing an order");
                 return;
             }
-            None => tracing::info!(upstream = %engine.id, "an engine says nothing of its orders"),
+            None => tracing::info!(upstream = %engine.id, "the engine did not report its orders"),
         }
     }
-    lease.beat().await;
+    lease.tick().await;
     if lease.hold().is_none() {
         tracing::info!(service = %plan.service, "another instance gives the orders");
         return;
@@ -204,10 +206,10 @@
         upstream: &UpstreamRecord,
         call: Request<Full<Bytes>>,
     ) -> Option<(StatusCode, Bytes)> {
-        let asking = self.core.ask(upstream, call, LARGEST_ANSWER);
-        let answer = time::timeout(ANSWER_LIMIT, asking).await.ok().flatten();
+        let asking = self.core.ask(upstream, call, MAX_ANSWER_BYTES);
+        let answer = time::timeout(ANSWER_TIMEOUT, asking).await.ok().flatten();
         if answer.is_none() {
-            tracing::info!(upstream = %upstream.id, "no answer about orders");
+            tracing::info!(upstream = %upstream.id, "the engine gave no answer about its orders");
         }
         answer
     }
--- a/crates/relay/src/stream_pump.rs
+++ b/crates/relay/src/stream_pump.rs
@@ -1,8 +1,8 @@
-//! Passes the events of a stream on as they arrive, and goes on at another engine where the row allows it.
+//! Forwards the events of a stream as they arrive, and resumes it at another engine where the route allows it.
 
 use {
     crate::{
-        AnswerCut, BegunStream, CallerDialect, EventSplitter, ReservedPlace, StreamFlow,
+        AnswerCut, CallerDialect, EventSplitter, ReservedSlot, StartedStream, StreamFlow,
         StreamStart, UpstreamAnswer, UpstreamDialect,
     },
     bytes::Bytes,
@@ -13,16 +13,16 @@
     tokio::{sync::mpsc, time},
 };
 
-/// A resumable stream that pauses for so many times its longest pause goes on at another engine, if one has a place. An
-/// engine whose memory is full pauses a stream and goes on by itself.
-const SILENCE_PAUSES: u32 = 4;
-/// How long a place for a broken stream is waited for: callers leave a silent stream after two seconds and more.
+/// A resumable stream that pauses for this many times its target resumes at another engine, if one has a free slot. An
+/// engine whose memory is full pauses a stream and continues it later.
+const SILENCE_FACTOR: u32 = 4;
+/// How long to wait for a slot to resume a broken stream: callers leave a silent stream after two seconds or more.
 const RESUME_WAIT: Duration = Duration::from_millis(1_200);
 
-/// Where the pieces go.
+/// The channel to the caller's response body.
 type PieceSender = mpsc::Sender<Result<Bytes, AnswerCut>>;
 
-/// Moves one stream from an engine to its caller.
+/// Forwards one stream from an engine to its caller.
 pub struct StreamPump<D: UpstreamDialect> {
     answer: UpstreamAnswer,
     first: Option<Bytes>,
@@ -37,28 +37,31 @@
     /// The connection broke, or the stream ended in the middle of an event.
     Cut,
     Ended,
-    /// The time of the request is over.
+    /// The deadline of the request has passed.
     Expired,
     Piece(Bytes),
     Silent,
 }
 
 impl<D: CallerDialect + UpstreamDialect> StreamPump<D> {
-    /// A stream whose first events have come.
-    pub fn new(flow: StreamFlow<D>, begun: BegunStream, sender: PieceSender) -> Self {
-        flow.request.story.piece();
-        let last_id = begun.first.as_ref().and_then(|run| run.last_id.clone());
+    /// A stream whose first events have arrived.
+    pub fn new(flow: StreamFlow<D>, stream: StartedStream, sender: PieceSender) -> Self {
+        flow.request.trace.note_piece();
+        let last_id = stream
+            .first
+            .as_ref()
+            .and_then(|batch| batch.last_id.clone());
         Self {
-            answer: begun.answer,
-            first: begun.first.map(|run| run.bytes),
+            answer: stream.answer,
+            first: stream.first.map(|batch| batch.bytes),
             flow,
             last_id,
             sender,
-            splitter: begun.splitter,
+            splitter: stream.splitter,
         }
     }
 
-    /// Moves the stream until it ends, breaks or its caller goes.
+    /// Forwards the stream until it ends, breaks or its caller leaves.
     pub async fn run(mut self) {
         if let Some(first) = self.first.take()
             && self.sender.send(Ok(first)).await.is_err()
@@ -70,7 +73,7 @@
                 PumpStep::CallerGone => return,
                 PumpStep::Ended => return self.close(),
                 PumpStep::Piece(bytes) => {
-                    self.flow.request.story.piece();
+                    self.flow.request.trace.note_piece();
                     if self.sender.send(Ok(bytes)).await.is_err() {
                         return;
                     }
@@ -87,13 +90,13 @@
                     }
                 }
                 PumpStep::Silent => {
-                    let Some(place) = self.other_place().await else {
+                    let Some(slot) = self.other_slot().await else {
                         continue;
                     };
-                    if !self.flow.pay_ahead() {
+                    if !self.flow.reserve_retry() {
                         continue;
                     }
-                    match self.resume(Some(place)).await {
+                    match self.resume(Some(slot)).await {
                         Some(pump) => self = pump,
                         None => return,
                     }
@@ -103,31 +106,37 @@
     }
 
     fn close(self) {
-        self.flow.request.story.end(ResultCode::Answered);
+        self.flow.request.trace.end(ResultCode::Answered);
         self.flow.core.crashes.note_answered(&self.flow.request);
-        let held = steady_clock::elapsed(self.flow.placed_at);
-        self.flow.core.note_place(&self.flow.service, held);
+        let held = steady_clock::elapsed(self.flow.slot_reserved_at);
+        self.flow.core.note_slot_time(&self.flow.service, held);
         let UpstreamAnswer {
-            call, facts, link, ..
+            call,
+            facts,
+            connection,
+            ..
         } = self.answer;
         let key = call.upstream.id.clone();
         call.close(CallVerdict::Answered);
-        if !facts.last_on_connection {
-            self.flow.core.pool.keep(&key, link, facts.keep);
+        if !facts.closes_connection {
+            self.flow
+                .core
+                .pool
+                .keep(&key, connection, facts.idle_timeout);
         }
     }
 
-    /// A place at another engine, if one is free now.
-    async fn other_place(&self) -> Option<ReservedPlace<D>> {
+    /// A slot at another engine, if one is free now.
+    async fn other_slot(&self) -> Option<ReservedSlot<D>> {
         tokio::select! {
             () = self.sender.closed() => None,
-            place = self.flow.find_place(steady_clock::now()) => place.ok(),
+            slot = self.flow.find_slot(steady_clock::now()) => slot.ok(),
         }
     }
 
-    /// Goes on at another engine after the last whole event. None when that may not be or did not work; the caller's
-    /// connection is cut then.
-    async fn resume(self, place: Option<ReservedPlace<D>>) -> Option<Self> {
+    /// Resumes the stream at another engine after the last complete event. `None` when that is not allowed or failed;
+    /// the caller's connection is then cut.
+    async fn resume(self, slot: Option<ReservedSlot<D>>) -> Option<Self> {
         let Self {
             answer,
             mut flow,
@@ -137,21 +146,21 @@
         } = self;
         let request = flow.request.clone();
         let last = last_id.as_deref().unwrap_or("none");
-        request.story.note(format_args!(
+        request.trace.note(format_args!(
             "stream of {} cut after event {last}",
             answer.call.upstream.id
         ));
         answer.call.close(CallVerdict::Lost);
-        drop(answer.link);
+        drop(answer.connection);
         drop(answer.body);
         let until = steady_clock::now() + RESUME_WAIT;
-        if flow.route.repeat == RepeatRule::Resumable && flow.may_go_on() {
+        if flow.route.repeat == RepeatRule::Resumable && flow.can_continue() {
             let started = tokio::select! {
                 () = sender.closed() => return None,
-                started = flow.start(last_id.clone(), place, until) => started,
+                started = flow.start(last_id.clone(), slot, until) => started,
             };
-            if let Ok(StreamStart::Begun(begun)) = started {
-                let mut pump = Self::new(flow, *begun, sender);
+            if let Ok(StreamStart::Started(stream)) = started {
+                let mut pump = Self::new(flow, *stream, sender);
                 pump.last_id = pump.last_id.or(last_id);
                 let first = pump.first.take();
                 if let Some(first) = first
@@ -162,8 +171,8 @@
                 return Some(pump);
             }
         }
-        request.story.end(ResultCode::StreamCut);
-        // The receiver may be gone; then nobody is left to tell.
+        request.trace.end(ResultCode::StreamCut);
+        // Fails only when the caller has left, and nobody is left to notify.
         let _ = sender.send(Err(AnswerCut)).await;
         None
     }
@@ -180,25 +189,25 @@
                 Ok(Some(Err(_))) => return PumpStep::Cut,
                 Err(_) if self.flow.request.left().is_zero() => return PumpStep::Expired,
                 Err(_) => return PumpStep::Silent,
-                Ok(None) if self.splitter.held() > 0 => return PumpStep::Cut,
+                Ok(None) if self.splitter.pending_bytes() > 0 => return PumpStep::Cut,
                 Ok(None) => return PumpStep::Ended,
             };
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if let Some(run) = self.splitter.push(&data) {
-                self.last_id = run.last_id.or(self.last_id.take());
-                return PumpStep::Piece(run.bytes);
+            if let Some(batch) = self.splitter.push(&data) {
+                self.last_id = batch.last_id.or(self.last_id.take());
+                return PumpStep::Piece(batch.bytes);
             }
         }
     }
 
-    /// A stream that may not go on elsewhere is waited for until its deadline: silence is no reason to end it.
+    /// A stream that may not resume elsewhere is waited for until its deadline: silence alone is no reason to cut it.
     fn longest_wait(&self) -> Duration {
         let left = self.flow.request.left();
-        let may_leave = self.flow.route.repeat == RepeatRule::Resumable && self.flow.may_go_on();
+        let may_leave = self.flow.route.repeat == RepeatRule::Resumable && self.flow.can_continue();
         match self.flow.route.between_events {
-            Some(pause) if may_leave => left.min(pause * SILENCE_PAUSES),
+            Some(pause) if may_leave => left.min(pause * SILENCE_FACTOR),
             _ => left,
         }
     }
--- a/crates/spread/tests/reader_plan.rs
+++ b/crates/spread/tests/reader_plan.rs
@@ -1,9 +1,10 @@
-//! Who reads the store: one instance a zone while all answer, and never nobody.
+//! Reader election: one instance per zone reads the store while all answer, and there is always a
+//! reader.
 
 use {
     kernel::{InstanceId, ZoneId},
     proptest::{prelude::*, test_runner::RngSeed},
-    spread::{AskerState, MemberRow, ReadStep, ReaderPlan, SpreadTimes},
+    spread::{MemberRow, ReadStep, ReaderElection, RequesterState, SpreadTimes},
     std::time::{Duration, Instant},
 };
 
@@ -32,52 +33,53 @@
 fn times() -> SpreadTimes {
     let period = Duration::from_millis(900);
     let times = SpreadTimes::builder().period(period);
-    times.read_limit(Duration::from_millis(700)).build()
+    times.read_timeout(Duration::from_millis(700)).build()
 }
 
-fn plan(own: &InstanceId, members: &[InstanceId], now: Instant) -> ReaderPlan {
-    let mut plan = ReaderPlan::new(own.clone(), ZoneId::from("gijon"), times());
-    plan.set_members(&rows(members), now);
-    plan
+fn election(own: &InstanceId, members: &[InstanceId], now: Instant) -> ReaderElection {
+    let mut election = ReaderElection::new(own.clone(), ZoneId::from("gijon"), times());
+    election.set_members(&rows(members), now);
+    election
 }
 
-/// The plan of the one instance of a zone, and the name of the one of another zone.
-fn beside_another_zone(now: Instant) -> (ReaderPlan, InstanceId) {
+/// The election of the only instance of a zone, and the name of the only one of another zone.
+fn election_with_other_zone(now: Instant) -> (ReaderElection, InstanceId) {
     let own = InstanceId::from("front-1");
     let elsewhere = InstanceId::from("front-2");
-    let mut plan = ReaderPlan::new(own.clone(), ZoneId::from("gijon"), times());
+    let mut election = ReaderElection::new(own.clone(), ZoneId::from("gijon"), times());
     let other = MemberRow {
         zone: ZoneId::from("ferrol"),
         ..row(&elsewhere, 1)
     };
-    plan.set_members(&[row(&own, 1), other], now);
-    (plan, elsewhere)
+    election.set_members(&[row(&own, 1), other], now);
+    (election, elsewhere)
 }
 
-/// Whom an instance asks; none when it reads the store, or has read it just now.
-fn asked(plan: &mut ReaderPlan, now: Instant) -> Option<InstanceId> {
-    match plan.choose(now) {
-        ReadStep::Ask { from, .. } => Some(from),
-        ReadStep::Pause(_) | ReadStep::Store => None,
+/// The instance that requests are sent to; `None` when this one reads the store or has just read
+/// it.
+fn requested_from(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
+    match election.choose(now) {
+        ReadStep::AskPeer { peer, .. } => Some(peer),
+        ReadStep::Wait(_) | ReadStep::ReadStore => None,
     }
 }
 
-/// The same, and what it reads from the store is there at once.
-fn turn(plan: &mut ReaderPlan, now: Instant) -> Option<InstanceId> {
-    let step = plan.choose(now);
-    if step == ReadStep::Store {
-        plan.store_read(now);
+/// Like [`requested_from`], with reads of the store answered at once.
+fn take_turn(election: &mut ReaderElection, now: Instant) -> Option<InstanceId> {
+    let step = election.choose(now);
+    if step == ReadStep::ReadStore {
+        election.record_store_read(now);
     }
     match step {
-        ReadStep::Ask { from, .. } => Some(from),
-        ReadStep::Pause(_) | ReadStep::Store => None,
+        ReadStep::AskPeer { peer, .. } => Some(peer),
+        ReadStep::Wait(_) | ReadStep::ReadStore => None,
     }
 }
 
-/// What one that gets no answer from those before it says.
-const IN_NEED: AskerState = AskerState {
-    passed_over: true,
-    reads: false,
+/// State of a requester that the instances before it did not answer.
+const UNANSWERED: RequesterState = RequesterState {
+    has_skipped_readers: true,
+    reads_store: false,
 };
 
 #[test]
@@ -86,18 +88,18 @@
     let members = names(30);
     let mut readers = Vec::new();
     let mut reader_of = Vec::new();
-    let mut at_once = 0;
+    let mut readers_at_start = 0;
     for own in &members {
-        let mut plan = plan(own, &members, now);
-        if turn(&mut plan, now).is_none() {
-            at_once += 1;
+        let mut election = election(own, &members, now);
+        if take_turn(&mut election, now).is_none() {
+            readers_at_start += 1;
         }
-        match asked(&mut plan, now) {
+        match requested_from(&mut election, now) {
             Some(reader) => reader_of.push(reader),
             None => readers.push(own.clone()),
         }
     }
-    assert_eq!(at_once, 3, "so many read at their start");
+    assert_eq!(readers_at_start, 3, "early readers");
     assert_eq!(readers.len(), 1);
     assert!(reader_of.iter().all(|reader| *reader == readers[0]));
 }
@@ -107,20 +109,21 @@
     const ZONES: usize = 200;
     let now = Instant::now();
     let members = names(30);
-    // Each tenth is fifty times as large as the others, as one with a link of 200 Mbit/s beside those of 10: only it can give
-    // a list of thousands of upstreams to all others in time.
+    // Every tenth instance is fifty times as large as the others, like one with a link of 200
+    // Mbit/s beside those of 10 Mbit/s. Only such an instance can send a list of thousands of
+    // upstreams to all others in time.
     let capacity = |index: usize| if index.is_multiple_of(10) { 50 } else { 1 };
     let mut readers: Vec<InstanceId> = Vec::new();
     for zone in 0..ZONES {
         let zone = ZoneId::from(format!("zone-{zone}"));
-        let mut plan = ReaderPlan::new(members[1].clone(), zone.clone(), times());
+        let mut election = ReaderElection::new(members[1].clone(), zone.clone(), times());
         let ranked = members.iter().enumerate();
         let rows = ranked.map(|(index, name)| MemberRow {
             zone: zone.clone(),
             ..row(name, capacity(index))
         });
-        plan.set_members(&rows.collect::<Vec<_>>(), now);
-        readers.extend(asked(&mut plan, now));
+        election.set_members(&rows.collect::<Vec<_>>(), now);
+        readers.extend(requested_from(&mut election, now));
     }
     assert_eq!(readers.len(), ZONES, "a small one asks in each zone");
     for large in members.iter().step_by(10) {
@@ -135,8 +138,8 @@
 #[test]
 fn an_instance_that_knows_no_other_reads_for_itself() {
     let own = InstanceId::from("front-1");
-    let mut plan = ReaderPlan::new(own, ZoneId::from("gijon"), times());
-    assert_eq!(plan.choose(Instant::now()), ReadStep::Store);
+    let mut election = ReaderElection::new(own, ZoneId::from("gijon"), times());
+    assert_eq!(election.choose(Instant::now()), ReadStep::ReadStore);
 }
 
 #[test]
@@ -144,12 +147,12 @@
     let now = Instant::now();
     let members = names(9);
     for own in &members {
-        let mut unknown = plan(own, &members, now);
+        let mut unknown = election(own, &members, now);
         let before = unknown.choose(now);
         let others = members.iter().filter(|name| *name != own);
         unknown.set_members(&rows(&others.cloned().collect::<Vec<_>>()), now);
         match before {
-            ReadStep::Store => assert!(asked(&mut unknown, now).is_some()),
+            ReadStep::ReadStore => assert!(requested_from(&mut unknown, now).is_some()),
             before => assert_eq!(unknown.choose(now), before),
         }
     }
@@ -160,35 +163,42 @@
     let now = Instant::now();
     let members = names(3);
     let followers = members.iter().filter_map(|own| {
-        let mut plan = plan(own, &members, now);
-        asked(&mut plan, now).map(|reader| (plan, reader))
+        let mut election = election(own, &members, now);
+        requested_from(&mut election, now).map(|reader| (election, reader))
     });
-    for (mut plan, reader) in followers {
-        plan.failed(&reader, now);
-        assert_ne!(asked(&mut plan, now), Some(reader.clone()));
-        plan.store_read(now);
-        assert_eq!(asked(&mut plan, now + 6 * SECOND), Some(reader));
+    for (mut election, reader) in followers {
+        election.record_no_answer(&reader, now);
+        assert_ne!(requested_from(&mut election, now), Some(reader.clone()));
+        election.record_store_read(now);
+        assert_eq!(
+            requested_from(&mut election, now + 6 * SECOND),
+            Some(reader)
+        );
     }
 }
 
-/// A reader that is silent has one time limit, however many questions go to it.
+/// Guards against waiting longer for a silent reader when requests replace each other: all requests
+/// to it share one timeout.
 #[test]
 fn a_question_in_place_of_another_has_what_is_left_of_its_time() {
     let now = Instant::now();
     let members = names(3);
-    let (mut plan, first, _) = second_of(&members, now);
-    plan.answered(&first, now);
-    let limit = |plan: &mut ReaderPlan, now: Instant| match plan.choose(now) {
-        ReadStep::Ask { from, limit, .. } if from == first => limit,
+    let (mut election, first, _) = second_of(&members, now);
+    election.record_update(&first, now);
+    let limit = |election: &mut ReaderElection, now: Instant| match election.choose(now) {
+        ReadStep::AskPeer { peer, limit, .. } if peer == first => limit,
         step => panic!("{step:?}"),
     };
-    let whole = limit(&mut plan, now);
+    let full_timeout = limit(&mut election, now);
     let pause = Duration::from_millis(500);
-    assert_eq!(limit(&mut plan, now + pause), whole - pause);
-    assert_eq!(limit(&mut plan, now + 2 * pause), whole - 2 * pause);
-    assert_eq!(limit(&mut plan, now + whole), Duration::ZERO);
-    plan.answered(&first, now + whole);
-    assert_eq!(limit(&mut plan, now + whole), whole);
+    assert_eq!(limit(&mut election, now + pause), full_timeout - pause);
+    assert_eq!(
+        limit(&mut election, now + 2 * pause),
+        full_timeout - 2 * pause
+    );
+    assert_eq!(limit(&mut election, now + full_timeout), Duration::ZERO);
+    election.record_update(&first, now + full_timeout);
+    assert_eq!(limit(&mut election, now + full_timeout), full_timeout);
 }
 
 #[test]
@@ -196,27 +206,30 @@
     let now = Instant::now();
     let members = names(3);
     for own in &members {
-        let mut plan = plan(own, &members, now);
-        let Some(reader) = asked(&mut plan, now) else {
+        let mut election = election(own, &members, now);
+        let Some(reader) = requested_from(&mut election, now) else {
             continue;
         };
         let other = members.iter().find(|name| *name != own && **name != reader);
         let other = row(other.unwrap(), 1);
         let is_before = {
-            let mut at_other = plan_without(&other.instance, &reader, &members, now);
-            asked(&mut at_other, now).as_ref() != Some(own)
+            let mut other_election = election_without(&other.instance, &reader, &members, now);
+            requested_from(&mut other_election, now).as_ref() != Some(own)
         };
         if is_before {
             continue;
         }
-        assert!(!plan.asked(&other, AskerState::default(), now));
-        assert_eq!(asked(&mut plan, now), Some(reader.clone()));
-        assert!(plan.asked(&other, IN_NEED, now));
-        assert_eq!(plan.choose(now), ReadStep::Store);
-        plan.answered(&reader, now);
-        assert_eq!(asked(&mut plan, now), Some(reader.clone()));
-        assert_eq!(plan.choose(now + 2 * SECOND), ReadStep::Store);
-        assert_eq!(asked(&mut plan, now + 4 * SECOND), Some(reader));
+        assert!(!election.record_request(&other, RequesterState::default(), now));
+        assert_eq!(requested_from(&mut election, now), Some(reader.clone()));
+        assert!(election.record_request(&other, UNANSWERED, now));
+        assert_eq!(election.choose(now), ReadStep::ReadStore);
+        election.record_update(&reader, now);
+        assert_eq!(requested_from(&mut election, now), Some(reader.clone()));
+        assert_eq!(election.choose(now + 2 * SECOND), ReadStep::ReadStore);
+        assert_eq!(
+            requested_from(&mut election, now + 4 * SECOND),
+            Some(reader)
+        );
     }
 }
 
@@ -225,22 +238,22 @@
     let now = Instant::now();
     let members = names(3);
     for own in &members {
-        let mut plan = plan(own, &members, now);
-        turn(&mut plan, now);
-        let is_reader = asked(&mut plan, now).is_none();
-        assert!(plan.silent(now + 12 * SECOND).is_empty());
+        let mut election = election(own, &members, now);
+        take_turn(&mut election, now);
+        let is_reader = requested_from(&mut election, now).is_none();
+        assert!(election.silent_members(now + 12 * SECOND).is_empty());
         let others: Vec<InstanceId> = members
             .iter()
             .filter(|name| *name != own)
             .cloned()
             .collect();
-        plan.asked(
+        election.record_request(
             &row(&others[0], 1),
-            AskerState::default(),
+            RequesterState::default(),
             now + 30 * SECOND,
         );
-        plan.choose(now + 16 * SECOND);
-        let silent = plan.silent(now + 16 * SECOND);
+        election.choose(now + 16 * SECOND);
+        let silent = election.silent_members(now + 16 * SECOND);
         match is_reader {
             true => assert_eq!(silent, [others[1].clone()]),
             false => assert!(silent.is_empty()),
@@ -248,38 +261,39 @@
     }
 }
 
-/// A plan whose first reader has answered, and then gives no answer.
-fn plan_without(
+/// An election whose first reader has answered once and then stops answering.
+fn election_without(
     own: &InstanceId,
     first: &InstanceId,
     members: &[InstanceId],
     now: Instant,
-) -> ReaderPlan {
-    let mut plan = plan(own, members, now);
-    plan.answered(first, now);
-    plan.failed(first, now);
-    plan
+) -> ReaderElection {
+    let mut election = election(own, members, now);
+    election.record_update(first, now);
+    election.record_no_answer(first, now);
+    election
 }
 
-/// The plan of the second member to read, where the first has died, and the names of both.
-fn second_of(members: &[InstanceId], now: Instant) -> (ReaderPlan, InstanceId, InstanceId) {
-    let mut plans = members.iter().map(|own| plan(own, members, now));
-    let first = plans.position(|mut plan| asked(&mut plan, now).is_none());
+/// The election of the second member in reader order after the first has died, and the names of
+/// both.
+fn second_of(members: &[InstanceId], now: Instant) -> (ReaderElection, InstanceId, InstanceId) {
+    let mut elections = members.iter().map(|own| election(own, members, now));
+    let first = elections.position(|mut election| requested_from(&mut election, now).is_none());
     let first = members[first.expect("one of them reads")].clone();
     for own in members.iter().filter(|own| **own != first) {
-        let plan = plan_without(own, &first, members, now);
+        let election = election_without(own, &first, members, now);
         let mut others = members
             .iter()
             .filter(|other| *other != own && **other != first);
         let is_second = others.all(|other| {
-            let mut at_other = plan_without(other, &first, members, now);
-            asked(&mut at_other, now).as_ref() == Some(own)
+            let mut other_election = election_without(other, &first, members, now);
+            requested_from(&mut other_election, now).as_ref() == Some(own)
         });
         if is_second {
-            return (plan, first, own.clone());
+            return (election, first, own.clone());
         }
     }
-    panic!("nobody reads in place of the first");
+    panic!("no instance replaces the first");
 }
 
 #[test]
@@ -287,19 +301,19 @@
     let start = Instant::now();
     for is_asked in [false, true] {
         let members = names(3);
-        let (mut plan, first, own) = second_of(&members, start);
+        let (mut election, first, own) = second_of(&members, start);
         let third = members.iter().find(|name| **name != first && **name != own);
         let third = third.expect("one that asks");
         let mut removed = Vec::new();
         for second in 0..100 {
             let now = start + second * SECOND;
             if is_asked {
-                plan.asked(&row(third, 1), IN_NEED, now);
+                election.record_request(&row(third, 1), UNANSWERED, now);
             }
-            if let Some(reader) = turn(&mut plan, now) {
-                plan.failed(&reader, now);
+            if let Some(reader) = take_turn(&mut election, now) {
+                election.record_no_answer(&reader, now);
             }
-            removed = plan.silent(now);
+            removed = election.silent_members(now);
         }
         assert!(removed.contains(&first), "asked by others: {is_asked}");
         assert_eq!(removed.contains(third), !is_asked);
@@ -310,16 +324,16 @@
 fn a_reader_that_answered_keeps_its_row_however_long_another_serves() {
     let start = Instant::now();
     let members = names(3);
-    let (mut plan, first, _) = second_of(&members, start);
+    let (mut election, first, _) = second_of(&members, start);
     for second in 0..100 {
         let now = start + second * SECOND;
         for other in members.iter().filter(|other| **other != first) {
-            plan.asked(&row(other, 1), IN_NEED, now);
+            election.record_request(&row(other, 1), UNANSWERED, now);
         }
-        if let Some(reader) = turn(&mut plan, now) {
-            plan.answered(&reader, now);
+        if let Some(reader) = take_turn(&mut election, now) {
+            election.record_update(&reader, now);
         }
-        assert!(plan.silent(now).is_empty());
+        assert!(election.silent_members(now).is_empty());
     }
 }
 
@@ -329,48 +343,52 @@
     let start = Instant::now();
     let members = names(20);
     for own in &members {
-        let mut plan = plan(own, &members, start);
-        let mut in_vain = 0;
+        let mut election = election(own, &members, start);
+        let mut unanswered = 0;
         for second in 0..SECONDS {
             let now = start + second * SECOND;
-            match plan.choose(now) {
-                ReadStep::Ask { from, .. } => {
-                    plan.failed(&from, now);
-                    in_vain += u32::from(second >= SECONDS / 2);
+            match election.choose(now) {
+                ReadStep::AskPeer { peer, .. } => {
+                    election.record_no_answer(&peer, now);
+                    unanswered += u32::from(second >= SECONDS / 2);
                 }
-                ReadStep::Pause(_) => {}
-                ReadStep::Store => plan.store_read(now),
+                ReadStep::Wait(_) => {}
+                ReadStep::ReadStore => election.record_store_read(now),
             }
         }
-        // At most the others once in the longest rest, which is a minute.
-        assert!(in_vain <= 19 * 3, "{in_vain} of {} calls", SECONDS / 2);
+        // At most one request to each other instance per maximum cooldown, which is a minute.
+        assert!(
+            unanswered <= 19 * 3,
+            "{unanswered} of {} calls",
+            SECONDS / 2
+        );
     }
 }
 
 #[test]
 fn a_reader_whose_store_fails_probes_it_ever_less_and_asks_other_zones_meanwhile() {
     let start = Instant::now();
-    let (mut plan, elsewhere) = beside_another_zone(start);
+    let (mut election, elsewhere) = election_with_other_zone(start);
     let mut probes = 0;
-    let mut passed = 0;
+    let mut updates = 0;
     let mut now = start;
     while now < start + 10 * SECOND {
-        match plan.choose(now) {
-            ReadStep::Ask { from, .. } => {
-                assert_eq!(from, elsewhere);
-                plan.answered(&from, now);
-                passed += 1;
+        match election.choose(now) {
+            ReadStep::AskPeer { peer, .. } => {
+                assert_eq!(peer, elsewhere);
+                election.record_update(&peer, now);
+                updates += 1;
                 now += times().period;
             }
-            ReadStep::Pause(until) => now = until,
-            ReadStep::Store => {
-                plan.store_failed(now);
+            ReadStep::Wait(until) => now = until,
+            ReadStep::ReadStore => {
+                election.record_store_failure(now);
                 probes += 1;
             }
         }
     }
     assert!((8..=14).contains(&probes), "{probes} calls in 10 s");
-    assert!(passed >= 8, "{passed} readings in 10 s");
+    assert!(updates >= 8, "{updates} updates in 10 s");
 }
 
 #[test]
@@ -379,19 +397,21 @@
     let members = names(40);
     let mut tries: Vec<Duration> = Vec::new();
     for own in &members {
-        let mut plan = plan(own, &members, start);
-        plan.store_read(start - SECOND);
-        let Some(reader) = asked(&mut plan, start) else {
+        let mut election = election(own, &members, start);
+        election.record_store_read(start - SECOND);
+        let Some(reader) = requested_from(&mut election, start) else {
             continue;
         };
-        plan.answered(&reader, start);
+        election.record_update(&reader, start);
         for step in 0..100 {
             let now = start + Duration::from_millis(100) * step;
-            match plan.choose(now) {
-                ReadStep::Ask { from, .. } => assert!(!plan.unreadable(&from, now - start, now)),
-                ReadStep::Pause(_) => {}
-                ReadStep::Store => {
-                    plan.store_failed(now);
+            match election.choose(now) {
+                ReadStep::AskPeer { peer, .. } => {
+                    assert!(!election.record_no_update(&peer, now - start, now))
+                }
+                ReadStep::Wait(_) => {}
+                ReadStep::ReadStore => {
+                    election.record_store_failure(now);
                     tries.push(now - start);
                 }
             }
@@ -410,40 +430,41 @@
 fn one_that_the_store_answers_reads_for_a_reader_that_it_does_not() {
     let now = Instant::now();
     let members = names(3);
-    let (mut deputy, reader, own) = second_of(&members, now);
-    let mut plan = plan(&reader, &members, now);
-    assert_eq!(plan.choose(now), ReadStep::Store);
-    plan.store_failed(now);
-    assert!(matches!(plan.choose(now), ReadStep::Pause(_)));
-    deputy.answered(&reader, now);
-    deputy.store_read(now);
-    let state = deputy.state(now);
-    assert!(state.reads);
-    assert!(plan.asked(&row(&own, 1), state, now));
-    assert_eq!(asked(&mut plan, now), Some(own));
-    assert!(deputy.asked(&row(&reader, 1), AskerState::default(), now));
-    // It does not ask back while it is asked.
-    assert!(matches!(deputy.choose(now), ReadStep::Pause(_)));
-    assert_eq!(deputy.choose(now + SECOND), ReadStep::Store);
-    // Nobody has asked it for a while, and its news are new.
-    deputy.store_read(now + 4 * SECOND);
-    assert_eq!(asked(&mut deputy, now + 4 * SECOND), Some(reader));
+    let (mut standby, reader, own) = second_of(&members, now);
+    let mut election = election(&reader, &members, now);
+    assert_eq!(election.choose(now), ReadStep::ReadStore);
+    election.record_store_failure(now);
+    assert!(matches!(election.choose(now), ReadStep::Wait(_)));
+    standby.record_update(&reader, now);
+    standby.record_store_read(now);
+    let state = standby.requester_state(now);
+    assert!(state.reads_store);
+    assert!(election.record_request(&row(&own, 1), state, now));
+    assert_eq!(requested_from(&mut election, now), Some(own));
+    assert!(standby.record_request(&row(&reader, 1), RequesterState::default(), now));
+    // An acting reader sends no requests while it receives them.
+    assert!(matches!(standby.choose(now), ReadStep::Wait(_)));
+    assert_eq!(standby.choose(now + SECOND), ReadStep::ReadStore);
+    // It has received no request for a while, and its data is current.
+    standby.record_store_read(now + 4 * SECOND);
+    assert_eq!(requested_from(&mut standby, now + 4 * SECOND), Some(reader));
 }
 
-/// Customers' use is shared also with an instance of another zone that has no news of the store.
+/// Usage of customers is also shared with an instance of another zone that has no update from the
+/// store.
 #[test]
 fn one_without_news_still_takes_part_in_sharing_use() {
     let now = Instant::now();
-    let (mut plan, elsewhere) = beside_another_zone(now);
-    assert!(plan.unreadable(&elsewhere, SECOND, now));
-    let partners = plan.use_partners(now, |_| false);
-    assert_eq!(partners.zones, [(ZoneId::from("ferrol"), Some(elsewhere))]);
+    let (mut election, elsewhere) = election_with_other_zone(now);
+    assert!(election.record_no_update(&elsewhere, SECOND, now));
+    let peers = election.usage_peers(now, |_| false);
+    assert_eq!(peers.zones, [(ZoneId::from("ferrol"), Some(elsewhere))]);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The instance reads: the one that it asks may be dead, or cut off from it.
-    Look(usize),
+    /// The instance takes its turn. The one it asks may be dead or cut off.
+    Turn(usize),
     Toggle(usize),
 }
 
@@ -455,8 +476,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever is dead, an instance that looks has a reading after a few calls in vain: it reads the store then. And once
-    /// nothing changes for a while, all that live use one reader.
+    /// Whichever instances are dead, an instance gets an update within a few unanswered requests,
+    /// after which it reads the store. Once nothing changes for a while, all running instances use
+    /// one reader.
     #[test]
     fn nobody_waits_for_the_dead_for_long_and_all_agree_in_the_end(
         count in 2..8_usize,
@@ -464,74 +486,78 @@
     ) {
         let mut now = Instant::now();
         let members = names(count);
-        let mut plans: Vec<ReaderPlan> = members.iter().map(|own| plan(own, &members, now)).collect();
+        let mut elections: Vec<ReaderElection> = members.iter().map(|own| election(own, &members, now)).collect();
         let mut alive = vec![true; count];
-        for (looks, index, pause) in steps {
+        for (takes_turn, index, pause) in steps {
             now += Duration::from_millis(pause);
             let index = index % count;
-            let step = match looks {
-                true => Step::Look(index),
+            let step = match takes_turn {
+                true => Step::Turn(index),
                 false => Step::Toggle(index),
             };
             match step {
                 Step::Toggle(index) => alive[index] = !alive[index],
-                Step::Look(index) if alive[index] => {
-                    look(&mut plans, &members, &alive, index, now);
+                Step::Turn(index) if alive[index] => {
+                    run_turn(&mut elections, &members, &alive, index, now);
                 }
-                Step::Look(_) => {}
+                Step::Turn(_) => {}
             }
         }
-        // The longest rest of 60 s, the service of 3 s, and one reading more, with readings each second.
+        // The maximum cooldown of 60 s, the service window of 3 s, and one more read, with one read
+        // per second.
         let mut reads = 0;
         for _ in 0..64 {
             now += SECOND;
             reads = 0;
             for index in 0..count {
                 if alive[index] {
-                    reads += usize::from(look(&mut plans, &members, &alive, index, now));
+                    reads += usize::from(run_turn(&mut elections, &members, &alive, index, now));
                 }
             }
         }
         let living = || (0..count).filter(|index| alive[*index]);
-        prop_assert!(living().count() == 0 || reads >= 1, "nobody reads");
-        // One that was the first and died is tried again now and then, by each on its own.
+        prop_assert!(living().count() == 0 || reads >= 1, "no instance reads the store");
+        // A dead first instance is tried again from time to time by each instance on its own.
         let first_lives = living().any(|index| {
-            let mut fresh = plan(&members[index], &members, now);
-            asked(&mut fresh, now).is_none()
+            let mut fresh = election(&members[index], &members, now);
+            requested_from(&mut fresh, now).is_none()
         });
         prop_assert!(!first_lives || reads == 1, "{reads} read");
     }
 }
 
-/// One reading of an instance, as its driver makes it: whether it read the store.
-fn look(
-    plans: &mut [ReaderPlan],
+/// Runs one turn of an instance as its driver does. Returns whether it read the store.
+fn run_turn(
+    elections: &mut [ReaderElection],
     members: &[InstanceId],
     alive: &[bool],
     index: usize,
     now: Instant,
 ) -> bool {
-    const MOST_IN_VAIN: usize = 4;
-    let mut in_vain = 0;
+    const MAX_UNANSWERED: usize = 4;
+    let mut unanswered = 0;
     loop {
-        let from = match plans[index].choose(now) {
-            ReadStep::Ask { from, .. } => from,
-            // It has read a moment ago.
-            ReadStep::Pause(_) => return true,
-            ReadStep::Store => {
-                plans[index].store_read(now);
+        let peer = match elections[index].choose(now) {
+            ReadStep::AskPeer { peer, .. } => peer,
+            // It has just read the store.
+            ReadStep::Wait(_) => return true,
+            ReadStep::ReadStore => {
+                elections[index].record_store_read(now);
                 return true;
             }
         };
-        let at = members.iter().position(|name| *name == from).unwrap();
+        let at = members.iter().position(|name| *name == peer).unwrap();
         if alive[at] {
-            let state = plans[index].state(now);
-            plans[at].asked(&row(&members[index], 1), state, now);
-            plans[index].answered(&from, now);
+            let state = elections[index].requester_state(now);
+            elections[at].record_request(&row(&members[index], 1), state, now);
+            elections[index].record_update(&peer, now);
             return false;
         }
-        plans[index].failed(&from, now);
-        in_vain += 1;
-        assert!(in_vain <= MOST_IN_VAIN, "{in_vain} calls in vain");
+        elections[index].record_no_answer(&peer, now);
+        unanswered += 1;
+        assert!(
+            unanswered <= MAX_UNANSWERED,
+            "{unanswered} unanswered requests"
+        );
     }
 }
--- a/crates/trestlewalk/src/admin/admin_state.rs
+++ b/crates/trestlewalk/src/admin/admin_state.rs
@@ -1,29 +1,29 @@
-//! What the admin server answers from.
+//! The state behind the admin server.
 
 use {
-    crate::admin::{ReadyBoard, StatusSource},
+    crate::admin::{ReadinessState, StatusSource},
     kernel::StateMap,
     prometheus::Registry,
     std::sync::Arc,
 };
 
-/// The shared state behind the admin server. Clones share it.
+/// What the handlers of the admin server read. Clones share the same parts.
 #[derive(bon::Builder)]
 pub struct AdminState<S> {
-    /// Whether the instance is ready.
-    pub board: Arc<ReadyBoard>,
-    /// What plug-ins dump.
+    /// The conditions that decide whether the instance is ready.
+    pub readiness: Arc<ReadinessState>,
+    /// The state that plug-ins dump.
     pub map: StateMap,
-    /// The metrics.
+    /// The registry that `/metrics` renders.
     pub registry: Registry,
-    /// Which table is in force.
+    /// Reports which table is in force.
     pub source: Arc<S>,
 }
 
 impl<S: StatusSource> Clone for AdminState<S> {
     fn clone(&self) -> Self {
         Self {
-            board: self.board.clone(),
+            readiness: self.readiness.clone(),
             map: self.map.clone(),
             registry: self.registry.clone(),
             source: self.source.clone(),
--- a/crates/trestlewalk/src/demo/demo_world.rs
+++ b/crates/trestlewalk/src/demo/demo_system.rs
@@ -1,9 +1,10 @@
-//! The processes of the demonstration, all in this one.
+//! The system of the demonstration: the platform, the engines, the services and the entry instances, all in this
+//! process.
 
 use {
     crate::{
         RunError,
-        demo::world_plan::{
+        demo::system_plan::{
             DECODE_ENGINES, MODELS, SERVICES, TABLE, ZONES, engine_settings, list_record,
             service_settings,
         },
@@ -11,7 +12,7 @@
         run_error::{FakeSnafu, KeysSnafu, PlatformSnafu, TableInvalidSnafu},
         settings::{EntrySettings, KeySettings, TestKeys},
     },
-    engine::wire::route_role::EngineRole,
+    engine::wire::engine_role::EngineRole,
     fake::{PlatformSettings, StandInEngine, StandInPlatform, StandInService, model::EngineLinks},
     kernel::{StateMap, unix_time},
     peer::PeerKeys,
@@ -28,34 +29,34 @@
     tokio::time,
 };
 
-/// How often a condition is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the world may take to get ready, or an edit to come into force.
+/// How often a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long to wait until the system is ready, or until an edit is in force.
 const WAIT_LIMIT: Duration = Duration::from_secs(15);
 
 /// One entry instance of the demonstration.
 pub struct DemoEntry {
-    /// Its addresses.
+    /// The addresses that it listens at.
     pub line: ReadyLine,
-    /// Its state, as its plug-ins see it.
+    /// The state that its plug-ins read.
     pub map: StateMap,
     process: EntryProcess,
-    /// Its availability zone.
+    /// The availability zone that it runs in.
     pub zone: &'static str,
 }
 
-/// The running world.
-pub struct DemoWorld {
+/// The running system.
+pub struct DemoSystem {
     engines: BTreeMap<String, StandInEngine>,
-    /// The entry instances, one an availability zone.
+    /// The entry instances, one per availability zone.
     pub entries: Vec<DemoEntry>,
     platform: StandInPlatform,
     repository: TableRepository<HttpPlatform>,
     services: Vec<StandInService>,
 }
 
-impl DemoWorld {
-    /// Closes the entry instances gracefully, then the stand-ins.
+impl DemoSystem {
+    /// Closes the entry instances gracefully, then the stand-ins. Returns how many requests the closes cut off.
     pub async fn close(self) -> u64 {
         let mut cut = 0;
         for entry in self.entries {
@@ -71,7 +72,7 @@
         cut
     }
 
-    /// Applies a table, and says for each availability zone how long it took to come into force.
+    /// Applies a table, and returns for each availability zone how long it took to come into force.
     ///
     /// # Errors
     ///
@@ -81,13 +82,13 @@
         let committed = time::Instant::now();
         let mut times = Vec::new();
         for entry in &self.entries {
-            self.wait_version(entry, version).await;
+            self.wait_for_version(entry, version).await;
             times.push((entry.zone, committed.elapsed()));
         }
         Ok(times)
     }
 
-    /// Ends an engine in the middle of its work, as a crash would. The platform's list learns of it later.
+    /// Stops an engine while it serves requests, as a crash would. The platform's list drops it only afterwards.
     pub async fn kill_engine(&mut self, name: &str) {
         let Some(engine) = self.engines.remove(name) else {
             return;
@@ -109,7 +110,7 @@
             .address(format!("http://{}", platform.address()))
             .build()
             .context(PlatformSnafu)?;
-        let mut world = Self {
+        let mut system = Self {
             engines: BTreeMap::new(),
             entries: Vec::new(),
             platform,
@@ -117,18 +118,18 @@
             services: Vec::new(),
         };
         for zone in ZONES {
-            world.start_engines(zone).await?;
-            world.start_services(zone).await?;
+            system.start_engines(zone).await?;
+            system.start_services(zone).await?;
         }
-        world.commit(TABLE).await?;
-        world.start_entries().await?;
-        for entry in &world.entries {
-            world.wait_version(entry, 1).await;
+        system.commit(TABLE).await?;
+        system.start_entries().await?;
+        for entry in &system.entries {
+            system.wait_for_version(entry, 1).await;
         }
-        Ok(world)
+        Ok(system)
     }
 
-    /// Prompt tokens read by all engines, and of them those that led to no answer, as the engines count them.
+    /// The prompt tokens that all engines prefilled, and how many of them were wasted, as the engines count them.
     pub fn wasted_tokens(&self) -> (u64, u64) {
         let counters = self.engines.values().map(StandInEngine::counters);
         let counts =
@@ -193,7 +194,7 @@
         links: &EngineLinks,
     ) -> Result<(), RunError> {
         let settings = engine_settings(&name, model, role);
-        let engine = StandInEngine::start_on(settings, links.clone())
+        let engine = StandInEngine::start_with_links(settings, links.clone())
             .await
             .context(FakeSnafu)?;
         let kind = match role {
@@ -277,15 +278,15 @@
         Ok(())
     }
 
-    async fn wait_version(&self, entry: &DemoEntry, version: u64) {
+    async fn wait_for_version(&self, entry: &DemoEntry, version: u64) {
         let started = time::Instant::now();
         while started.elapsed() < WAIT_LIMIT {
-            let board = entry.map.get::<flow::TableBoard>();
-            let table = board.and_then(|board| board.table());
+            let current_table = entry.map.get::<flow::CurrentTable>();
+            let table = current_table.and_then(|current_table| current_table.table());
             if table.is_some_and(|table| table.version >= version) {
                 return;
             }
-            time::sleep(LOOK_INTERVAL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/trestlewalk/src/entry/entry_parts.rs
+++ b/crates/trestlewalk/src/entry/entry_parts.rs
@@ -1,41 +1,42 @@
-//! What every part of an entry instance shares.
+//! The state that all parts of an entry instance share.
 
 use {
-    crate::{admin::ReadyBoard, entry::EntryIdentity, settings::EntrySettings},
+    crate::{admin::ReadinessState, entry::EntryIdentity, settings::EntrySettings},
     kernel::{StateMap, WorkerPool},
     prometheus::Registry,
     std::{sync::Arc, time::SystemTime},
 };
 
-/// The shared parts. Clones share them.
+/// The shared state. Clones refer to the same parts.
 #[derive(Clone)]
 pub struct EntryParts {
-    /// Whether the instance is ready.
-    pub board: Arc<ReadyBoard>,
-    /// Which life of which instance this is.
+    /// The conditions that decide whether the instance is ready.
+    pub readiness: Arc<ReadinessState>,
+    /// The instance and its incarnation.
     pub identity: Arc<EntryIdentity>,
     /// The state that plug-ins dump.
     pub map: StateMap,
-    /// The background work.
+    /// The pool in which background tasks run.
     pub pool: WorkerPool,
-    /// The metrics.
+    /// The registry of metrics.
     pub registry: Registry,
-    /// The settings.
+    /// The settings in force.
     pub settings: Arc<EntrySettings>,
 }
 
 impl EntryParts {
-    /// The parts of a life that starts at `now`; the state map has the board, the identity and the settings.
+    /// Creates the state of a process that starts at `now`. The state map holds the readiness, the identity and the
+    /// settings.
     pub fn new(settings: EntrySettings, now: SystemTime) -> Self {
-        let board = Arc::new(ReadyBoard::new());
+        let readiness = Arc::new(ReadinessState::new());
         let identity = Arc::new(EntryIdentity::new(&settings, now));
         let settings = Arc::new(settings);
         let map = StateMap::new();
-        map.insert(board.clone());
+        map.insert(readiness.clone());
         map.insert(identity.clone());
         map.insert(settings.clone());
         Self {
-            board,
+            readiness,
             identity,
             map,
             pool: WorkerPool::new(),
--- a/crates/trestlewalk/src/entry/ticket_parts.rs
+++ b/crates/trestlewalk/src/entry/entry_tickets.rs
@@ -1,13 +1,14 @@
-//! The tickets of the entry instance: their table, the door before the handlers, and the sweep of old claims.
+//! The tickets of an entry instance: their table, the layer in front of the handlers that checks them, and the sweep of
+//! old claims.
 
 use {
     crate::{
         RunError,
-        entry::{EntryParts, EntryPlatform, PathBase},
+        entry::{EntryParts, EntryPlatform, PathComponents},
         run_error::{MetricsSnafu, TicketsSnafu},
     },
-    claim::{ClaimKeeper, LifeKey, TicketSettings, claim_sweep},
-    door::{AdmissionGate, TICKET_TAG, TicketDesk, TicketDoor, TicketMetrics},
+    claim::{ClaimKeeper, IncarnationKey, TicketSettings, claim_sweep},
+    door::{AdmissionGate, TICKET_TAG, TicketDispatcher, TicketMetrics, TicketRegistry},
     kernel::{InstanceId, seeded_rng},
     peer::PeerDriver,
     snafu::ResultExt,
@@ -18,58 +19,62 @@
     tokio::time,
 };
 
-/// How often claims that have ended are looked for.
+/// How often ended claims are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The door before the handlers of this process.
-pub type EntryTickets = TicketDoor<EntryPlatform>;
+/// The ticket layer in front of the handlers of this process.
+pub type EntryTickets = TicketDispatcher<EntryPlatform>;
 
-/// Makes the door of the handlers in `handlers`, and starts what serves other instances.
+/// Creates the ticket layer in front of `handlers`, and starts the tasks that answer other instances and sweep claims.
 ///
 /// # Errors
 ///
-/// A ticket can't carry the names of this instance.
+/// The names of this instance are not valid in a ticket.
 pub fn start_tickets(
-    base: &PathBase,
+    components: &PathComponents,
     parts: &EntryParts,
     gate: Arc<AdmissionGate>,
     handlers: axum::Router,
     members: Arc<PeerDriver>,
 ) -> Result<Arc<EntryTickets>, RunError> {
-    let desk = Arc::new(make_desk(parts)?);
-    parts.map.insert(desk.clone());
-    let store = Arc::new(base.platform.clone());
+    let registry = Arc::new(make_registry(parts)?);
+    parts.map.insert(registry.clone());
+    let store = Arc::new(components.platform.clone());
     let keeper = ClaimKeeper::new(store.clone());
-    base.pool.spawn(sweep_claims(keeper, members.clone()));
-    let door = TicketDoor::builder()
+    components.pool.spawn(sweep_claims(keeper, members.clone()));
+    let dispatcher = TicketDispatcher::builder()
         .claim_secret(shared_secret(parts))
-        .desk(desk)
-        .endpoint(base.endpoint.clone())
+        .registry(registry)
+        .endpoint(components.endpoint.clone())
         .gate(gate)
         .handlers(handlers)
         .limit(parts.settings.limits.body as usize)
         .members(members)
         .store(store)
         .build();
-    let door = Arc::new(door);
-    let incoming = base.endpoint.register(TICKET_TAG);
-    base.pool
-        .spawn(door.clone().run_peers(incoming, base.pool.clone()));
-    Ok(door)
+    let dispatcher = Arc::new(dispatcher);
+    let incoming = components.endpoint.register(TICKET_TAG);
+    components.pool.spawn(
+        dispatcher
+            .clone()
+            .serve_peers(incoming, components.pool.clone()),
+    );
+    Ok(dispatcher)
 }
 
-fn make_desk(parts: &EntryParts) -> Result<TicketDesk, RunError> {
+fn make_registry(parts: &EntryParts) -> Result<TicketRegistry, RunError> {
     let identity = &parts.identity;
-    let life = LifeKey {
+    let life = IncarnationKey {
         incarnation: identity.incarnation,
         instance: identity.instance.clone(),
     };
     let metrics = TicketMetrics::new().context(MetricsSnafu)?;
     let settings = TicketSettings::builder().secret(own_secret(parts)).build();
-    TicketDesk::new(life, metrics, settings, identity.zone.clone()).context(TicketsSnafu)
+    TicketRegistry::new(life, metrics, settings, identity.zone.clone()).context(TicketsSnafu)
 }
 
-/// The secret of this life: that of the settings, or one that is made up from the moment of its start.
+/// The secret that this process signs its tickets with: that of the settings, or one derived from the incarnation and
+/// the time.
 fn own_secret(parts: &EntryParts) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let now = now.unwrap_or_default().as_nanos();
@@ -79,13 +84,13 @@
     }
 }
 
-/// What the rows of claims are hashed with, the same at all instances.
+/// The secret that the rows of claims are hashed with; the same at all instances.
 fn shared_secret(parts: &EntryParts) -> u64 {
     let secret = parts.settings.secret.as_deref().unwrap_or_default();
     seeded_rng::mix(0, secret.as_bytes())
 }
 
-/// Removes claims that have ended, at the one instance whose turn it is.
+/// Removes ended claims periodically, at the one instance that is the sweeper among the live ones. Never returns.
 async fn sweep_claims(keeper: ClaimKeeper<EntryPlatform>, members: Arc<PeerDriver>) {
     let mut ticks = time::interval(SWEEP_INTERVAL);
     loop {
@@ -97,7 +102,7 @@
             continue;
         }
         if let Err(error) = keeper.sweep().await {
-            tracing::debug!(%error, "claims were not swept");
+            tracing::debug!(%error, "the sweep of ended claims failed");
         }
     }
 }
--- a/crates/trestlewalk/src/entry/member_watch.rs
+++ b/crates/trestlewalk/src/entry/member_watch.rs
@@ -1,10 +1,10 @@
-//! What the request path learns from the membership.
+//! Connects the request path with the membership.
 
 use {
-    crate::{admin::ReadyBoard, entry::AllocatorMaker},
-    flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamBoard},
+    crate::{admin::ReadinessState, entry::AllocatorFactory},
+    flow::{CellHub, CellTable, GrantRouter, LifeView, MemberView, UpstreamRegistry},
     kernel::{Incarnation, InstanceId, LockRank, RankedLock, UpstreamId, ZoneId},
-    peer::{ListedMember, MemberNews, MemberState, PeerDriver},
+    peer::{ListedMember, MemberState, MemberUpdate, PeerDriver},
     plat::{InstanceKind, InstanceRecord, InstanceState},
     route::load_report::LeavingCause,
     std::{
@@ -18,34 +18,36 @@
     },
 };
 
-/// A life that no record tells of counts as gone after so long: its record may still be on its way.
-const UNKNOWN_LIMIT: Duration = Duration::from_secs(3);
-/// How often marks are carried between the board and the membership.
+/// After this time an incarnation without a record counts as gone; until then its record may still arrive.
+const UNKNOWN_INCARNATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// How often marks are exchanged between the registry and the membership.
 const MARK_INTERVAL: Duration = Duration::from_millis(200);
-/// How often a mark that holds is raised anew; well below the lifetime of a mark.
-const MARK_REFRESH: Duration = Duration::from_secs(20);
+/// How often a mark that still applies is renewed; well below the lifetime of a mark.
+const MARK_REFRESH_INTERVAL: Duration = Duration::from_secs(20);
 
-/// The lives that are not known to run.
+/// The incarnations that are not known to run.
 #[derive(Default)]
-struct LostLives {
+struct LostIncarnations {
+    /// By instance: all incarnations before this one are gone.
     gone: BTreeMap<InstanceId, Incarnation>,
+    /// Incarnations without a record, with the time when one was first looked up.
     unknown: BTreeMap<(InstanceId, Incarnation), Instant>,
 }
 
 /// The membership as the request path sees it.
 pub struct MemberWatch {
-    board: Arc<UpstreamBoard>,
+    registry: Arc<UpstreamRegistry>,
     driver: Arc<PeerDriver>,
-    lost: RankedLock<LostLives>,
+    lost: RankedLock<LostIncarnations>,
     zone: ZoneId,
 }
 
 impl MemberWatch {
-    /// A watch over a running membership.
-    pub fn new(board: Arc<UpstreamBoard>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
-        let lost = RankedLock::new(LockRank::Members, LostLives::default());
+    /// Creates a watch over a running membership, for an instance in `zone`.
+    pub fn new(registry: Arc<UpstreamRegistry>, driver: Arc<PeerDriver>, zone: ZoneId) -> Self {
+        let lost = RankedLock::new(LockRank::Members, LostIncarnations::default());
         Self {
-            board,
+            registry,
             driver,
             lost,
             zone,
@@ -57,7 +59,7 @@
         self.driver.clone()
     }
 
-    /// Passes the platform's list on to the membership, for as long as it is driven.
+    /// Passes each new list of the platform on to the membership. Returns when the list's sender is gone.
     pub async fn run_list(self: Arc<Self>, mut list: watch::Receiver<Vec<InstanceRecord>>) {
         while list.changed().await.is_ok() {
             let members = listed_members(&list.borrow_and_update());
@@ -65,86 +67,87 @@
         }
     }
 
-    /// Carries marks both ways for as long as it is driven.
+    /// Exchanges marks between the registry and the membership in both directions. Never returns.
     pub async fn run_marks(self: Arc<Self>) {
-        let mut told: BTreeMap<UpstreamId, (LeavingCause, Instant)> = BTreeMap::new();
+        let mut published: BTreeMap<UpstreamId, (LeavingCause, Instant)> = BTreeMap::new();
         let mut ticks = time::interval(MARK_INTERVAL);
         loop {
             ticks.tick().await;
-            self.tell_marks(Instant::now(), &mut told);
-            self.board.put_peer_marks(&self.peer_marks());
+            self.publish_marks(Instant::now(), &mut published);
+            self.registry.put_peer_marks(&self.peer_marks());
         }
     }
 
-    /// Acts on the news of the membership for as long as it is driven.
-    pub async fn run_news(
+    /// Handles the updates of the membership. Returns when the membership is closed.
+    pub async fn run_updates(
         self: Arc<Self>,
-        cells: Arc<CellTable<AllocatorMaker, GrantRouter>>,
+        cells: Arc<CellTable<AllocatorFactory, GrantRouter>>,
         hub: Arc<CellHub>,
     ) {
-        let mut news = self.driver.news();
+        let mut updates = self.driver.updates();
         loop {
-            match news.recv().await {
-                Ok(news) => self.on_news(news, &cells, &hub),
+            match updates.recv().await {
+                Ok(update) => self.on_update(update, &cells, &hub),
                 Err(RecvError::Lagged(_)) => {}
                 Err(RecvError::Closed) => return,
             }
         }
     }
 
-    /// Tells the members whether this instance takes requests, for as long as it is driven.
-    pub async fn run_state(self: Arc<Self>, ready: Arc<ReadyBoard>) {
+    /// Publishes to the members whether this instance accepts requests. Never returns.
+    pub async fn run_state(self: Arc<Self>, readiness: Arc<ReadinessState>) {
         let mut ticks = time::interval(MARK_INTERVAL);
-        let mut told = None;
+        let mut published = None;
         loop {
             ticks.tick().await;
-            let state = match ready.is_ready() {
+            let state = match readiness.is_ready() {
                 true => MemberState::Serving,
-                false if ready.is_closing() => MemberState::Leaving,
+                false if readiness.is_closing() => MemberState::Leaving,
                 false => MemberState::NotReady,
             };
-            if told.replace(state) != Some(state) {
+            if published.replace(state) != Some(state) {
                 self.driver.set_state(state);
             }
         }
     }
 
-    fn on_news(
+    fn on_update(
         &self,
-        news: MemberNews,
-        cells: &CellTable<AllocatorMaker, GrantRouter>,
+        update: MemberUpdate,
+        cells: &CellTable<AllocatorFactory, GrantRouter>,
         hub: &CellHub,
     ) {
-        match news {
-            MemberNews::MemberGone { before, instance } => {
+        match update {
+            MemberUpdate::MemberDead { before, instance } => {
                 tracing::info!(%instance, before, "an instance is gone");
                 self.lost.lock().gone.insert(instance.clone(), before);
                 cells.on_holder_gone(&instance, before);
             }
-            MemberNews::Renewed { incarnation } => {
+            MemberUpdate::Renewed { incarnation } => {
                 tracing::warn!(
                     incarnation,
-                    "this instance was held for gone, and has a new life"
+                    "the other instances took this instance for gone; it goes on with a new incarnation"
                 );
                 hub.renew(incarnation);
             }
-            MemberNews::Superseded { by } => {
+            MemberUpdate::Superseded { by } => {
                 tracing::error!(
                     by,
-                    "another process has this instance's name and a later life"
+                    "another process runs under this instance's name with a later incarnation"
                 );
             }
-            MemberNews::ZoneBack { zone } => {
-                tracing::info!(%zone, "the availability zone is heard again")
+            MemberUpdate::ZoneReachable { zone } => {
+                tracing::info!(%zone, "the availability zone is reachable again")
             }
-            MemberNews::ZoneCut { zone } => {
+            MemberUpdate::ZoneUnreachable { zone } => {
                 tracing::warn!(%zone, "the availability zone is cut off")
             }
             _ => {}
         }
     }
 
-    /// The other instances' marks. Failed calls are an instance's own matter: they may be of its own network.
+    /// The marks of other instances. Marks for failed calls are left out, since the fault may lie in the network of the
+    /// instance that set them.
     fn peer_marks(&self) -> BTreeMap<UpstreamId, LeavingCause> {
         let view = self.driver.view();
         let mut marks = BTreeMap::new();
@@ -160,25 +163,29 @@
         marks
     }
 
-    fn tell_marks(&self, now: Instant, told: &mut BTreeMap<UpstreamId, (LeavingCause, Instant)>) {
-        let marks = self.board.own_marks();
+    fn publish_marks(
+        &self,
+        now: Instant,
+        published: &mut BTreeMap<UpstreamId, (LeavingCause, Instant)>,
+    ) {
+        let marks = self.registry.own_marks();
         for (upstream, cause) in &marks {
-            let is_fresh = told.get(upstream).is_some_and(|(before, at)| {
-                before == cause && now.saturating_duration_since(*at) < MARK_REFRESH
+            let is_fresh = published.get(upstream).is_some_and(|(before, at)| {
+                before == cause && now.saturating_duration_since(*at) < MARK_REFRESH_INTERVAL
             });
             if is_fresh {
                 continue;
             }
-            told.insert(upstream.clone(), (*cause, now));
+            published.insert(upstream.clone(), (*cause, now));
             self.driver.mark(upstream.clone(), Some(*cause));
         }
-        let ended: Vec<UpstreamId> = told
+        let ended: Vec<UpstreamId> = published
             .keys()
             .filter(|upstream| !marks.contains_key(*upstream))
             .cloned()
             .collect();
         for upstream in ended {
-            told.remove(&upstream);
+            published.remove(&upstream);
             self.driver.mark(upstream, None);
         }
     }
@@ -206,7 +213,7 @@
             return incarnation < record.incarnation;
         }
         let since = *lost.unknown.entry(key).or_insert_with(Instant::now);
-        since.elapsed() > UNKNOWN_LIMIT
+        since.elapsed() > UNKNOWN_INCARNATION_TIMEOUT
     }
 
     fn is_silent(&self, instance: &str) -> bool {
@@ -222,8 +229,8 @@
     fn zone_members(&self) -> Vec<InstanceId> {
         let view = self.driver.view();
         let serving = view.serving_in(&self.zone);
-        let fit = serving.filter(|record| !view.is_stale || record.instance != view.instance);
-        fit.map(|record| record.instance.clone()).collect()
+        let eligible = serving.filter(|record| !view.is_stale || record.instance != view.instance);
+        eligible.map(|record| record.instance.clone()).collect()
     }
 }
 
--- a/crates/trestlewalk/src/entry/path_base.rs
+++ b/crates/trestlewalk/src/entry/path_components.rs
@@ -1,4 +1,4 @@
-//! The parts of the request path that several others are made from.
+//! The components from which the request path and the background tasks are built.
 
 use {
     crate::{
@@ -7,76 +7,76 @@
         run_error::{MetricsSnafu, PlatformSnafu},
         settings::{EntrySettings, UpstreamSettings},
     },
-    door::{AdmissionGate, DoorDefaults, DoorLimits, DoorShared},
+    door::{AdmissionGate, ApiContext, ApiDefaults, ApiLimits},
     engine::CompletionEngine,
     flow::{
-        CellHub, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView, StreamCanceller,
-        TableBoard, UpstreamBoard,
+        CellHub, CurrentTable, FlowMetrics, FlowShared, PlainCaller, PlainLimiter, ShareView,
+        StreamCanceller, UpstreamRegistry,
     },
-    kernel::{CloseSignal, WorkerPool},
-    peer::{PeerBook, PeerEndpoint, PeerError},
+    kernel::{ShutdownSignal, WorkerPool},
+    peer::{AddressTable, PeerEndpoint, PeerError},
     plat::{BudgetPlatform, CallRate, HttpPlatform, InstanceKind, InstanceRecord, InstanceState},
     route::UpstreamRole,
     snafu::ResultExt,
     std::{collections::BTreeSet, sync::Arc, time::Duration},
 };
 
-/// How long a connection to an upstream may take to open.
+/// The timeout for opening a connection to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a short call to an engine may take.
+/// The timeout of control calls to an engine, such as a cancellation.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How many reads an instance makes: a tenth of what the platform takes.
+/// The rate of reads of one instance: a tenth of what the platform accepts.
 const READ_RATE: CallRate = CallRate {
     burst: 200.0,
     per_second: 200.0,
 };
-/// How many writes an instance makes: with nine instances no more than the platform takes.
+/// The rate of writes of one instance: nine instances together stay within what the platform accepts.
 const WRITE_RATE: CallRate = CallRate {
     burst: 100.0,
     per_second: 50.0,
 };
 
-/// The platform's client of an entry instance.
+/// The client by which an entry instance calls the platform, within a budget of calls.
 pub type EntryPlatform = BudgetPlatform<HttpPlatform>;
 
-/// Parts that are shared by the request path and the control work around it.
-pub struct PathBase {
-    /// The known upstreams.
-    pub board: Arc<UpstreamBoard>,
+/// The components that the request path and the background tasks share.
+pub struct PathComponents {
+    /// The known upstreams and their states.
+    pub registry: Arc<UpstreamRegistry>,
     /// The links to other instances.
     pub endpoint: PeerEndpoint,
-    /// The engines' client.
+    /// The client that calls engines.
     pub engine: CompletionEngine,
-    /// Whether the platform is heard.
+    /// Whether the platform answers.
     pub health: Arc<PlatformHealth>,
-    /// The way to the allocators.
+    /// The sessions with the allocators.
     pub hub: Arc<CellHub>,
-    /// Holds plain rows to their limits.
+    /// Enforces the limits of plain rows.
     pub limiter: Arc<PlainLimiter>,
-    /// The counters.
+    /// The metrics of requests.
     pub metrics: Arc<FlowMetrics>,
-    /// The platform's client.
+    /// The client that calls the platform.
     pub platform: EntryPlatform,
-    /// The background work.
+    /// The pool in which background tasks run.
     pub pool: WorkerPool,
     /// The table in force.
-    pub tables: Arc<TableBoard>,
+    pub current_table: Arc<CurrentTable>,
 }
 
-impl PathBase {
-    /// Makes the parts, and puts those that plug-ins dump into the state map.
+impl PathComponents {
+    /// Creates the components, and puts those that plug-ins dump into the state map.
     ///
     /// # Errors
     ///
-    /// The address for peers can't be bound, the keys can't be used, or the platform's address is none.
+    /// The address for peers can't be bound, the keys can't be used, or the platform's address is invalid.
     pub fn new(parts: &EntryParts) -> Result<Self, RunError> {
         let settings = &parts.settings;
         let identity = &parts.identity;
         let platform = make_platform(settings)?;
         let health = PlatformHealth::new(platform.counts()).context(MetricsSnafu)?;
-        let base = Self {
-            board: Arc::new(UpstreamBoard::new(fixed_upstreams(settings))),
+        let components = Self {
+            registry: Arc::new(UpstreamRegistry::new(fixed_upstreams(settings))),
             endpoint: bind_endpoint(parts)?,
             engine: make_engine(settings),
             health: Arc::new(health),
@@ -93,58 +93,58 @@
             metrics: Arc::new(FlowMetrics::new().context(MetricsSnafu)?),
             platform,
             pool: parts.pool.clone(),
-            tables: Arc::new(TableBoard::new()),
+            current_table: Arc::new(CurrentTable::new()),
         };
-        parts.map.insert(base.health.clone());
-        parts.map.insert(base.board.clone());
-        parts.map.insert(base.hub.clone());
-        parts.map.insert(base.limiter.clone());
-        parts.map.insert(base.metrics.clone());
-        parts.map.insert(base.tables.clone());
-        Ok(base)
+        parts.map.insert(components.health.clone());
+        parts.map.insert(components.registry.clone());
+        parts.map.insert(components.hub.clone());
+        parts.map.insert(components.limiter.clone());
+        parts.map.insert(components.metrics.clone());
+        parts.map.insert(components.current_table.clone());
+        Ok(components)
     }
 
-    /// Cancels streams in the background.
+    /// Creates what cancels streams in the background.
     pub fn canceller(&self) -> StreamCanceller<CompletionEngine> {
         StreamCanceller::new(
-            self.board.clone(),
+            self.registry.clone(),
             self.engine.clone(),
             self.metrics.clone(),
             self.pool.clone(),
         )
     }
 
-    /// What the handlers of callers' requests share.
-    pub fn door_shared(
+    /// The state that the handlers of callers' requests share.
+    pub fn api_context(
         &self,
         parts: &EntryParts,
-        cut: CloseSignal,
+        cut: ShutdownSignal,
         gate: Arc<AdmissionGate>,
-    ) -> DoorShared<CompletionEngine> {
+    ) -> ApiContext<CompletionEngine> {
         let settings = &parts.settings;
         let plain = PlainCaller::builder()
-            .board(self.board.clone())
+            .registry(self.registry.clone())
             .connect(CONNECT_TIMEOUT)
             .first_byte(settings.limits.first_byte)
             .seed(parts.identity.incarnation)
             .zone(parts.identity.zone.clone())
             .build();
         let flow = FlowShared {
-            board: self.board.clone(),
+            registry: self.registry.clone(),
             canceller: self.canceller(),
             cut,
             engine: self.engine.clone(),
             hub: self.hub.clone(),
             metrics: self.metrics.clone(),
         };
-        DoorShared {
-            defaults: door_defaults(settings),
+        ApiContext {
+            defaults: api_defaults(settings),
             flow: Arc::new(flow),
             gate,
             limiter: self.limiter.clone(),
-            limits: door_limits(settings),
+            limits: api_limits(settings),
             plain: Arc::new(plain),
-            tables: self.tables.clone(),
+            tables: self.current_table.clone(),
             zone: parts.identity.zone.clone(),
         }
     }
@@ -152,13 +152,13 @@
 
 fn bind_endpoint(parts: &EntryParts) -> Result<PeerEndpoint, RunError> {
     let keys = load_keys(&parts.settings.keys)?;
-    let book = PeerBook::new();
+    let book = AddressTable::new();
     for peer in &parts.settings.peers {
         book.set(peer.instance.clone(), peer.address);
     }
     PeerEndpoint::builder()
         .address(parts.settings.listen.peers)
-        .book(book)
+        .addresses(book)
         .incarnation(parts.identity.incarnation)
         .instance(parts.identity.instance.clone())
         .keys(&keys)
@@ -166,7 +166,7 @@
         .map_err(bind_error)
 }
 
-/// Names the field of the settings when the address is at fault.
+/// Converts the error, and names the field of the settings when the address can't be bound.
 fn bind_error(error: PeerError) -> RunError {
     match error {
         PeerError::Bind { address, source } => RunError::Bind {
@@ -178,16 +178,16 @@
     }
 }
 
-fn door_defaults(settings: &EntrySettings) -> DoorDefaults {
-    DoorDefaults {
+fn api_defaults(settings: &EntrySettings) -> ApiDefaults {
+    ApiDefaults {
         chat: settings.defaults.chat.clone(),
         completions: settings.defaults.completions.clone(),
         services: settings.defaults.services.clone(),
     }
 }
 
-fn door_limits(settings: &EntrySettings) -> DoorLimits {
-    DoorLimits::builder()
+fn api_limits(settings: &EntrySettings) -> ApiLimits {
+    ApiLimits::builder()
         .body(settings.limits.body as usize)
         .headers(settings.limits.headers as usize)
         .open_requests(settings.limits.open_requests as usize)
--- a/crates/trestlewalk/src/entry/relay_process.rs
+++ b/crates/trestlewalk/src/entry/relay_process.rs
@@ -1,13 +1,13 @@
-//! One instance that serves the operators' routes by its own view, from start to close.
+//! An instance that serves the operators' routes without an allocator, from start to close.
 
 use {
     crate::{
         RunError,
         admin::{
-            AdminServer, AdminState, ReadyBoard, StatusSource, TableStatus,
-            ready_board::CLOSING_CONDITION,
+            AdminServer, AdminState, ReadinessState, StatusSource, TableStatus,
+            readiness_state::CLOSING_CONDITION,
         },
-        entry::{ProcessSignal, ProcessSignals, ReadyLine, UdpEnd, bind_tcp},
+        entry::{PeerSocket, ProcessSignal, ProcessSignals, ReadyLine, bind_tcp},
         run_error::{CutByCloseSnafu, MetricsSnafu, RuntimeSnafu},
         settings::{RelayFile, SettingsReader},
     },
@@ -16,8 +16,8 @@
     policy::{QuotaRule, RetryBounds, StageGoal},
     prometheus::Registry,
     relay::{
-        CallReason, CallerServer, LinkTimes, OperatorSource, RelayCore, RelaySettings, SourceWatch,
-        StageKeeper, StageSettings, StoreCalls, WatchTimes,
+        CallReason, CallerServer, ConnectionTimeouts, OperatorSource, RelayCore, RelaySettings,
+        SourceWatch, StageController, StageSettings, StoreCalls, WatchTimes,
     },
     snafu::ResultExt,
     spread::{SharedSource, SpreadTimes},
@@ -30,20 +30,21 @@
 
 const ADMIN_CLOSE_LIMIT: Duration = Duration::from_millis(200);
 const POOL_CLOSE_LIMIT: Duration = Duration::from_millis(200);
-/// While it is not known whether the keys are still those in force the instance is not ready.
+/// The condition that the instance knows the customers' keys that are in force.
 const KEYS_CONDITION: &str = "keys";
-/// How often that is looked at: the balancer asks once a second.
-const KEYS_PERIOD: Duration = Duration::from_millis(500);
-/// Until the first reading the instance is not ready.
+/// How often that condition is checked. The balancer probes once a second.
+const KEYS_CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// The condition that the first read of the routes and the upstreams has succeeded.
 const START_CONDITION: &str = "routes";
-/// How long a reading by way of other instances may take. It bounds its own steps; this is for faults in it.
+/// The timeout of a read through other instances. Each of its steps has a timeout of its own; this one covers faults
+/// in them.
 const SHARED_READ_LIMIT: Duration = Duration::from_secs(10);
-/// An entry of the list lapses after three heartbeats without a report, the last of which came within one heartbeat before an
-/// outage.
+/// The heartbeats after which an entry of the list lapses in an outage. Entries lapse after three heartbeats without a
+/// report, and the last report may have come up to one heartbeat before the outage.
 const LAPSE_HEARTBEATS: u32 = 2;
-/// The pause after a reading by way of other instances that failed: it paces its own calls.
+/// The pause after a failed read through other instances; short, because such a read paces its own calls.
 const SHARED_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// The pause after a reading of the store that failed.
+/// The pause after a failed read of the store.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// The request path on this platform.
@@ -52,14 +53,14 @@
 /// A running instance.
 pub struct RelayProcess {
     admin: AdminServer,
-    board: Arc<ReadyBoard>,
+    readiness: Arc<ReadinessState>,
     callers: CallerServer,
     core: Arc<PlatformCore>,
     pool: WorkerPool,
     settings: RelayFile,
 }
 
-/// Tells which routes are in force.
+/// Reports the version of the routes in force.
 struct RouteStatus {
     core: Arc<PlatformCore>,
     settings: RelayFile,
@@ -67,22 +68,23 @@
 
 impl StatusSource for RouteStatus {
     fn table_status(&self) -> TableStatus {
-        let book = self.core.book.load();
+        let routes = self.core.routes.load();
         TableStatus {
             cut_off_since: None,
             digest: 0,
             instance: self.settings.instance.clone(),
             since: 0,
-            version: book.as_ref().map_or(0, |book| book.version),
+            version: routes.as_ref().map_or(0, |routes| routes.version),
             zone: self.settings.zone.clone(),
         }
     }
 }
 
 impl RelayProcess {
-    /// Closes the parts: not ready first, then the callers' connections, then the rest. Gives how many requests were cut.
+    /// Closes the instance: it stops being ready, then the callers' connections close, then the rest. Returns how many
+    /// requests were cut off.
     pub async fn close(self) -> usize {
-        self.board
+        self.readiness
             .block(CLOSING_CONDITION, "this instance is closing");
         let close = &self.settings.close;
         let cut = self.callers.close(close.settle, close.limit).await;
@@ -93,7 +95,7 @@
         cut
     }
 
-    /// Reads the settings again. Those of sockets, the store and the log stay until the next start.
+    /// Reloads the settings. Changes to sockets, the store and the log take effect at the next start only.
     fn reload(&mut self, reader: &SettingsReader) {
         match reader.read() {
             Ok(settings) => {
@@ -103,11 +105,13 @@
                 tracing::info!("settings read again");
                 self.settings = settings;
             }
-            Err(error) => tracing::error!(%error, "the settings stay as they were"),
+            Err(error) => {
+                tracing::error!(%error, "the settings can't be reloaded and stay as they were")
+            }
         }
     }
 
-    /// Runs an instance until a signal tells it to close.
+    /// Runs an instance until a signal closes it; SIGHUP reloads the settings.
     ///
     /// # Errors
     ///
@@ -115,7 +119,7 @@
     pub async fn run(settings: RelayFile, reader: SettingsReader) -> Result<(), RunError> {
         let mut signals = ProcessSignals::new()?;
         let mut process = Self::start(settings).await?;
-        while signals.any().await == ProcessSignal::Reload {
+        while signals.wait_any().await == ProcessSignal::Reload {
             process.reload(&reader);
         }
         tracing::info!("closing");
@@ -130,7 +134,7 @@
         Ok(())
     }
 
-    /// Opens the sockets, prints the line with their addresses before any log line, and starts the parts.
+    /// Opens the sockets, prints the line with their addresses ahead of all log lines, and starts the parts.
     ///
     /// # Errors
     ///
@@ -138,17 +142,17 @@
     pub async fn start(settings: RelayFile) -> Result<Self, RunError> {
         let admin = bind_tcp("listen.admin", settings.listen.admin).await?;
         let callers = bind_tcp("listen.callers", settings.listen.callers).await?;
-        let peers = UdpEnd::open(&settings)?;
+        let peers = PeerSocket::open(&settings)?;
         let line = ReadyLine {
             admin: admin.local_addr().context(RuntimeSnafu)?,
             callers: callers.local_addr().context(RuntimeSnafu)?,
             instance: settings.instance.clone(),
-            peers: peers.as_ref().map(|end| end.row.address),
+            peers: peers.as_ref().map(|socket| socket.row.address),
         };
         line.print()?;
         let core = Arc::new(RelayCore::new(HttpDialect, relay_settings(&settings)));
-        let board = Arc::new(ReadyBoard::new());
-        board.block(
+        let readiness = Arc::new(ReadinessState::new());
+        readiness.block(
             START_CONDITION,
             "the routes and the upstreams are not known yet",
         );
@@ -162,7 +166,7 @@
         map.insert(Arc::new(core.quotas.clone()));
         PluginEntry::register_metrics(&map, &registry);
         let state = AdminState::builder()
-            .board(board.clone())
+            .readiness(readiness.clone())
             .map(map)
             .registry(registry)
             .source(Arc::new(RouteStatus {
@@ -174,17 +178,17 @@
         let pool = WorkerPool::new();
         start_watch(&settings, &core, &pool, peers, calls);
         pool.spawn({
-            let board = board.clone();
+            let readiness = readiness.clone();
             let core = core.clone();
             async move {
                 core.start.wait_open().await;
-                board.clear(START_CONDITION);
-                watch_keys(&core, &board).await;
+                readiness.clear(START_CONDITION);
+                watch_keys(&core, &readiness).await;
             }
         });
         Ok(Self {
             admin,
-            board,
+            readiness,
             callers: CallerServer::start(callers, core.clone()),
             core,
             pool,
@@ -193,14 +197,14 @@
     }
 }
 
-/// Keeps the instance from being sent requests while it can't tell which keys hold.
-async fn watch_keys(core: &PlatformCore, board: &ReadyBoard) {
+/// Keeps the instance not ready while it does not know which keys are in force. Never returns.
+async fn watch_keys(core: &PlatformCore, readiness: &ReadinessState) {
     loop {
-        match core.knows_keys() {
-            true => board.clear(KEYS_CONDITION),
-            false => board.block(KEYS_CONDITION, "the keys may have changed meanwhile"),
+        match core.can_check_keys() {
+            true => readiness.clear(KEYS_CONDITION),
+            false => readiness.block(KEYS_CONDITION, "the keys may have changed meanwhile"),
         }
-        time::sleep(KEYS_PERIOD).await;
+        time::sleep(KEYS_CHECK_PERIOD).await;
     }
 }
 
@@ -220,11 +224,11 @@
             slack: customers.slack,
             window: customers.window,
         })
-        .connect(settings.upstreams.connect)
+        .connect_timeout(settings.upstreams.connect)
         .quarantine(settings.quarantine.life)
-        .reads_apart(settings.upstreams.reads_apart)
+        .has_separate_prefill(settings.upstreams.reads_apart)
         .retries(bounds)
-        .unheard(settings.upstreams.unheard)
+        .peer_timeout(settings.upstreams.unheard)
         .zone(settings.zone.clone())
         .zones(retries.zones.as_ref().map_or(1, Vec::len).max(1))
         .build()
@@ -239,7 +243,7 @@
         .prefill_share(orders.prefill_share)
         .spare_floor(usize::try_from(orders.spare_floor).unwrap_or(usize::MAX))
         .build();
-    // A restarted process is another holder: it can't know what the one before it ordered.
+    // A restarted process is a new holder of the lease, since it does not know the orders of the process before it.
     let life = unix_time::micros(SystemTime::now());
     StageSettings::builder()
         .checks_fence(orders.checks_fence)
@@ -249,41 +253,41 @@
         .build()
 }
 
-/// Starts to read the store, by itself or together with the other instances of the zone.
+/// Starts reading the store, alone or together with the other instances of the availability zone.
 fn start_watch(
     settings: &RelayFile,
     core: &Arc<PlatformCore>,
     pool: &WorkerPool,
-    peers: Option<UdpEnd>,
+    peers: Option<PeerSocket>,
     calls: StoreCalls,
 ) {
     let platform = &settings.platform;
-    let links = LinkTimes::builder()
+    let links = ConnectionTimeouts::builder()
         .connect(platform.timeout)
-        .unheard(platform.timeout)
+        .peer_timeout(platform.timeout)
         .build();
     let store = Arc::new(RowStore::new(platform.address, links, calls));
     if settings.orders.enabled {
         let leases = Arc::new(store.for_reason(CallReason::Lease));
-        let keeper = StageKeeper::new(core.clone(), leases, stage_settings(settings));
-        pool.spawn(keeper.run());
+        let controller = StageController::new(core.clone(), leases, stage_settings(settings));
+        pool.spawn(controller.run());
     }
-    let Some(end) = peers else {
+    let Some(socket) = peers else {
         let times = watch_times(settings, platform.timeout, STORE_RETRY_PAUSE);
         return spawn_watch(core, store, times, pool);
     };
     let times = SpreadTimes::builder()
         .period(platform.list_poll)
-        .read_limit(platform.timeout)
+        .read_timeout(platform.timeout)
         .build();
     let shared = SharedSource::builder()
         .counts(core.counts.clone())
         .directory_store(Arc::new(store.for_reason(CallReason::Directory)))
-        .endpoint(end.endpoint)
+        .endpoint(socket.endpoint)
         .first_start(settings.first_start)
         .freshness(core.freshness.clone())
-        .keys(end.keys)
-        .own(end.row)
+        .keys(socket.keys)
+        .own(socket.row)
         .pool(pool)
         .quarantine(settings.quarantine.life)
         .quotas(core.quotas.clone())
@@ -310,7 +314,7 @@
     let watch = Arc::new(SourceWatch::new(core.clone(), source, times));
     pool.spawn({
         let watch = watch.clone();
-        async move { watch.watch_book().await }
+        async move { watch.watch_routes().await }
     });
     pool.spawn({
         let watch = watch.clone();
@@ -325,7 +329,8 @@
 
 fn watch_times(settings: &RelayFile, read_limit: Duration, list_retry: Duration) -> WatchTimes {
     let platform = &settings.platform;
-    // Each answer to a watch tells anew that the keys are those in force.
+    // Each answer to a watch confirms that the known keys are in force, so a wait lasts at most a fifth of
+    // `revoked_within`.
     let within = settings.customers.revoked_within;
     let watch_wait = within.map_or(platform.poll, |within| platform.poll.min(within / 5));
     WatchTimes::builder()
--- a/crates/trestlewalk/src/entry/table_driver.rs
+++ b/crates/trestlewalk/src/entry/table_driver.rs
@@ -1,14 +1,14 @@
-//! Drives the keeper of the table: polls the platform, pulls from peers, puts tables in force.
+//! Drives the keeper of the table: polls the platform, pulls from peers, and puts tables in force.
 
 use {
     crate::{
-        admin::{ReadyBoard, StatusSource, TableStatus},
+        admin::{ReadinessState, StatusSource, TableStatus},
         entry::{PlatformHealth, PlatformSample},
     },
     bytes::Bytes,
-    flow::TableBoard,
+    flow::CurrentTable,
     kernel::{InstanceId, LockRank, RankedLock, TableVersion, WorkerPool, ZoneId, unix_time},
-    peer::{MemberNews, PeerDriver, PeerError, TableMark, peer_error::GarbledSnafu},
+    peer::{MemberUpdate, PeerDriver, PeerError, TableRevision, peer_error::GarbledSnafu},
     plat::{EditOrigin, PollAction, PollEvent, PollPlan, RowStore, TableRepository},
     std::{
         sync::{Arc, OnceLock},
@@ -23,59 +23,60 @@
     },
 };
 
-/// The condition that keeps an instance without a table from being ready.
+/// The condition that the instance has a table.
 pub const TABLE_CONDITION: &str = "table";
 
-/// How often the keeper and the plan hear that time passes.
-const TICK: Duration = Duration::from_millis(100);
+/// How often the keeper and the polling plan get a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the keeper and the plan decide from.
+/// The state machines behind the driver.
 struct DriverState {
     keeper: TableKeeper,
     plan: PollPlan,
+    /// The head that the platform answered last; `None` before its first answer.
     platform_head: Option<TableHead>,
 }
 
-/// Keeps the table in force.
+/// Keeps the table in force up to date.
 pub struct TableDriver<S> {
-    board: Arc<TableBoard>,
+    current_table: Arc<CurrentTable>,
     head_changed: Notify,
     health: Arc<PlatformHealth>,
     instance: InstanceId,
     peers: OnceLock<Arc<PeerDriver>>,
     pool: WorkerPool,
-    ready: Arc<ReadyBoard>,
+    readiness: Arc<ReadinessState>,
     repository: TableRepository<S>,
     state: RankedLock<DriverState>,
 }
 
 #[bon::bon]
 impl<S: RowStore + 'static> TableDriver<S> {
-    /// A driver without a table, which blocks `ready` until it has one.
+    /// Creates a driver without a table, which keeps the instance not ready until it has one.
     #[builder]
     pub fn new(
-        board: Arc<TableBoard>,
+        current_table: Arc<CurrentTable>,
         health: Arc<PlatformHealth>,
         instance: InstanceId,
         plan: PollPlan,
         pool: WorkerPool,
-        ready: Arc<ReadyBoard>,
+        readiness: Arc<ReadinessState>,
         repository: TableRepository<S>,
     ) -> Self {
-        ready.block(TABLE_CONDITION, "no table yet");
+        readiness.block(TABLE_CONDITION, "no table yet");
         let state = DriverState {
             keeper: TableKeeper::new(Instant::now()),
             plan,
             platform_head: None,
         };
         Self {
-            board,
+            current_table,
             head_changed: Notify::new(),
             health,
             instance,
             peers: OnceLock::new(),
             pool,
-            ready,
+            readiness,
             repository,
             state: RankedLock::new(LockRank::Table, state),
         }
@@ -83,21 +84,21 @@
 }
 
 impl<S: RowStore + 'static> TableDriver<S> {
-    /// The head, as the membership announces it.
-    pub fn mark(&self) -> TableMark {
+    /// The version and the digest of the table, as the membership announces them.
+    pub fn mark(&self) -> TableRevision {
         let head = self.head();
-        TableMark {
+        TableRevision {
             digest: head.digest,
             version: head.version,
         }
     }
 
-    /// The head to announce.
+    /// The version and the digest of the table that the keeper holds.
     pub fn head(&self) -> TableHead {
         self.state.lock().keeper.head()
     }
 
-    /// Gives one event to the keeper.
+    /// Passes one event to the keeper and performs the actions that it returns.
     pub fn on_event(self: &Arc<Self>, event: KeeperEvent) {
         let mut actions = Vec::new();
         self.state
@@ -105,22 +106,22 @@
             .keeper
             .on_event(Instant::now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    /// Names the membership that peers are pulled from through.
-    pub fn join(&self, driver: Arc<PeerDriver>) {
-        // There is one membership a process.
+    /// Sets the membership through which tables are pulled from peers.
+    pub fn set_membership(&self, driver: Arc<PeerDriver>) {
+        // A process has one membership, so that it is set once.
         let _ = self.peers.set(driver);
     }
 
-    /// Tells the plan which instances of the own availability zone live.
+    /// Gives the polling plan the live instances of the own availability zone.
     pub fn on_members(self: &Arc<Self>, members: Vec<InstanceId>) {
         self.step_plan(PollEvent::Members(members));
     }
 
-    /// Tells the membership of each table that comes into force, for as long as it is driven.
+    /// Announces each table that comes into force to the membership. Never returns.
     pub async fn run_heads(self: Arc<Self>, driver: Arc<PeerDriver>) {
         loop {
             self.head_changed.notified().await;
@@ -128,37 +129,37 @@
         }
     }
 
-    /// Gives the keeper what the membership hears of the peers' tables, for as long as it is driven.
-    pub async fn run_news(self: Arc<Self>, driver: Arc<PeerDriver>) {
-        let mut news = driver.news();
+    /// Passes what the membership learns of peers' tables to the keeper. Returns when the membership is closed.
+    pub async fn run_updates(self: Arc<Self>, driver: Arc<PeerDriver>) {
+        let mut updates = driver.updates();
         loop {
-            match news.recv().await {
-                Ok(news) => self.on_news(news),
+            match updates.recv().await {
+                Ok(update) => self.on_update(update),
                 Err(RecvError::Lagged(_)) => {}
                 Err(RecvError::Closed) => return,
             }
         }
     }
 
-    /// Drives time for as long as it is driven.
+    /// Ticks the keeper and the polling plan, and samples the reachability of the platform. Never returns.
     pub async fn run_ticks(self: Arc<Self>) {
-        let mut ticks = time::interval(TICK);
+        let mut ticks = time::interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
-            self.hear_peers();
+            self.note_peer_reports();
             self.on_event(KeeperEvent::Tick);
-            self.health.note(SystemTime::now(), self.sample());
+            self.health.record(SystemTime::now(), self.sample());
             self.step_plan(PollEvent::Tick);
         }
     }
 
-    fn act(self: &Arc<Self>, action: KeeperAction) {
+    fn perform(self: &Arc<Self>, action: KeeperAction) {
         match action {
             KeeperAction::Alarm { code, head, source } => {
                 let number = code.number();
                 tracing::error!(code = number, version = head.version, %source, "{}", code.text());
             }
-            KeeperAction::AlarmOver { code, source } => {
+            KeeperAction::AlarmCleared { code, source } => {
                 tracing::info!(code = code.number(), %source, "the alarm is over");
             }
             KeeperAction::InForce(table) => self.put_in_force(&table),
@@ -174,14 +175,14 @@
         }
     }
 
-    /// Takes what the peers' heartbeats told of the platform.
-    fn hear_peers(self: &Arc<Self>) {
+    /// Tells the keeper when a peer last reported an answer of the platform.
+    fn note_peer_reports(self: &Arc<Self>) {
         let heard = self
             .peers
             .get()
-            .and_then(|peers| peers.view().platform_heard);
+            .and_then(|peers| peers.view().platform_contact);
         if let Some(at) = heard {
-            self.on_event(KeeperEvent::PlatformSeen { at });
+            self.on_event(KeeperEvent::PlatformContact { at });
         }
     }
 
@@ -192,9 +193,9 @@
         if let Ok(head) = head {
             let head = head.map(|row| row.head()).unwrap_or_default();
             self.state.lock().platform_head = Some(head);
-            self.on_event(KeeperEvent::PlatformSeen { at: asked });
+            self.on_event(KeeperEvent::PlatformContact { at: asked });
             if let Some(peers) = self.peers.get() {
-                peers.set_platform_heard(asked);
+                peers.set_platform_contact(asked);
             }
             self.on_event(KeeperEvent::Head {
                 asked,
@@ -225,20 +226,20 @@
         self.repository.patch_since(since).await.ok()
     }
 
-    fn on_news(self: &Arc<Self>, news: MemberNews) {
-        let (head, source) = match news {
-            MemberNews::DigestDiffers {
+    fn on_update(self: &Arc<Self>, update: MemberUpdate) {
+        let (head, source) = match update {
+            MemberUpdate::DigestDiffers {
                 digest,
                 instance,
                 version,
             }
-            | MemberNews::DigestSettled {
+            | MemberUpdate::DigestConverged {
                 digest,
                 instance,
                 version,
             } => (TableHead { digest, version }, TableSource::Peer(instance)),
-            MemberNews::MemberGone { instance, .. } => {
-                return self.on_event(KeeperEvent::PeerGone(instance));
+            MemberUpdate::MemberDead { instance, .. } => {
+                return self.on_event(KeeperEvent::PeerRemoved(instance));
             }
             _ => return,
         };
@@ -256,8 +257,8 @@
             rows = table.rows.len(),
             "a table is in force"
         );
-        self.board.put(table);
-        self.ready.clear(TABLE_CONDITION);
+        self.current_table.put(table);
+        self.readiness.clear(TABLE_CONDITION);
         self.head_changed.notify_one();
     }
 
@@ -273,7 +274,7 @@
             Ok(version) => {
                 tracing::warn!(
                     version,
-                    "accepted edits that the platform lacked are written back"
+                    "accepted edits that the platform had lost are written back"
                 );
                 self.on_event(KeeperEvent::Restored { version });
             }
@@ -307,13 +308,13 @@
     }
 }
 
-/// What the membership asks when it spreads the table.
-pub struct TableShare<S> {
-    /// The driver.
+/// Exchanges the table with peers through the membership.
+pub struct TableExchange<S> {
+    /// The driver that holds the table.
     pub driver: Arc<TableDriver<S>>,
 }
 
-impl<S: RowStore + 'static> peer::TableSource for TableShare<S> {
+impl<S: RowStore + 'static> peer::TableSource for TableExchange<S> {
     fn changes(&self, since: TableVersion) -> Option<Bytes> {
         let patch = self.driver.state.lock().keeper.patch_since(since);
         if patch.version <= since {
@@ -322,7 +323,7 @@
         postcard::to_stdvec(&patch).ok().map(Bytes::from)
     }
 
-    fn mark(&self) -> TableMark {
+    fn revision(&self) -> TableRevision {
         self.driver.mark()
     }
 
@@ -330,7 +331,7 @@
         self.driver.state.lock().keeper.pull_since()
     }
 
-    async fn take(&self, from: &InstanceId, content: Bytes) -> Result<TableMark, PeerError> {
+    async fn apply(&self, from: &InstanceId, content: Bytes) -> Result<TableRevision, PeerError> {
         let patch = postcard::from_bytes::<TablePatch>(&content);
         let Ok(patch) = patch else {
             return GarbledSnafu {
@@ -344,21 +345,21 @@
     }
 }
 
-/// Answers the admin server.
-pub struct BoardStatus {
+/// Reports the table in force of an entry instance to the admin server.
+pub struct EntryStatus {
     /// The table in force.
-    pub board: Arc<TableBoard>,
-    /// Whether the platform is heard.
+    pub current_table: Arc<CurrentTable>,
+    /// Whether the platform answers; `None` leaves that out of the status.
     pub health: Option<Arc<PlatformHealth>>,
-    /// This instance.
+    /// The name of this instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneId,
 }
 
-impl StatusSource for BoardStatus {
+impl StatusSource for EntryStatus {
     fn table_status(&self) -> TableStatus {
-        let entry = self.board.entry();
+        let entry = self.current_table.entry();
         let digest = entry.as_ref().map_or(0, |entry| entry.table.digest());
         let cut_off = self
             .health
--- a/crates/trestlewalk/src/explain/story_book.rs
+++ b/crates/trestlewalk/src/explain/request_trace.rs
@@ -1,46 +1,48 @@
-//! The lines that are about one request, and about the state of the instances that served it.
+//! The log lines about one request, and about the state of the instances that served it.
 
 use {crate::explain::LogLine, kernel::ResultCode, std::collections::BTreeMap};
 
 /// The message of the line that ends a request.
 const ENDED: &str = "request ended";
-/// The message of the line for a request that has no row or did not arrive whole.
+/// The message of the line for a request that has no row in the table or did not arrive completely.
 const REFUSED: &str = "request refused";
 
-/// Collects lines; holds only those of the request, and the last change of state of each log before them.
+/// Collects the lines of one request. Of all other lines it keeps only the last change of state of each kind per log.
 #[derive(Debug)]
-pub struct StoryBook {
-    bad: u64,
+pub struct RequestTrace {
+    /// Lines read that are no log lines.
+    unreadable_lines: u64,
     id: String,
-    read: u64,
-    /// By log: the last change of each kind, until the request's line comes.
+    lines_read: u64,
+    /// By log and message: the last change of state so far.
     state: BTreeMap<String, BTreeMap<String, LogLine>>,
-    tales: Vec<RequestTale>,
+    entries: Vec<TraceEntry>,
 }
 
-/// The line of the request in one log.
+/// The line of the request in one log, with the state of the instance before it.
 #[derive(Debug)]
-struct RequestTale {
+struct TraceEntry {
+    /// The last change of state of each kind, by time.
     before: Vec<LogLine>,
     line: LogLine,
     source: String,
 }
 
-impl StoryBook {
-    /// The story, a line each; the last one says why the request ended so.
+impl RequestTrace {
+    /// The text of the trace, one item per line. The last line tells why the request ended as it did.
     pub fn into_lines(mut self) -> Vec<String> {
-        self.tales
+        self.entries
             .sort_by(|one, other| one.line.timestamp.cmp(&other.line.timestamp));
         let mut lines = Vec::new();
-        for tale in &self.tales {
-            tale.tell(&mut lines);
+        for entry in &self.entries {
+            entry.push_lines(&mut lines);
         }
         lines.push(format!(
             "{} lines read, {} of them no log lines",
-            self.read, self.bad
+            self.lines_read, self.unreadable_lines
         ));
-        lines.push(match self.tales.last() {
-            Some(tale) => tale.reason(),
+        lines.push(match self.entries.last() {
+            Some(entry) => entry.reason(),
             None => format!(
                 "no line about {}: it was served in time and is not in the sample, it never came, or its instance died before it ended",
                 self.id
@@ -49,20 +51,20 @@
         lines
     }
 
-    /// A book for one request.
+    /// Creates an empty trace of the request with this id.
     pub fn new(id: &str) -> Self {
         Self {
-            bad: 0,
+            unreadable_lines: 0,
             id: id.to_owned(),
-            read: 0,
+            lines_read: 0,
             state: BTreeMap::new(),
-            tales: Vec::new(),
+            entries: Vec::new(),
         }
     }
 
-    /// Takes a line of a log in.
-    pub fn note(&mut self, source: &str, line: LogLine) {
-        self.read += 1;
+    /// Adds a line of the log `source`.
+    pub fn add(&mut self, source: &str, line: LogLine) {
+        self.lines_read += 1;
         if line.message != ENDED && line.message != REFUSED {
             let state = self.state.entry(source.to_owned()).or_default();
             state.insert(line.message.clone(), line);
@@ -77,29 +79,29 @@
             .flat_map(|changes| changes.values().cloned())
             .collect();
         before.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
-        self.tales.push(RequestTale {
+        self.entries.push(TraceEntry {
             before,
             line,
             source: source.to_owned(),
         });
     }
 
-    /// A line could not be read.
-    pub fn note_bad(&mut self) {
-        self.read += 1;
-        self.bad += 1;
+    /// Counts a line that is not a log line.
+    pub fn add_unreadable(&mut self) {
+        self.lines_read += 1;
+        self.unreadable_lines += 1;
     }
 }
 
-impl RequestTale {
-    /// Why the request ended so, in one line.
+impl TraceEntry {
+    /// One line on why the request ended as it did.
     fn reason(&self) -> String {
         let code = self.line.code().unwrap_or(0);
         let known = ResultCode::ALL
             .iter()
             .find(|known| u64::from(known.number()) == code);
         let text = known.map_or("an unknown code", |known| known.text());
-        let late = self.lateness();
+        let late = self.lateness_text();
         let steps = self.line.field("steps");
         let last = steps
             .split(';')
@@ -115,8 +117,8 @@
         }
     }
 
-    /// What made a request late, if it was.
-    fn lateness(&self) -> &'static str {
+    /// The missed latency targets, as the end of a sentence; empty when the request met them.
+    fn lateness_text(&self) -> &'static str {
         let is_over = |value: &str, target: &str| {
             let number = |name: &str| self.line.field(name).parse::<u64>().ok();
             number(value)
@@ -134,7 +136,7 @@
         }
     }
 
-    fn tell(&self, lines: &mut Vec<String>) {
+    fn push_lines(&self, lines: &mut Vec<String>) {
         lines.push(format!(
             "{}: {} {}",
             self.source, self.line.timestamp, self.line.message
--- a/crates/trestlewalk/src/settings/setting_override.rs
+++ b/crates/trestlewalk/src/settings/setting_override.rs
@@ -8,7 +8,7 @@
     std::{str::FromStr, sync::Arc},
 };
 
-/// One `--set FIELD=VALUE`. The field is given with dots, the value as YAML.
+/// One `--set FIELD=VALUE`. The field is a path with dots, the value is YAML.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingOverride {
     /// The field.
@@ -18,11 +18,11 @@
 }
 
 impl SettingOverride {
-    /// Puts the value into `tree`, in place of an earlier one; sections that are not there are made.
+    /// Sets the value in `tree`, in place of an earlier one; missing sections are created.
     ///
     /// # Errors
     ///
-    /// The path of a field on the way that is no section.
+    /// The path of a field above this one that is not a section.
     pub fn apply(self, tree: &mut SettingsNode) -> Result<(), FieldPath> {
         let mut path = FieldPath::default();
         let mut node = tree;
@@ -37,7 +37,7 @@
                 return Err(path);
             };
             path = path.key(key);
-            let entry = find_entry(entries, key);
+            let entry = find_or_insert_entry(entries, key);
             if path == self.path {
                 entry.line = OVERRIDE_LINE;
             }
@@ -48,7 +48,7 @@
     }
 }
 
-fn find_entry<'a>(entries: &'a mut Vec<NodeEntry>, key: &Arc<str>) -> &'a mut NodeEntry {
+fn find_or_insert_entry<'a>(entries: &'a mut Vec<NodeEntry>, key: &Arc<str>) -> &'a mut NodeEntry {
     let index = match entries.iter().position(|entry| entry.key == *key) {
         Some(index) => index,
         None => {
--- a/crates/trestlewalk/src/settings/settings_file.rs
+++ b/crates/trestlewalk/src/settings/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads settings from a file, and finds every fault in one go.
+//! Reads settings from a file, and reports all faults at once.
 
 use {
     crate::{
@@ -20,7 +20,7 @@
     std::{fs, path::Path, sync::Arc},
 };
 
-/// Reads the settings of an entry instance from a file and from the overrides of the command line.
+/// Reads the settings of an entry instance from a file, and applies the overrides of the command line.
 ///
 /// # Errors
 ///
@@ -35,11 +35,11 @@
         .map_err(|faults| SettingsInvalidSnafu { faults }.build())
 }
 
-/// Reads the settings of an entry instance out of the content of a file.
+/// Parses the settings of an entry instance from the content of a file.
 ///
 /// # Errors
 ///
-/// Every fault, by line.
+/// All faults, sorted by line.
 pub fn parse_settings(
     file: &str,
     content: &[u8],
@@ -47,16 +47,16 @@
 ) -> Result<EntrySettings, Vec<SettingsFault>> {
     let tree = parse_tree(file, content)?;
     if tree.value == NodeValue::Null && overrides.is_empty() {
-        return Err(vec![whole_fault(file, "the file is empty")]);
+        return Err(vec![file_fault(file, "the file is empty")]);
     }
     read_settings(file, tree, overrides, settings_check::check_settings)
 }
 
-/// Reads the content of a file to a tree.
+/// Parses the content of a file to a tree.
 ///
 /// # Errors
 ///
-/// The one place where the content is not UTF-8 or not YAML.
+/// The first place where the content is not UTF-8 or not YAML.
 pub fn parse_tree(file: &str, content: &[u8]) -> Result<SettingsNode, Vec<SettingsFault>> {
     let text = std::str::from_utf8(content).map_err(|error| {
         let before = &content[..error.valid_up_to()];
@@ -65,20 +65,20 @@
     SettingsNode::parse(text).map_err(|error| vec![yaml_fault(file, &error)])
 }
 
-/// Reads settings of any type out of a tree; `check` notes what is wrong beyond the form of each field.
+/// Reads settings of any type from a tree; `check` adds the faults beyond the form of each field.
 ///
 /// # Errors
 ///
-/// Every fault, by line.
+/// All faults, sorted by line.
 pub fn read_settings<T: Default + DeserializeOwned>(
     file: &str,
     mut tree: SettingsNode,
     overrides: Vec<SettingOverride>,
     check: impl FnOnce(&T, &mut FaultList),
 ) -> Result<T, Vec<SettingsFault>> {
-    let broken = apply_overrides(&mut tree, overrides);
+    let misplaced = apply_overrides(&mut tree, overrides);
     let mut list = FaultList::new(file, tree.clone());
-    for (path, text) in broken {
+    for (path, text) in misplaced {
         list.push(&path, text);
     }
     drop_repeated_fields(&FieldPath::default(), &mut tree, &mut list);
@@ -95,17 +95,18 @@
     tree: &mut SettingsNode,
     overrides: Vec<SettingOverride>,
 ) -> Vec<(FieldPath, String)> {
-    let mut broken = Vec::new();
+    let mut misplaced = Vec::new();
     for setting in overrides {
         let text = format!("`{}` needs a section here", setting.path);
         if let Err(path) = setting.apply(tree) {
-            broken.push((path, text));
+            misplaced.push((path, text));
         }
     }
-    broken
+    misplaced
 }
 
-/// Reads the tree; each value that does not fit is noted, taken out and read as its default.
+/// Reads the tree. Each value that does not fit is reported and removed, so that its default takes its place and
+/// reading goes on.
 fn read_tree<T: Default + DeserializeOwned>(mut tree: SettingsNode, list: &mut FaultList) -> T {
     let mut removed: Vec<FieldPath> = Vec::new();
     loop {
@@ -158,11 +159,11 @@
     let line = u64::try_from(breaks).map_or(u64::MAX, |breaks| breaks + 1);
     SettingsFault {
         place: FaultPlace::Line(line),
-        ..whole_fault(file, "the text is not UTF-8")
+        ..file_fault(file, "the text is not UTF-8")
     }
 }
 
-fn whole_fault(file: &str, text: &str) -> SettingsFault {
+fn file_fault(file: &str, text: &str) -> SettingsFault {
     SettingsFault {
         field: Arc::default(),
         file: Arc::from(file),
@@ -179,6 +180,6 @@
     };
     SettingsFault {
         place,
-        ..whole_fault(file, &format!("not YAML: {text}"))
+        ..file_fault(file, &format!("not YAML: {text}"))
     }
 }
--- a/crates/trestlewalk/src/subcommand/table/zone_watch.rs
+++ b/crates/trestlewalk/src/subcommand/table/zone_watch.rs
@@ -10,46 +10,47 @@
     },
 };
 
-/// What stands for the availability zone of an instance that never answered.
+/// The name shown for the availability zone of an instance that never answered.
 const UNKNOWN_ZONE: &str = "(unknown availability zone)";
 
 /// The state of one availability zone.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ZoneState {
-    /// The instances that answered.
+    /// The number of instances that answered.
     pub answered: usize,
-    /// How long after the edit all that answer had it in force.
+    /// The time from the edit until all instances that answer had it in force; `None` until then.
     pub in_force: Option<Duration>,
-    /// The instances that have the edit in force.
+    /// The number of instances that have the edit in force.
     pub ready: usize,
-    /// The instances that gave no answer.
+    /// The addresses that gave no answer.
     pub silent: BTreeSet<SocketAddr>,
-    /// The least version that an answer told.
+    /// The lowest version among the answers.
     pub version: TableVersion,
 }
 
-/// Gathers what instances answer. Pure: whoever asks them passes the answers in.
+/// Tracks the answers of instances. It does no I/O: the caller of its methods queries the instances.
 #[derive(Clone, Debug)]
 pub struct ZoneWatch {
     digests: BTreeSet<TableDigest>,
-    homes: BTreeMap<SocketAddr, ZoneId>,
+    known_zones: BTreeMap<SocketAddr, ZoneId>,
     states: BTreeMap<ZoneId, ZoneState>,
     version: TableVersion,
     zones: BTreeSet<ZoneId>,
 }
 
 impl ZoneWatch {
-    /// Takes a round of answers, `passed` after the edit; the zones that came into force with it, by name.
-    pub fn hear(&mut self, answers: &ProbeAnswers, passed: Duration) -> Vec<ZoneId> {
+    /// Records a round of answers, received `elapsed` after the edit. Returns the availability zones in which the edit
+    /// came into force with this round, sorted by name.
+    pub fn record_answers(&mut self, answers: &ProbeAnswers, elapsed: Duration) -> Vec<ZoneId> {
         let mut states: BTreeMap<ZoneId, ZoneState> = BTreeMap::new();
         for zone in &self.zones {
             states.insert(zone.clone(), ZoneState::default());
         }
         for (address, answer) in answers {
             if let Some(status) = answer {
-                self.homes.insert(*address, status.zone.clone());
+                self.known_zones.insert(*address, status.zone.clone());
             }
-            let state = states.entry(self.home_of(*address)).or_default();
+            let state = states.entry(self.zone_of(*address)).or_default();
             let Some(status) = answer else {
                 state.silent.insert(*address);
                 continue;
@@ -64,20 +65,20 @@
                 self.digests.insert(status.digest);
             }
         }
-        let mut fresh = Vec::new();
+        let mut newly_in_force = Vec::new();
         for (zone, state) in &mut states {
             let earlier = self.states.get(zone).and_then(|earlier| earlier.in_force);
             let is_ready = state.answered > 0 && state.ready == state.answered;
-            state.in_force = earlier.or(is_ready.then_some(passed));
+            state.in_force = earlier.or(is_ready.then_some(elapsed));
             if earlier.is_none() && is_ready {
-                fresh.push(zone.clone());
+                newly_in_force.push(zone.clone());
             }
         }
         self.states = states;
-        fresh
+        newly_in_force
     }
 
-    /// Whether the edit is in force in every zone, at every instance.
+    /// Whether the edit is in force in every availability zone, at every instance.
     pub fn is_done(&self) -> bool {
         let states = self.states.values();
         let mut states =
@@ -90,25 +91,26 @@
         self.digests.len() > 1
     }
 
-    /// A watch of an edit that made `version`, over zones known beforehand and instances that answered before.
+    /// Creates a watch of the edit that made `version`, over the known availability zones and the answers from before
+    /// the edit.
     pub fn new(version: TableVersion, zones: BTreeSet<ZoneId>, before: &ProbeAnswers) -> Self {
-        let mut homes = BTreeMap::new();
+        let mut known_zones = BTreeMap::new();
         for (address, answer) in before {
             if let Some(status) = answer {
-                homes.insert(*address, status.zone.clone());
+                known_zones.insert(*address, status.zone.clone());
             }
         }
         Self {
             digests: BTreeSet::new(),
-            homes,
+            known_zones,
             states: BTreeMap::new(),
             version,
             zones,
         }
     }
 
-    /// The zones where the edit is not in force.
-    pub fn open_zones(&self) -> Vec<ZoneId> {
+    /// The availability zones in which the edit is not in force yet.
+    pub fn pending_zones(&self) -> Vec<ZoneId> {
         let mut zones = Vec::new();
         for (zone, state) in &self.states {
             if state.in_force.is_none() {
@@ -118,15 +120,15 @@
         zones
     }
 
-    /// One line about a zone.
+    /// Formats the state of an availability zone as one line.
     pub fn zone_text(&self, zone: &str) -> String {
         let Some(state) = self.states.get(zone) else {
             return format!("{zone}: nothing known");
         };
         let mut text = match state.in_force {
-            Some(passed) => format!(
+            Some(elapsed) => format!(
                 "{zone}: in force after {:.1} s at {} of {} instances",
-                passed.as_secs_f64(),
+                elapsed.as_secs_f64(),
                 state.ready,
                 state.answered + state.silent.len()
             ),
@@ -145,13 +147,13 @@
         text
     }
 
-    /// The zones, by name.
+    /// The availability zones, sorted by name.
     pub fn zones(&self) -> Vec<ZoneId> {
         self.states.keys().cloned().collect()
     }
 
-    fn home_of(&self, address: SocketAddr) -> ZoneId {
-        match self.homes.get(&address) {
+    fn zone_of(&self, address: SocketAddr) -> ZoneId {
+        match self.known_zones.get(&address) {
             Some(zone) => zone.clone(),
             None => UNKNOWN_ZONE.into(),
         }
--- a/crates/trestlewalk/tests/support/member_load.rs
+++ b/crates/trestlewalk/tests/support/member_load.rs
@@ -1,7 +1,7 @@
-//! Callers that go on calling the members of a fleet while those come and go.
+//! Callers that keep calling the members of a fleet while members join and leave.
 
 use {
-    super::{CallReply, Fleet, HttpCall, fleet::CallerSide},
+    super::{CallReply, Fleet, HttpCall, fleet::CallerEndpoint},
     std::{
         collections::BTreeMap,
         sync::{
@@ -12,34 +12,34 @@
     tokio::task::JoinHandle,
 };
 
-/// The code of a whole answer.
+/// The result code of a complete answer.
 const ANSWERED: u16 = 1000;
-/// The codes of a request that did not run.
+/// The result codes of requests that did not run.
 const NOT_RUN: std::ops::Range<u16> = 2000..3000;
-/// What an error says when no connection was made, so that nothing was sent.
+/// The text of an error when no connection was made, so that nothing was sent.
 const NEVER_CONNECTED: &str = "Error(Connect";
 
-/// What became of the calls.
+/// Outcomes of the calls.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Calls with the whole answer.
+    /// Calls with a complete answer.
     pub answered: usize,
-    /// Calls with another end, by entry instance.
+    /// Errors of all other calls, by entry instance.
     pub lost: BTreeMap<String, Vec<String>>,
-    /// Calls that were told that they did not run.
+    /// Calls refused with a code that says that they did not run.
     pub not_run: usize,
-    /// Calls that found nobody to connect to.
+    /// Calls that could not connect to a member.
     pub unconnected: usize,
 }
 
 impl LoadReport {
-    /// The lost calls at all instances but one.
-    pub fn lost_beside(&self, entry: &str) -> Vec<&String> {
+    /// Errors of the lost calls at all instances except one.
+    pub fn lost_except(&self, entry: &str) -> Vec<&String> {
         let others = self.lost.iter().filter(|(name, _)| *name != entry);
         others.flat_map(|(_, errors)| errors).collect()
     }
 
-    fn note(&mut self, entry: &str, result: Result<CallReply, String>) {
+    fn record(&mut self, entry: &str, result: Result<CallReply, String>) {
         let error = match result {
             Ok(reply) if reply.code() == ANSWERED => {
                 self.answered += 1;
@@ -60,11 +60,11 @@
     }
 }
 
-/// What the callers share: the members that a balancer would send them to.
+/// State shared by the callers; `members` stands in for a load balancer's targets.
 #[derive(Debug, Default)]
-struct LoadBoard {
+struct LoadState {
     is_over: AtomicBool,
-    members: Mutex<Vec<(String, CallerSide)>>,
+    members: Mutex<Vec<(String, CallerEndpoint)>>,
     next: AtomicUsize,
     report: Mutex<LoadReport>,
 }
@@ -72,59 +72,59 @@
 /// The running callers.
 #[derive(Debug)]
 pub struct MemberLoad {
-    board: Arc<LoadBoard>,
+    state: Arc<LoadState>,
     callers: Vec<JoinHandle<()>>,
 }
 
 impl MemberLoad {
-    /// Sends calls to one more member.
+    /// Adds a member to the targets.
     pub fn add(&self, fleet: &Fleet, entry: &str) {
         let member = (entry.to_owned(), fleet.entry(entry));
-        self.board.members.lock().unwrap().push(member);
+        self.state.members.lock().unwrap().push(member);
     }
 
-    /// How many calls were answered.
+    /// Calls answered so far.
     pub fn answered(&self) -> usize {
-        self.board.report.lock().unwrap().answered
+        self.state.report.lock().unwrap().answered
     }
 
-    /// Lets the running calls end; what became of all.
+    /// Waits for the running calls and returns the outcomes of all calls.
     pub async fn close(self) -> LoadReport {
-        self.board.is_over.store(true, Ordering::SeqCst);
+        self.state.is_over.store(true, Ordering::SeqCst);
         for caller in self.callers {
             caller.await.unwrap();
         }
-        self.board.report.lock().unwrap().clone()
+        self.state.report.lock().unwrap().clone()
     }
 
-    /// Sends no more calls to a member.
+    /// Removes a member from the targets.
     pub fn remove(&self, entry: &str) {
-        let mut members = self.board.members.lock().unwrap();
+        let mut members = self.state.members.lock().unwrap();
         members.retain(|(name, _)| name != entry);
     }
 
-    /// Starts so many callers of all members of a fleet; `make` makes a call from its number.
+    /// Starts concurrent callers that call all members of a fleet; `make` builds a call from its number.
     pub fn start(
         fleet: &Fleet,
         callers: usize,
-        make: impl Fn(&CallerSide, usize) -> HttpCall + Clone + Send + Sync + 'static,
+        make: impl Fn(&CallerEndpoint, usize) -> HttpCall + Clone + Send + Sync + 'static,
     ) -> Self {
         let mut load = Self {
-            board: Arc::default(),
+            state: Arc::default(),
             callers: Vec::new(),
         };
         for entry in fleet.entry_names() {
             load.add(fleet, &entry);
         }
         for _ in 0..callers {
-            let caller = call_on(load.board.clone(), make.clone());
+            let caller = call_members(load.state.clone(), make.clone());
             load.callers.push(tokio::spawn(caller));
         }
         load
     }
 
-    /// Waits until so many more calls were answered.
-    pub async fn wait_more(&self, count: usize) {
+    /// Waits until `count` more calls are answered.
+    pub async fn wait_answered(&self, count: usize) {
         let target = self.answered() + count;
         super::wait_until("more calls are answered", async || {
             self.answered() >= target
@@ -133,16 +133,16 @@
     }
 }
 
-async fn call_on(board: Arc<LoadBoard>, make: impl Fn(&CallerSide, usize) -> HttpCall) {
-    while !board.is_over.load(Ordering::SeqCst) {
-        let number = board.next.fetch_add(1, Ordering::SeqCst);
-        let members = board.members.lock().unwrap().clone();
-        let (entry, side) = &members[number % members.len()];
-        let result = make(side, number).try_send().await;
+async fn call_members(state: Arc<LoadState>, make: impl Fn(&CallerEndpoint, usize) -> HttpCall) {
+    while !state.is_over.load(Ordering::SeqCst) {
+        let number = state.next.fetch_add(1, Ordering::SeqCst);
+        let members = state.members.lock().unwrap().clone();
+        let (entry, endpoint) = &members[number % members.len()];
+        let result = make(endpoint, number).try_send().await;
         let is_answered = result.is_ok();
-        board.report.lock().unwrap().note(entry, result);
+        state.report.lock().unwrap().record(entry, result);
         if !is_answered {
-            // A balancer looks for another member before it tries again.
+            // Yields after a failure, as a load balancer picks another member before it retries.
             tokio::task::yield_now().await;
         }
     }
--- a/crates/trestlewalk/tests/support/sse_reply.rs
+++ b/crates/trestlewalk/tests/support/sse_reply.rs
@@ -14,7 +14,7 @@
 pub struct SseReply {
     body: Incoming,
     /// Whether the body ended before its last chunk.
-    pub cut: bool,
+    pub is_truncated: bool,
     /// The headers.
     pub headers: HeaderMap,
     /// The HTTP status.
@@ -23,7 +23,7 @@
 }
 
 impl SseReply {
-    /// All further events.
+    /// The data of all remaining events.
     pub async fn all_events(&mut self) -> Vec<String> {
         let mut events = Vec::new();
         while let Some(event) = self.next_event().await {
@@ -32,24 +32,24 @@
         events
     }
 
-    /// The numbered result code, 0 without one.
+    /// The numbered result code; 0 when the header is missing.
     pub fn code(&self) -> u16 {
         result_code(&self.headers)
     }
 
-    /// An answer whose headers came.
+    /// An answer whose headers have arrived.
     pub fn new(response: Response<Incoming>) -> Self {
         let (parts, body) = response.into_parts();
         Self {
             body,
-            cut: false,
+            is_truncated: false,
             headers: parts.headers,
             status: parts.status,
             text: String::new(),
         }
     }
 
-    /// The data of the next event; none at the end, whole or cut.
+    /// The data of the next event; `None` at the end of the body, truncated or not.
     pub async fn next_event(&mut self) -> Option<String> {
         loop {
             if let Some(event) = self.take_event() {
@@ -57,7 +57,7 @@
             }
             let frame = wait_for("the next event", self.body.frame()).await?;
             let Ok(frame) = frame else {
-                self.cut = true;
+                self.is_truncated = true;
                 return None;
             };
             let Ok(data) = frame.into_data() else {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// What was read and is no whole event.
-    pub fn rest(&self) -> &str {
+    /// Text that was read and is not a complete event.
+    pub fn remainder(&self) -> &str {
         &self.text
     }
 
--- a/crates/trestlewalk/tests/support/udp_relay.rs
+++ b/crates/trestlewalk/tests/support/udp_relay.rs
@@ -1,4 +1,4 @@
-//! Passes datagrams on, until it is told not to.
+//! A UDP relay in front of one process.
 
 use {
     super::relay_mode::{RelayMode, RelaySwitch},
@@ -12,7 +12,7 @@
 
 const DATAGRAM_BYTES: usize = 64 << 10;
 
-/// A way to one process, for whoever sends to its address. It ends when it is dropped.
+/// Forwards datagrams from any sender to one process, and replies back to their senders. It stops when it is dropped.
 #[derive(Debug)]
 pub struct UdpRelay {
     address: SocketAddr,
@@ -28,58 +28,58 @@
         self.address
     }
 
-    /// Lets nothing pass between `sender` and the target.
+    /// Drops all datagrams between `sender` and the target.
     pub fn block(&self, sender: SocketAddr) {
         self.blocked.lock().unwrap().insert(sender);
     }
 
-    /// Passes datagrams on to another address.
+    /// Forwards datagrams to another address.
     pub fn retarget(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
 
-    /// Switches the way for all senders.
+    /// Sets the mode for all senders.
     pub fn set(&self, mode: RelayMode) {
         self.switch.set(mode);
     }
 
-    /// Starts to pass datagrams on to `target`.
+    /// Starts forwarding datagrams to `target`.
     pub async fn start(target: SocketAddr) -> Self {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
         let address = socket.local_addr().unwrap();
-        let way = RelayWay {
+        let path = RelayPath {
             blocked: Arc::default(),
             socket,
             switch: RelaySwitch::new(),
             target: Arc::new(Mutex::new(target)),
         };
         let mut tasks = JoinSet::new();
-        tasks.spawn(pass_there(way.clone()));
+        tasks.spawn(forward_datagrams(path.clone()));
         Self {
             address,
-            blocked: way.blocked,
-            switch: way.switch,
-            target: way.target,
+            blocked: path.blocked,
+            switch: path.switch,
+            target: path.target,
             _tasks: tasks,
         }
     }
 
-    /// Lets datagrams of `sender` pass again.
+    /// Ends the block of `sender`.
     pub fn unblock(&self, sender: SocketAddr) {
         self.blocked.lock().unwrap().remove(&sender);
     }
 }
 
 #[derive(Clone)]
-struct RelayWay {
+struct RelayPath {
     blocked: Arc<Mutex<BTreeSet<SocketAddr>>>,
     socket: Arc<UdpSocket>,
     switch: RelaySwitch,
     target: Arc<Mutex<SocketAddr>>,
 }
 
-impl RelayWay {
-    /// Sends one datagram, or drops it; a slow one is sent later.
+impl RelayPath {
+    /// Sends, drops or delays one datagram, as the mode and the blocked senders require.
     async fn send(&self, socket: &Arc<UdpSocket>, sender: SocketAddr, to: SocketAddr, data: &[u8]) {
         if self.blocked.lock().unwrap().contains(&sender) {
             return;
@@ -100,34 +100,35 @@
     }
 }
 
-async fn pass_back(way: RelayWay, onward: Arc<UdpSocket>, sender: SocketAddr) {
+async fn return_datagrams(path: RelayPath, outbound: Arc<UdpSocket>, sender: SocketAddr) {
     let mut data = vec![0; DATAGRAM_BYTES];
     loop {
-        let Ok((length, _)) = onward.recv_from(&mut data).await else {
+        let Ok((length, _)) = outbound.recv_from(&mut data).await else {
             continue;
         };
-        way.send(&way.socket, sender, sender, &data[..length]).await;
+        path.send(&path.socket, sender, sender, &data[..length])
+            .await;
     }
 }
 
-async fn pass_there(way: RelayWay) {
+async fn forward_datagrams(path: RelayPath) {
     let mut data = vec![0; DATAGRAM_BYTES];
     let mut sockets: BTreeMap<SocketAddr, Arc<UdpSocket>> = BTreeMap::new();
     let mut tasks = JoinSet::new();
     loop {
-        let Ok((length, sender)) = way.socket.recv_from(&mut data).await else {
+        let Ok((length, sender)) = path.socket.recv_from(&mut data).await else {
             continue;
         };
-        let onward = match sockets.get(&sender) {
-            Some(onward) => onward.clone(),
+        let outbound = match sockets.get(&sender) {
+            Some(outbound) => outbound.clone(),
             None => {
-                let onward = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
-                sockets.insert(sender, onward.clone());
-                tasks.spawn(pass_back(way.clone(), onward.clone(), sender));
-                onward
+                let outbound = Arc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
+                sockets.insert(sender, outbound.clone());
+                tasks.spawn(return_datagrams(path.clone(), outbound.clone(), sender));
+                outbound
             }
         };
-        let target = *way.target.lock().unwrap();
-        way.send(&onward, sender, target, &data[..length]).await;
+        let target = *path.target.lock().unwrap();
+        path.send(&outbound, sender, target, &data[..length]).await;
     }
 }
--- a/crates/trestlewalk/tests/table_support/mod.rs
+++ b/crates/trestlewalk/tests/table_support/mod.rs
@@ -1,4 +1,4 @@
-//! One builder for tests of `trestlewalk table`: a platform and entry instances on the loopback, and the real binary.
+//! A builder for tests of `trestlewalk table`: the real binary against a platform and entry instances on the loopback.
 
 use {
     axum::{Json, Router, extract::State, routing::get},
@@ -12,12 +12,12 @@
 
 pub(crate) const HEADINGS: &str = "work,service,model,rank,weight,limit,zones,first_token,between_tokens,patience,repeat,retries,waste";
 
-/// What an entry instance says of its table.
+/// The table that an entry instance reports, and its availability zone.
 #[derive(Clone)]
-enum Entry {
-    /// Whatever the platform has.
+enum EntryTable {
+    /// Always the platform's current version.
     Follows(HttpPlatform, &'static str),
-    /// One version for good.
+    /// A fixed version that never advances.
     Stuck(u64, &'static str),
 }
 
@@ -28,7 +28,7 @@
     runtime: Runtime,
 }
 
-/// What the binary did.
+/// Output and exit code of a run.
 pub(crate) struct Outcome {
     pub(crate) error: String,
     pub(crate) exit: i32,
@@ -68,15 +68,16 @@
         }
     }
 
-    /// An instance that has the platform's table at once.
+    /// An instance that takes over the platform's table immediately.
     pub(crate) fn entry(mut self, zone: &'static str) -> Self {
-        let entry = Entry::Follows(self.client(), zone);
+        let entry = EntryTable::Follows(self.client(), zone);
         self.instances.push(self.start(entry));
         self
     }
 
     pub(crate) fn stuck_entry(mut self, zone: &'static str, version: u64) -> Self {
-        self.instances.push(self.start(Entry::Stuck(version, zone)));
+        self.instances
+            .push(self.start(EntryTable::Stuck(version, zone)));
         self
     }
 
@@ -169,12 +170,12 @@
         }
     }
 
-    /// Writes `table show` to a file, changes its text, and gives the file's text.
-    pub(crate) fn take(&self, name: &str, from: &str, to: &str) -> String {
+    /// Writes the output of `table show` to a file with `from` replaced by `to`, and returns the text of the file.
+    pub(crate) fn edit_shown(&self, name: &str, from: &str, to: &str) -> String {
         let text = self.run(&["show"]).exit(0).output;
-        let changed = text.replace(from, to);
-        self.write(name, &changed);
-        changed
+        let edited = text.replace(from, to);
+        self.write(name, &edited);
+        edited
     }
 
     pub(crate) fn version(&self) -> u64 {
@@ -188,8 +189,10 @@
         HttpPlatform::builder().address(address).build().unwrap()
     }
 
-    fn start(&self, entry: Entry) -> SocketAddr {
-        let router = Router::new().route("/table", get(tell)).with_state(entry);
+    fn start(&self, entry: EntryTable) -> SocketAddr {
+        let router = Router::new()
+            .route("/table", get(table_status))
+            .with_state(entry);
         let listener = self
             .runtime
             .block_on(TcpListener::bind("127.0.0.1:0"))
@@ -201,13 +204,13 @@
     }
 }
 
-async fn tell(State(entry): State<Entry>) -> Json<TableStatus> {
+async fn table_status(State(entry): State<EntryTable>) -> Json<TableStatus> {
     let (version, zone) = match entry {
-        Entry::Follows(platform, zone) => {
+        EntryTable::Follows(platform, zone) => {
             let head = TableRepository::new(platform).head().await.unwrap();
             (head.map_or(0, |head| head.version), zone)
         }
-        Entry::Stuck(version, zone) => (version, zone),
+        EntryTable::Stuck(version, zone) => (version, zone),
     };
     Json(TableStatus {
         cut_off_since: None,
