--- a/crates/trestlewalk/tests/command_line.rs
+++ b/crates/trestlewalk/tests/command_line.rs
@@ -6,11 +6,12 @@
     std::{
         fs::File,
         io::{self, Read, Write},
-        net::{SocketAddr, TcpListener},
+        net::TcpListener,
         process::{Command, Output, Stdio},
         thread::{self, JoinHandle},
     },
     support::{BINARY, Test},
+    tokio::net::TcpSocket,
 };
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -90,7 +91,7 @@
 
 #[test]
 fn dump_of_a_dead_address_says_so() {
-    let address = dead_address();
+    let (address, _socket) = dead_address();
     Test::new()
         .args(["dump", &address])
         .stderr_has(&format!("{address} gave no dump: "))
@@ -188,8 +189,9 @@
 
 #[test]
 fn a_request_that_was_never_sent_ends_as_not_run() {
+    let (address, _socket) = dead_address();
     Test::new()
-        .args(["ticket", "use", &dead_address(), "--ticket", "t-1"])
+        .args(["ticket", "use", &address, "--ticket", "t-1"])
         .stderr_has("error 2004: not run")
         .status(20)
         .run();
@@ -241,11 +243,11 @@
         .unwrap()
 }
 
-/// A loopback address on which nothing listens.
-fn dead_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address: SocketAddr = listener.local_addr().unwrap();
-    address.to_string()
+/// A loopback address on which nothing listens, and the socket that keeps parallel tests from its port.
+fn dead_address() -> (String, TcpSocket) {
+    let socket = TcpSocket::new_v4().unwrap();
+    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    (socket.local_addr().unwrap().to_string(), socket)
 }
 
 fn whole_answer(status: &str, code: u16, body: &str) -> String {
